--- a/features/steps/wire_codec_steps.py
+++ b/features/steps/wire_codec_steps.py
@@ -242,7 +242,7 @@
 
     Impostor.__name__ = Impostor.__qualname__ = "LinkHello"
     try:
-        wire_record(Impostor)
+        wire_record("LinkHello")(Impostor)
     except TypeError:
         return
     raise AssertionError("the second record was registered")
--- a/features/support/compatibility_wire.py
+++ b/features/support/compatibility_wire.py
@@ -74,13 +74,18 @@
 
 
 def product_records() -> tuple[Any, ...]:
-    """Import every module of the product that registers records; return the records."""
+    """Import every module that registers records; return those that nodes and files use."""
     root = Path(rainsail.__file__).parent
     for path in sorted(root.rglob("*.py")):
         if "@wire_record" in path.read_text():
             parts = path.relative_to(root.parent).with_suffix("").parts
             importlib.import_module(".".join(parts))
-    return tuple(each for each in registered_records() if each.__module__.startswith("rainsail."))
+    return tuple(each for each in registered_records() if _is_of_the_product(each))
+
+
+def _is_of_the_product(record: Any) -> bool:
+    module: str = record.__module__
+    return module.startswith("rainsail.") and not module.startswith("rainsail.benchmarks.")
 
 
 def reachable_records(registered: tuple[Any, ...]) -> list[Any]:
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -27,7 +27,7 @@
 """A wait that takes this long has failed; nothing is asserted about shorter times."""
 
 
-@wire_record
+@wire_record("Probe")
 @dataclass(frozen=True, slots=True)
 class Probe:
     """A message of the wire features."""
--- a/src/rainsail/benchmarks/wire.py
+++ b/src/rainsail/benchmarks/wire.py
@@ -40,7 +40,7 @@
 RECEIVER = "receiver"
 
 
-@wire_record
+@wire_record("Sample")
 @dataclass(frozen=True, slots=True)
 class Sample:
     """A message of the bench."""
@@ -49,7 +49,7 @@
     payload: bytes
 
 
-@wire_record
+@wire_record("CountRequest")
 @dataclass(frozen=True, slots=True)
 class CountRequest:
     """Ask how many samples came and what processor time the receiver has used."""
@@ -57,7 +57,7 @@
     reset: bool
 
 
-@wire_record
+@wire_record("CountReply")
 @dataclass(frozen=True, slots=True)
 class CountReply:
     """Samples received and processor seconds used since the last reset."""
--- a/src/rainsail/cluster/committed_copy.py
+++ b/src/rainsail/cluster/committed_copy.py
@@ -28,7 +28,7 @@
 NO_GROUP = 0
 
 
-@wire_record
+@wire_record("CommittedCopy")
 @dataclass(frozen=True, slots=True)
 class CommittedCopy:
     """The routing table (version 0: none), the orders on zones, and the requests that are held."""
--- a/src/rainsail/cluster/leader_calls.py
+++ b/src/rainsail/cluster/leader_calls.py
@@ -10,6 +10,7 @@
 from rainsail.errors import Fault, FaultCode, Outcome
 from rainsail.runtime.clock import Clock, sleep
 from rainsail.wire.messenger import Messenger
+from rainsail.wire.names import wire_name
 
 RETRY_PERIOD_S = 0.1
 """Pause before the leader is looked for again."""
@@ -75,7 +76,7 @@
         self, message: Any, local: Callable[[Any], Any] | None, within_s: float, repeatable: bool
     ) -> Result[Any, Fault]:
         deadline_s = self._clock.seconds() + within_s
-        step = f"leader.{type(message).__name__}"
+        step = f"leader.{wire_name(type(message))}"
         last = Fault(FaultCode.UNAVAILABLE, step, "no leader is known")
         unclear = False
         while True:
--- a/src/rainsail/cluster/messages.py
+++ b/src/rainsail/cluster/messages.py
@@ -5,6 +5,7 @@
 
 from rainsail.state.cluster_commands import NO_QUARANTINE, Quarantine, ZoneDrain
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
 class NodeRole(StrEnum):
@@ -23,6 +24,7 @@
     GONE = "gone"
 
 
+@wire_type("NodeRecord")
 @dataclass(frozen=True, slots=True)
 class NodeRecord:
     """One node. ``address`` is the IP:PORT of its transport, which is also its process name."""
@@ -37,6 +39,7 @@
 NOT_SUPERSEDED = -1
 
 
+@wire_type("RunnerRecord")
 @dataclass(frozen=True, slots=True)
 class RunnerRecord:
     """One incarnation of a runner, as it last described itself.
@@ -75,6 +78,7 @@
         return self.state == RunnerState.READY and not self.is_superseded
 
 
+@wire_type("LedgerStatus")
 @dataclass(frozen=True, slots=True)
 class LedgerStatus:
     """What a storage node says of the ledger group: whether it leads, and the voters."""
@@ -86,6 +90,7 @@
     """No learner and no replacement is under way."""
 
 
+@wire_type("FleetView")
 @dataclass(frozen=True, slots=True)
 class FleetView:
     """What a controller knows of the fleet and tells every node.
@@ -111,7 +116,7 @@
     quarantine: Quarantine = NO_QUARANTINE
 
 
-@wire_record
+@wire_record("NodeBeat")
 @dataclass(frozen=True, slots=True)
 class NodeBeat:
     """Says that a node is there, and up to where it knows this controller's registry.
@@ -127,7 +132,7 @@
     ledger: LedgerStatus | None
 
 
-@wire_record
+@wire_record("NodeBeatReply")
 @dataclass(frozen=True, slots=True)
 class NodeBeatReply:
     """The fleet, and the runners that have changed since the revision that the node knows.
@@ -144,7 +149,7 @@
     runners: bytes
 
 
-@wire_record
+@wire_record("RunnerPage")
 @dataclass(frozen=True, slots=True)
 class RunnerPage:
     """Runners that have changed, oldest change first."""
@@ -152,7 +157,7 @@
     runners: tuple[RunnerRecord, ...]
 
 
-@wire_record
+@wire_record("RunnerUpdate")
 @dataclass(frozen=True, slots=True)
 class RunnerUpdate:
     """Pushed to nodes as soon as runners change; a gap is made good by the next beat."""
@@ -163,7 +168,7 @@
     runners: tuple[RunnerRecord, ...]
 
 
-@wire_record
+@wire_record("TableNotice")
 @dataclass(frozen=True, slots=True)
 class TableNotice:
     """Pushed to nodes when a routing table of a higher version is committed."""
@@ -171,7 +176,7 @@
     version: int
 
 
-@wire_record
+@wire_record("ZoneDrainNotice")
 @dataclass(frozen=True, slots=True)
 class ZoneDrainNotice:
     """Pushed to nodes when an order on a zone is committed: the newest order on each zone."""
@@ -179,7 +184,7 @@
     zone_drains: tuple[ZoneDrain, ...]
 
 
-@wire_record
+@wire_record("OrderZoneDrain")
 @dataclass(frozen=True, slots=True)
 class OrderZoneDrain:
     """Asks the leader to begin or end a zone's drain, on top of the order that the caller knows."""
@@ -189,7 +194,7 @@
     expected_revision: int
 
 
-@wire_record
+@wire_record("ZoneDrainAnswer")
 @dataclass(frozen=True, slots=True)
 class ZoneDrainAnswer:
     """The newest order on a zone, as a quorum confirms it; ``taken`` when it is what was asked."""
@@ -198,19 +203,19 @@
     taken: bool
 
 
-@wire_record
+@wire_record("ReadZoneDrains")
 @dataclass(frozen=True, slots=True)
 class ReadZoneDrains:
     """Asks the leader for the newest order on each zone, confirmed by a quorum."""
 
 
-@wire_record
+@wire_record("FetchTable")
 @dataclass(frozen=True, slots=True)
 class FetchTable:
     """Asks a controller for the routing table that it has applied."""
 
 
-@wire_record
+@wire_record("TableDocument")
 @dataclass(frozen=True, slots=True)
 class TableDocument:
     """A routing table as the operator sent it; version 0 stands for none."""
@@ -219,7 +224,7 @@
     content: bytes
 
 
-@wire_record
+@wire_record("ShareRunner")
 @dataclass(frozen=True, slots=True)
 class ShareRunner:
     """Tells another controller runners' words; the answer says that they are known there."""
@@ -227,13 +232,13 @@
     records: tuple[RunnerRecord, ...]
 
 
-@wire_record
+@wire_record("RunnerShared")
 @dataclass(frozen=True, slots=True)
 class RunnerShared:
     """The word is known and on its way to the nodes that follow this controller."""
 
 
-@wire_record
+@wire_record("SubmitTable")
 @dataclass(frozen=True, slots=True)
 class SubmitTable:
     """Asks the leader to replace the routing table."""
@@ -242,7 +247,7 @@
     content: bytes
 
 
-@wire_record
+@wire_record("TableAccepted")
 @dataclass(frozen=True, slots=True)
 class TableAccepted:
     """The table in force has this version or a higher one."""
@@ -250,13 +255,13 @@
     version: int
 
 
-@wire_record
+@wire_record("ReadTable")
 @dataclass(frozen=True, slots=True)
 class ReadTable:
     """Asks the leader for the newest table, confirmed by a quorum."""
 
 
-@wire_record
+@wire_record("EmptyNode")
 @dataclass(frozen=True, slots=True)
 class EmptyNode:
     """Asks the leader to move the ledger off a storage node."""
@@ -264,7 +269,7 @@
     name: str
 
 
-@wire_record
+@wire_record("ReadEmptying")
 @dataclass(frozen=True, slots=True)
 class ReadEmptying:
     """Asks the leader how far a node's emptying is."""
@@ -272,7 +277,7 @@
     name: str
 
 
-@wire_record
+@wire_record("EmptyingStatus")
 @dataclass(frozen=True, slots=True)
 class EmptyingStatus:
     """``done`` once the ledger bears its losses without the node."""
@@ -281,7 +286,7 @@
     done: bool
 
 
-@wire_record
+@wire_record("RunnerReads")
 @dataclass(frozen=True, slots=True)
 class RunnerReads:
     """A gateway's word that a runner reads a long prompt; a controller hands it to the others."""
@@ -290,7 +295,7 @@
     reading_s: float
 
 
-@wire_record
+@wire_record("LedgerLeader")
 @dataclass(frozen=True, slots=True)
 class LedgerLeader:
     """Pushed to nodes when another storage node leads the ledger."""
--- a/src/rainsail/cluster/runner_journal.py
+++ b/src/rainsail/cluster/runner_journal.py
@@ -34,7 +34,7 @@
 """The journal is written anew once it has so many times the bytes of its last rewriting."""
 
 
-@wire_record
+@wire_record("JournaledRunner")
 @dataclass(frozen=True, slots=True)
 class JournaledRunner:
     """A runner, and until when it warms up by the time of day (seconds since 1970)."""
--- a/src/rainsail/consensus/group_status.py
+++ b/src/rainsail/consensus/group_status.py
@@ -5,6 +5,7 @@
 
 from rainsail.state.command_basics import GroupId
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
 class GroupHealth(StrEnum):
@@ -15,6 +16,7 @@
     REPAIRING = "Repairing"
 
 
+@wire_type("MemberStatus")
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
     """One member of a group as the leader sees it."""
@@ -26,7 +28,7 @@
     match_index: int
 
 
-@wire_record
+@wire_record("GroupStatusRequest")
 @dataclass(frozen=True, slots=True)
 class GroupStatusRequest:
     """Ask a replica for its view of a group; every replica answers, leader or not."""
@@ -34,7 +36,7 @@
     group: GroupId
 
 
-@wire_record
+@wire_record("GroupStatusReply")
 @dataclass(frozen=True, slots=True)
 class GroupStatusReply:
     """The group's state; ``losses_borne`` is how many further losses keep a quorum."""
--- a/src/rainsail/consensus/membership.py
+++ b/src/rainsail/consensus/membership.py
@@ -3,8 +3,10 @@
 from dataclasses import dataclass, replace
 
 from rainsail.wire.codec import decode, encode, wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("MemberSpec")
 @dataclass(frozen=True, slots=True)
 class MemberSpec:
     """One member: the replica's name, the identity of its data folder, whether it votes.
@@ -17,7 +19,7 @@
     voter: bool = True
 
 
-@wire_record
+@wire_record("Membership")
 @dataclass(frozen=True, slots=True)
 class Membership:
     """All members of a group, as one log entry's payload."""
--- a/src/rainsail/consensus/messages.py
+++ b/src/rainsail/consensus/messages.py
@@ -12,7 +12,7 @@
 from rainsail.wire.codec import wire_record
 
 
-@wire_record
+@wire_record("Hello")
 @dataclass(frozen=True, slots=True)
 class Hello:
     """Says under which identity a replica runs that is in no group, or was mistaken for another."""
@@ -24,7 +24,7 @@
     replica: str
 
 
-@wire_record
+@wire_record("FoundingVoteRequest")
 @dataclass(frozen=True, slots=True)
 class FoundingVoteRequest:
     """Asks every replica of the bootstrap list for its vote; only an empty replica gives it."""
@@ -36,7 +36,7 @@
     replicas: tuple[str, ...]
 
 
-@wire_record
+@wire_record("FoundingVoteReply")
 @dataclass(frozen=True, slots=True)
 class FoundingVoteReply:
     """The vote, and the identity to be bound to the replica's name.
@@ -53,7 +53,7 @@
     group_exists: bool
 
 
-@wire_record
+@wire_record("PreVoteRequest")
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
     """Asks whether a campaign in ``proposed_term`` could be won; changes nothing anywhere."""
@@ -67,7 +67,7 @@
     last_term: int
 
 
-@wire_record
+@wire_record("PreVoteReply")
 @dataclass(frozen=True, slots=True)
 class PreVoteReply:
     """The answer; ``term`` is the voter's own."""
@@ -80,7 +80,7 @@
     granted: bool
 
 
-@wire_record
+@wire_record("VoteRequest")
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
     """Asks for the vote of ``term``. ``transfer``: the leader itself asked for this campaign."""
@@ -94,7 +94,7 @@
     transfer: bool
 
 
-@wire_record
+@wire_record("VoteReply")
 @dataclass(frozen=True, slots=True)
 class VoteReply:
     """The vote, sent only after it is synced."""
@@ -106,7 +106,7 @@
     granted: bool
 
 
-@wire_record
+@wire_record("AppendRequest")
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
     """Entries after ``previous_index``; a heartbeat when there are none.
@@ -126,7 +126,7 @@
     entries: tuple[LogEntry, ...]
 
 
-@wire_record
+@wire_record("AppendReply")
 @dataclass(frozen=True, slots=True)
 class AppendReply:
     """``match_index``: synced and equal to the leader's log up to here.
@@ -145,7 +145,7 @@
     round: int
 
 
-@wire_record
+@wire_record("SnapshotChunk")
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
     """A piece of the leader's snapshot; ``offset`` counts chunks.
@@ -168,7 +168,7 @@
     round: int
 
 
-@wire_record
+@wire_record("SnapshotReply")
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
     """How many chunks of which snapshot the follower has; the leader goes on from there."""
@@ -182,7 +182,7 @@
     round: int
 
 
-@wire_record
+@wire_record("TimeoutNow")
 @dataclass(frozen=True, slots=True)
 class TimeoutNow:
     """Asks the target to campaign at once: leadership is handed to it."""
@@ -193,7 +193,7 @@
     target: str
 
 
-@wire_record
+@wire_record("MergedHeartbeats")
 @dataclass(frozen=True, slots=True)
 class MergedHeartbeats:
     """The heartbeats, and the answers to some, of all groups that two processes share."""
--- a/src/rainsail/control/messages.py
+++ b/src/rainsail/control/messages.py
@@ -10,9 +10,10 @@
 from rainsail.state.commands import Command, CommandOutcome, GroupId, ItemRef, JobView
 from rainsail.state.interface import ResultRow
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
-@wire_record
+@wire_record("ProposeRequest")
 @dataclass(frozen=True, slots=True)
 class ProposeRequest:
     """Commit and apply a command. A TIMEOUT leaves it open whether it took effect."""
@@ -21,7 +22,7 @@
     command: Command
 
 
-@wire_record
+@wire_record("ProposeReply")
 @dataclass(frozen=True, slots=True)
 class ProposeReply:
     """What applying the command returned (possibly a typed fault), and its log index."""
@@ -30,7 +31,7 @@
     index: int
 
 
-@wire_record
+@wire_record("ListRequest")
 @dataclass(frozen=True, slots=True)
 class ListRequest:
     """Read resources at the leader, under its read lease. Empty kinds: all kinds.
@@ -49,7 +50,7 @@
     shared: bool = False
 
 
-@wire_record
+@wire_record("ListReply")
 @dataclass(frozen=True, slots=True)
 class ListReply:
     """The resources asked for, and the revision they were read at.
@@ -64,7 +65,7 @@
     more: bool = False
 
 
-@wire_record
+@wire_record("ResourcePage")
 @dataclass(frozen=True, slots=True)
 class ResourcePage:
     """Resources encoded once for many readers, without a revision of the whole."""
@@ -72,7 +73,7 @@
     resources: tuple[Resource, ...]
 
 
-@wire_record
+@wire_record("SharedListReply")
 @dataclass(frozen=True, slots=True)
 class SharedListReply:
     """A ``ListReply`` whose resources are an encoded ``ResourcePage``."""
@@ -83,7 +84,7 @@
     more: bool
 
 
-@wire_record
+@wire_record("ConfigPoll")
 @dataclass(frozen=True, slots=True)
 class ConfigPoll:
     """Long poll of a gateway: acknowledges a revision, renews its lease, waits for news.
@@ -99,7 +100,7 @@
     wait_s: float
 
 
-@wire_record
+@wire_record("ConfigPollReply")
 @dataclass(frozen=True, slots=True)
 class ConfigPollReply:
     """Events after the poll's revision; ``compacted`` asks the gateway to list again.
@@ -115,7 +116,7 @@
     lease_s: float
 
 
-@wire_record
+@wire_record("EncodedReply")
 @dataclass(frozen=True, slots=True)
 class EncodedReply:
     """A reply encoded once for many receivers; ``LeaderClient`` hands out what is inside."""
@@ -123,7 +124,7 @@
     body: bytes
 
 
-@wire_record
+@wire_record("ConfigRelease")
 @dataclass(frozen=True, slots=True)
 class ConfigRelease:
     """A gateway that has stopped serving gives its configuration lease back."""
@@ -133,13 +134,13 @@
     incarnation: str
 
 
-@wire_record
+@wire_record("ConfigReleased")
 @dataclass(frozen=True, slots=True)
 class ConfigReleased:
     """The lease is no longer waited for."""
 
 
-@wire_record
+@wire_record("RenewItemLeases")
 @dataclass(frozen=True, slots=True)
 class RenewItemLeases:
     """Renew all item leases of a holder; sent every ITEM_LEASE_RENEWAL_PERIOD_S."""
@@ -149,7 +150,7 @@
     running: tuple[ItemRef, ...]
 
 
-@wire_record
+@wire_record("RenewItemLeasesReply")
 @dataclass(frozen=True, slots=True)
 class RenewItemLeasesReply:
     """``stop`` lists those that the holder must cancel: revoked, cancelled or finished."""
@@ -159,7 +160,7 @@
     backlog: dict[str, int]
 
 
-@wire_record
+@wire_record("JobsRequest")
 @dataclass(frozen=True, slots=True)
 class JobsRequest:
     """Read one job, or with an empty id all jobs of a tenant (empty tenant: all)."""
@@ -169,7 +170,7 @@
     tenant: str = ""
 
 
-@wire_record
+@wire_record("JobsReply")
 @dataclass(frozen=True, slots=True)
 class JobsReply:
     """The jobs found."""
@@ -177,7 +178,7 @@
     jobs: tuple[JobView, ...]
 
 
-@wire_record
+@wire_record("ResultsRequest")
 @dataclass(frozen=True, slots=True)
 class ResultsRequest:
     """Read a page of finished items of a job."""
@@ -188,7 +189,7 @@
     limit: int
 
 
-@wire_record
+@wire_record("ResultsReply")
 @dataclass(frozen=True, slots=True)
 class ResultsReply:
     """A page of results, and the index to go on from (-1: no more)."""
@@ -197,7 +198,7 @@
     next_index: int
 
 
-@wire_record
+@wire_record("SessionRequest")
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
     """Read a session's place and transcript."""
@@ -206,6 +207,7 @@
     session: str
 
 
+@wire_type("TenantDemand")
 @dataclass(frozen=True, slots=True)
 class TenantDemand:
     """Tokens that a tenant used and was refused at one gateway since its last report."""
@@ -215,7 +217,7 @@
     refused_tokens: float
 
 
-@wire_record
+@wire_record("QuotaReport")
 @dataclass(frozen=True, slots=True)
 class QuotaReport:
     """A gateway's demand per tenant over ``period_s``; the reply lends it shares."""
@@ -226,6 +228,7 @@
     demands: tuple[TenantDemand, ...]
 
 
+@wire_type("QuotaShare")
 @dataclass(frozen=True, slots=True)
 class QuotaShare:
     """The part of a tenant's token rate lent to one gateway until ``QuotaShares.valid_s``."""
@@ -235,7 +238,7 @@
     burst_tokens: float
 
 
-@wire_record
+@wire_record("QuotaShares")
 @dataclass(frozen=True, slots=True)
 class QuotaShares:
     """Shares lent to the reporting gateway, valid ``valid_s`` from when the report was sent."""
--- a/src/rainsail/control/service.py
+++ b/src/rainsail/control/service.py
@@ -33,6 +33,7 @@
 from rainsail.state.commands import CommandOutcome, GroupId, SessionView
 from rainsail.state.interface import ReplicatedReader
 from rainsail.wire.messenger import Messenger
+from rainsail.wire.names import wire_name
 
 NO_MORE_ROWS = -1
 """``ResultsReply.next_index`` of the last page."""
@@ -84,7 +85,7 @@
         def handle(source: str, request: Any) -> Any:
             control = self._controls.get(request.group)
             if control is None:
-                return unknown_group(f"control.{type(request).__name__}", request.group)
+                return unknown_group(f"control.{wire_name(type(request))}", request.group)
             answer = handler(control, request)
             return Deferred.fromCoroutine(answer) if hasattr(answer, "send") else answer
 
--- a/src/rainsail/engine/interface.py
+++ b/src/rainsail/engine/interface.py
@@ -24,7 +24,7 @@
     LOW = "low"
 
 
-@wire_record
+@wire_record("GenerateRequest")
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
     """One attempt to run one request on one engine.
@@ -51,7 +51,7 @@
     seed: int = 0
 
 
-@wire_record
+@wire_record("Chunk")
 @dataclass(frozen=True, slots=True)
 class Chunk:
     """Part of an answer. ``sequence`` counts chunks of an attempt from 0.
@@ -76,7 +76,7 @@
     LOST = "lost"
 
 
-@wire_record
+@wire_record("AttemptEnd")
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
     """The end of an attempt.
@@ -117,7 +117,7 @@
     SET_ROLE = "set_role"
 
 
-@wire_record
+@wire_record("EngineOrder")
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
     """A fenced order; an engine refuses a fence lower than the highest it has seen."""
@@ -128,7 +128,7 @@
     weight_bytes: int = 0
 
 
-@wire_record
+@wire_record("OrderReply")
 @dataclass(frozen=True, slots=True)
 class OrderReply:
     """The engine's state after taking the order (loading may still be under way)."""
@@ -140,7 +140,7 @@
     role: str
 
 
-@wire_record
+@wire_record("LoadReport")
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """An engine's load as of ``age_s`` seconds before it was sent.
@@ -174,7 +174,7 @@
     CLEARED = "cleared"
 
 
-@wire_record
+@wire_record("CacheEvent")
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
     """One prefix-cache event; ``sequence`` holes mean that events were lost.
@@ -189,7 +189,7 @@
     blocks: tuple[int, ...]
 
 
-@wire_record
+@wire_record("KvState")
 @dataclass(frozen=True, slots=True)
 class KvState:
     """The exported KV cache of a session: opaque to rainsail."""
--- a/src/rainsail/errors.py
+++ b/src/rainsail/errors.py
@@ -8,6 +8,8 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
+from rainsail.wire.names import wire_type
+
 
 class Outcome(StrEnum):
     """What became of a caller's request."""
@@ -58,6 +60,7 @@
 }
 
 
+@wire_type("Fault")
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One failure as a value.
--- a/src/rainsail/experiment/history.py
+++ b/src/rainsail/experiment/history.py
@@ -15,6 +15,7 @@
 from rainsail.experiment.container import Progress, read_container, write_container
 from rainsail.resources.specs import RequestClass
 from rainsail.wire.codec import CodecError, encode_body, wire_record
+from rainsail.wire.names import wire_type
 
 STEP = "history.read"
 CONNECTION_LOST = "connection lost"
@@ -23,6 +24,7 @@
 """Fault of an answer that was sent whole and lost on its way."""
 
 
+@wire_type("RequestSent")
 @dataclass(frozen=True, slots=True)
 class RequestSent:
     """A caller sends a request. ``expected_text`` is the whole right answer."""
@@ -36,6 +38,7 @@
     expected_text: str
 
 
+@wire_type("RequestAnswered")
 @dataclass(frozen=True, slots=True)
 class RequestAnswered:
     """A caller has its final answer to one send, or has given up waiting (``lost``).
@@ -53,6 +56,7 @@
     lost: bool
 
 
+@wire_type("EngineStarted")
 @dataclass(frozen=True, slots=True)
 class EngineStarted:
     """An engine takes new work (an attempt of a request or of an item)."""
@@ -64,6 +68,7 @@
     batch: bool
 
 
+@wire_type("EngineFinished")
 @dataclass(frozen=True, slots=True)
 class EngineFinished:
     """An engine ran an attempt to its end."""
@@ -74,6 +79,7 @@
     attempt_id: str
 
 
+@wire_type("OnlineQueued")
 @dataclass(frozen=True, slots=True)
 class OnlineQueued:
     """An online request waited in an engine while a batch attempt ran beside it."""
@@ -84,6 +90,7 @@
     waited_s: float
 
 
+@wire_type("JobAccepted")
 @dataclass(frozen=True, slots=True)
 class JobAccepted:
     """A client's job submission was answered with an accepted (sealed) job."""
@@ -95,6 +102,7 @@
     item_count: int
 
 
+@wire_type("JobCancelAccepted")
 @dataclass(frozen=True, slots=True)
 class JobCancelAccepted:
     """An operator's cancel was answered as done."""
@@ -103,6 +111,7 @@
     job_id: str
 
 
+@wire_type("ResultRead")
 @dataclass(frozen=True, slots=True)
 class ResultRead:
     """A client read one finished item. ``phase`` is an ``ItemPhase`` value."""
@@ -115,6 +124,7 @@
     expected_text: str
 
 
+@wire_type("JobRead")
 @dataclass(frozen=True, slots=True)
 class JobRead:
     """A client read a job's phase and counts."""
@@ -126,6 +136,7 @@
     set_aside: int
 
 
+@wire_type("ChangeSent")
 @dataclass(frozen=True, slots=True)
 class ChangeSent:
     """An operator sends a change with an expected revision; ``value`` marks its content."""
@@ -138,6 +149,7 @@
     value: str
 
 
+@wire_type("ChangeAnswered")
 @dataclass(frozen=True, slots=True)
 class ChangeAnswered:
     """The answer to a change: accepted at ``revision``, or refused with a code."""
@@ -151,6 +163,7 @@
     code: str
 
 
+@wire_type("ResourceRead")
 @dataclass(frozen=True, slots=True)
 class ResourceRead:
     """A read confirmed by the leader, begun at ``begun_s``."""
@@ -163,6 +176,7 @@
     value: str
 
 
+@wire_type("GatewayApplied")
 @dataclass(frozen=True, slots=True)
 class GatewayApplied:
     """A gateway incarnation applied a configuration revision."""
@@ -173,6 +187,7 @@
     revision: int
 
 
+@wire_type("GatewayAdmitted")
 @dataclass(frozen=True, slots=True)
 class GatewayAdmitted:
     """A gateway let new work in while holding a configuration revision."""
@@ -183,6 +198,7 @@
     revision: int
 
 
+@wire_type("InForceReported")
 @dataclass(frozen=True, slots=True)
 class InForceReported:
     """An operator saw that every revision up to ``revision`` is in force."""
@@ -191,6 +207,7 @@
     revision: int
 
 
+@wire_type("DrainDeclared")
 @dataclass(frozen=True, slots=True)
 class DrainDeclared:
     """A runner's drain was accepted (or its machine was listed as leaving)."""
@@ -200,6 +217,7 @@
     declared: bool
 
 
+@wire_type("PlannedStop")
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
     """A process was asked to stop as planned; ``finished`` when it has."""
@@ -209,6 +227,7 @@
     finished: bool
 
 
+@wire_type("FaultInjected")
 @dataclass(frozen=True, slots=True)
 class FaultInjected:
     """The run brought about a failure."""
@@ -218,6 +237,7 @@
     target: str
 
 
+@wire_type("FaultEnded")
 @dataclass(frozen=True, slots=True)
 class FaultEnded:
     """A failure that the run brought about is over."""
@@ -227,6 +247,7 @@
     target: str
 
 
+@wire_type("FaultsEnded")
 @dataclass(frozen=True, slots=True)
 class FaultsEnded:
     """From here on no failure is under way; everything accepted must complete."""
@@ -234,6 +255,7 @@
     time_s: float
 
 
+@wire_type("RunEnded")
 @dataclass(frozen=True, slots=True)
 class RunEnded:
     """The run is over; ``complete`` is False when it was cut short."""
@@ -267,7 +289,7 @@
 )
 
 
-@wire_record
+@wire_record("HistoryRecord")
 @dataclass(frozen=True, slots=True)
 class HistoryRecord:
     """One event in a history file."""
--- a/src/rainsail/experiment/trace/records.py
+++ b/src/rainsail/experiment/trace/records.py
@@ -9,6 +9,7 @@
 from enum import StrEnum
 
 from rainsail.resources.specs import RequestClass, ResourceKey, Spec
+from rainsail.wire.names import wire_type
 
 SHORTEST_CANCEL_S = 0.001
 """A cancel seen before its job's arrival (on another gateway's clock) comes right after it."""
@@ -21,6 +22,7 @@
     RECORDED = "recorded"
 
 
+@wire_type("TraceOrigin")
 @dataclass(frozen=True, slots=True)
 class TraceOrigin:
     """The first record of a trace.
@@ -35,6 +37,7 @@
     started_unix_s: float = 0.0
 
 
+@wire_type("PromptShape")
 @dataclass(frozen=True, slots=True)
 class PromptShape:
     """What a prompt costs and shares.
@@ -50,6 +53,7 @@
     text: str = ""
 
 
+@wire_type("TracedRequest")
 @dataclass(frozen=True, slots=True)
 class TracedRequest:
     """One request of a caller; ``origin`` is the zone that it came in at (empty: any)."""
@@ -68,6 +72,7 @@
     adapter: str = ""
 
 
+@wire_type("TracedItem")
 @dataclass(frozen=True, slots=True)
 class TracedItem:
     """One item of a job."""
@@ -77,6 +82,7 @@
     max_tokens: int
 
 
+@wire_type("TracedJob")
 @dataclass(frozen=True, slots=True)
 class TracedJob:
     """One batch job; ``cancel_after_s`` is 0 when nobody cancelled it.
@@ -97,6 +103,7 @@
     adapter: str = ""
 
 
+@wire_type("TracedCancel")
 @dataclass(frozen=True, slots=True)
 class TracedCancel:
     """A cancel that was answered as done; reading a trace puts it into its job."""
@@ -106,6 +113,7 @@
     job_key: str
 
 
+@wire_type("TracedChange")
 @dataclass(frozen=True, slots=True)
 class TracedChange:
     """One change of a resource by an operator."""
@@ -120,6 +128,7 @@
 TraceEntry = TracedRequest | TracedJob | TracedChange
 
 
+@wire_type("TraceRecord")
 @dataclass(frozen=True, slots=True)
 class TraceRecord:
     """One record of a trace file."""
--- a/src/rainsail/jobs/messages.py
+++ b/src/rainsail/jobs/messages.py
@@ -4,8 +4,10 @@
 
 from rainsail.state.job_commands import RelayedItem
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("QueueLimit")
 @dataclass(frozen=True, slots=True)
 class QueueLimit:
     """How many tokens of a tenant may wait on a route; 0 stands for any number."""
@@ -15,7 +17,7 @@
     tokens: int
 
 
-@wire_record
+@wire_record("SubmitRelayedJob")
 @dataclass(frozen=True, slots=True)
 class SubmitRelayedJob:
     """Asks the leader to keep a whole job; the same id again is accepted again.
@@ -32,7 +34,7 @@
     limit: QueueLimit
 
 
-@wire_record
+@wire_record("RelayedJobAccepted")
 @dataclass(frozen=True, slots=True)
 class RelayedJobAccepted:
     """A quorum has synced the whole job."""
@@ -40,7 +42,7 @@
     job: str
 
 
-@wire_record
+@wire_record("ReadResults")
 @dataclass(frozen=True, slots=True)
 class ReadResults:
     """Asks for the results from a position on, held up to ``wait_s`` until there is one."""
@@ -50,6 +52,7 @@
     wait_s: float
 
 
+@wire_type("ResultEntry")
 @dataclass(frozen=True, slots=True)
 class ResultEntry:
     """One result: the item's id, whether it is done, and its text."""
@@ -59,7 +62,7 @@
     text: str
 
 
-@wire_record
+@wire_record("ResultPage")
 @dataclass(frozen=True, slots=True)
 class ResultPage:
     """Results at positions ``after`` and on, of ``total`` items."""
@@ -70,7 +73,7 @@
     results: tuple[ResultEntry, ...]
 
 
-@wire_record
+@wire_record("ReadItemBody")
 @dataclass(frozen=True, slots=True)
 class ReadItemBody:
     """Asks for the body of an item that is not listed yet."""
@@ -79,7 +82,7 @@
     item: str
 
 
-@wire_record
+@wire_record("ItemBodyFound")
 @dataclass(frozen=True, slots=True)
 class ItemBodyFound:
     """The body, byte by byte as it was handed in."""
@@ -87,7 +90,7 @@
     body: bytes
 
 
-@wire_record
+@wire_record("EndJobCall")
 @dataclass(frozen=True, slots=True)
 class EndJobCall:
     """Asks the leader to run nothing more of a job."""
@@ -95,7 +98,7 @@
     job: str
 
 
-@wire_record
+@wire_record("JobEnded")
 @dataclass(frozen=True, slots=True)
 class JobEnded:
     """The end is committed."""
--- a/src/rainsail/quarantine/messages.py
+++ b/src/rainsail/quarantine/messages.py
@@ -7,7 +7,7 @@
 from rainsail.wire.codec import wire_record
 
 
-@wire_record
+@wire_record("RunnerEnded")
 @dataclass(frozen=True, slots=True)
 class RunnerEnded:
     """A node's word to the controllers, one way: a runner ended under these of its requests.
@@ -20,7 +20,7 @@
     age_s: float
 
 
-@wire_record
+@wire_record("RequestAnswered")
 @dataclass(frozen=True, slots=True)
 class RequestAnswered:
     """A node's word to the controllers, one way: a runner has answered this request whole."""
@@ -28,7 +28,7 @@
     fingerprint: Fingerprint
 
 
-@wire_record
+@wire_record("RequestsWatched")
 @dataclass(frozen=True, slots=True)
 class RequestsWatched:
     """A controller's word to the nodes, one way: an answer to one of these requests is news."""
@@ -36,7 +36,7 @@
     fingerprints: tuple[Fingerprint, ...]
 
 
-@wire_record
+@wire_record("QuarantineNotice")
 @dataclass(frozen=True, slots=True)
 class QuarantineNotice:
     """Pushed to nodes when the list of held requests has changed."""
@@ -44,13 +44,13 @@
     quarantine: Quarantine
 
 
-@wire_record
+@wire_record("ReadQuarantine")
 @dataclass(frozen=True, slots=True)
 class ReadQuarantine:
     """Asks the root group's leader for the list, confirmed by a quorum."""
 
 
-@wire_record
+@wire_record("OrderRelease")
 @dataclass(frozen=True, slots=True)
 class OrderRelease:
     """Asks the root group's leader to let a request go, for an operator."""
--- a/src/rainsail/resources/specs.py
+++ b/src/rainsail/resources/specs.py
@@ -8,6 +8,7 @@
 from enum import StrEnum
 
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
 class Kind(StrEnum):
@@ -39,6 +40,7 @@
     BATCH_ONLY = "batch_only"
 
 
+@wire_type("ServiceSpec")
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
     """A callable model service; callers name it as ``model``.
@@ -54,6 +56,7 @@
     batch_weight: float = 0.5
 
 
+@wire_type("ModelVersionSpec")
 @dataclass(frozen=True, slots=True)
 class ModelVersionSpec:
     """One version of a service's weights in the weight store."""
@@ -63,6 +66,7 @@
     weight_bytes: int
 
 
+@wire_type("AdapterSpec")
 @dataclass(frozen=True, slots=True)
 class AdapterSpec:
     """A small set of weights loaded beside a service's active version."""
@@ -72,6 +76,7 @@
     weight_bytes: int
 
 
+@wire_type("SessionSpec")
 @dataclass(frozen=True, slots=True)
 class SessionSpec:
     """A long-lived session of one tenant with one service."""
@@ -81,6 +86,7 @@
     adapter: str = ""
 
 
+@wire_type("TenantSpec")
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
     """A tenant's limits and keys.
@@ -96,6 +102,7 @@
     operator: bool = False
 
 
+@wire_type("RunnerSpec")
 @dataclass(frozen=True, slots=True)
 class RunnerSpec:
     """A runner: one model engine. ``address`` is the base URL of its engine API."""
@@ -109,6 +116,7 @@
     batch_slots: int = 16
 
 
+@wire_type("GatewaySpec")
 @dataclass(frozen=True, slots=True)
 class GatewaySpec:
     """A gateway process; registered by the gateway itself when it starts."""
@@ -119,6 +127,7 @@
     drain: bool = False
 
 
+@wire_type("ReplicaSpec")
 @dataclass(frozen=True, slots=True)
 class ReplicaSpec:
     """A replica process as the operator wants it; ``drain`` asks it to leave its groups."""
@@ -151,6 +160,7 @@
 }
 
 
+@wire_type("Condition")
 @dataclass(frozen=True, slots=True)
 class Condition:
     """One statement about a resource, and the revision of the resource it speaks of."""
@@ -161,6 +171,7 @@
     revision: int
 
 
+@wire_type("RunnerStatus")
 @dataclass(frozen=True, slots=True)
 class RunnerStatus:
     """What is loaded on a runner, under which fence, and whether it takes work.
@@ -176,6 +187,7 @@
     reachable: bool = True
 
 
+@wire_type("SessionStatus")
 @dataclass(frozen=True, slots=True)
 class SessionStatus:
     """Where a session lives. ``fence`` rises with every move; only its holder may use it."""
@@ -186,6 +198,7 @@
     turns: int = 0
 
 
+@wire_type("ServiceStatus")
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
     """How many runners serve the active version, and which version was active before."""
@@ -197,6 +210,7 @@
 Status = RunnerStatus | SessionStatus | ServiceStatus
 
 
+@wire_type("ResourceKey")
 @dataclass(frozen=True, slots=True)
 class ResourceKey:
     """Identifies a resource."""
@@ -205,7 +219,7 @@
     name: str
 
 
-@wire_record
+@wire_record("Resource")
 @dataclass(frozen=True, slots=True)
 class Resource:
     """A resource as stored.
@@ -229,6 +243,7 @@
     DELETED = "deleted"
 
 
+@wire_type("WatchEvent")
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
     """One change as seen by a watch; for DELETED, ``resource`` is the last one stored."""
--- a/src/rainsail/routing/messages.py
+++ b/src/rainsail/routing/messages.py
@@ -4,8 +4,10 @@
 
 from rainsail.routing.residency import AllowedRegions
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("RunnerUse")
 @dataclass(frozen=True, slots=True)
 class RunnerUse:
     """How many requests a gateway has under way at one runner."""
@@ -14,6 +16,7 @@
     running: int
 
 
+@wire_type("RunnerOutcome")
 @dataclass(frozen=True, slots=True)
 class RunnerOutcome:
     """What came of requests at one runner since a gateway's last report."""
@@ -23,7 +26,7 @@
     failed: int
 
 
-@wire_record
+@wire_record("OnlineUse")
 @dataclass(frozen=True, slots=True)
 class OnlineUse:
     """A gateway's requests under way by runner, sent one way whenever they have changed.
@@ -36,7 +39,7 @@
     outcomes: tuple[RunnerOutcome, ...] = ()
 
 
-@wire_record
+@wire_record("ServiceLoad")
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
     """The leader's word on a busy service, one way, to a gateway that has just reported.
@@ -52,7 +55,7 @@
     places: bool
 
 
-@wire_record
+@wire_record("RunnerUnsound")
 @dataclass(frozen=True, slots=True)
 class RunnerUnsound:
     """The leader's word that a runner failed too often, one way: it is left out for a time."""
@@ -61,7 +64,7 @@
     out_s: float
 
 
-@wire_record
+@wire_record("PlaceRequest")
 @dataclass(frozen=True, slots=True)
 class PlaceRequest:
     """A gateway asks where a request should go.
@@ -84,7 +87,7 @@
         return frozenset(self.regions) if self.limited else None
 
 
-@wire_record
+@wire_record("Placement")
 @dataclass(frozen=True, slots=True)
 class Placement:
     """Where a request should go, empty when no runner is left; placements count up.
--- a/src/rainsail/state/change_window.py
+++ b/src/rainsail/state/change_window.py
@@ -20,7 +20,7 @@
 IdentifiedChange = PutResource | DeleteResource | CancelJob
 
 
-@wire_record
+@wire_record("AnsweredChange")
 @dataclass(frozen=True, slots=True)
 class AnsweredChange:
     """A change id, the fingerprint of its command and the answer it got first."""
--- a/src/rainsail/state/claims.py
+++ b/src/rainsail/state/claims.py
@@ -16,7 +16,7 @@
 from rainsail.wire.codec import wire_record
 
 
-@wire_record
+@wire_record("Claim")
 @dataclass(frozen=True, slots=True)
 class Claim:
     """One claimed request; ``finished`` tells whether its end was recorded."""
--- a/src/rainsail/state/cluster_commands.py
+++ b/src/rainsail/state/cluster_commands.py
@@ -7,8 +7,10 @@
 from dataclasses import dataclass
 
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("ReplaceTable")
 @dataclass(frozen=True, slots=True)
 class ReplaceTable:
     """Put a whole routing table in force, if its version is higher than the one held.
@@ -20,6 +22,7 @@
     content: bytes
 
 
+@wire_type("FoundLedger")
 @dataclass(frozen=True, slots=True)
 class FoundLedger:
     """Decide once which storage nodes found the ledger group."""
@@ -27,6 +30,7 @@
     founders: tuple[str, ...]
 
 
+@wire_type("ReleaseNode")
 @dataclass(frozen=True, slots=True)
 class ReleaseNode:
     """Decide that a storage node is to be emptied."""
@@ -34,6 +38,7 @@
     address: str
 
 
+@wire_type("ZoneDrain")
 @dataclass(frozen=True, slots=True)
 class ZoneDrain:
     """The newest order on one zone: whether its runners are to get nothing new.
@@ -47,6 +52,7 @@
     draining: bool
 
 
+@wire_type("SetZoneDrain")
 @dataclass(frozen=True, slots=True)
 class SetZoneDrain:
     """Begin or end the drain of a zone, if no other order on it came in between.
@@ -60,6 +66,7 @@
     expected_revision: int
 
 
+@wire_type("QuarantinedRequest")
 @dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
     """A request that ended runners, by its fingerprint.
@@ -73,6 +80,7 @@
     held: bool
 
 
+@wire_type("Quarantine")
 @dataclass(frozen=True, slots=True)
 class Quarantine:
     """All requests that are or were held; ``revision`` counts the changes, and the highest counts.
@@ -87,6 +95,7 @@
 NO_QUARANTINE = Quarantine(0, ())
 
 
+@wire_type("HoldRequest")
 @dataclass(frozen=True, slots=True)
 class HoldRequest:
     """Keep a request away from runners."""
@@ -94,6 +103,7 @@
     fingerprint: bytes
 
 
+@wire_type("ReleaseRequest")
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
     """Let a request go, if it is held for the time that the proposer knew (``times``).
@@ -106,7 +116,7 @@
     forget: bool
 
 
-@wire_record
+@wire_record("FleetSnapshot")
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
     """The whole state of the root group."""
--- a/src/rainsail/state/command_basics.py
+++ b/src/rainsail/state/command_basics.py
@@ -4,17 +4,19 @@
 from typing import Any
 
 from rainsail.wire.codec import decode, wire_record
+from rainsail.wire.names import wire_type
 
 GroupId = int
 ROOT_GROUP: GroupId = 0
 
 
-@wire_record
+@wire_record("NoOperation")
 @dataclass(frozen=True, slots=True)
 class NoOperation:
     """Appended by a new leader to commit entries of earlier terms."""
 
 
+@wire_type("Done")
 @dataclass(frozen=True, slots=True)
 class Done:
     """The command took effect (or had taken effect before) and has nothing to report."""
--- a/src/rainsail/state/commands.py
+++ b/src/rainsail/state/commands.py
@@ -130,7 +130,7 @@
 )
 
 
-@wire_record
+@wire_record("CommandRecord")
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
     """A command as a log entry's payload."""
--- a/src/rainsail/state/fleet_commands.py
+++ b/src/rainsail/state/fleet_commands.py
@@ -54,7 +54,7 @@
 """The modules whose records stand in the logs and snapshots of a fleet's groups."""
 
 
-@wire_record
+@wire_record("FleetCommandRecord")
 @dataclass(frozen=True, slots=True)
 class FleetCommandRecord:
     """A command as a log entry's payload."""
--- a/src/rainsail/state/interface.py
+++ b/src/rainsail/state/interface.py
@@ -10,8 +10,10 @@
     JobView,
     SessionView,
 )
+from rainsail.wire.names import wire_type
 
 
+@wire_type("ResultRow")
 @dataclass(frozen=True, slots=True)
 class ResultRow:
     """One finished item: its result text, or why it was set aside or cancelled."""
--- a/src/rainsail/state/job.py
+++ b/src/rainsail/state/job.py
@@ -17,8 +17,10 @@
 from rainsail.state.lease_queue import QueuedJob
 from rainsail.state.result_log import FinishedItem, ResultLog
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("Lease")
 @dataclass(frozen=True, slots=True)
 class Lease:
     """Who runs an item, under which fence, and the tokens its tenant was charged."""
@@ -29,6 +31,7 @@
     tokens: int
 
 
+@wire_type("ItemNote")
 @dataclass(frozen=True, slots=True)
 class ItemNote:
     """What is kept of a few unfinished items: failed attempts and what they generated."""
@@ -38,7 +41,7 @@
     generated_prefix: str
 
 
-@wire_record
+@wire_record("StoredJob")
 @dataclass(frozen=True, slots=True)
 class StoredJob:
     """A job without its item bodies and results, for a snapshot."""
--- a/src/rainsail/state/job_commands.py
+++ b/src/rainsail/state/job_commands.py
@@ -3,8 +3,10 @@
 from dataclasses import dataclass
 
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("ItemHeader")
 @dataclass(frozen=True, slots=True)
 class ItemHeader:
     """One header field of an item's request."""
@@ -13,6 +15,7 @@
     value: str
 
 
+@wire_type("RelayedItem")
 @dataclass(frozen=True, slots=True)
 class RelayedItem:
     """One item: the request that runs it. ``tokens`` bounds prompt and answer together."""
@@ -24,6 +27,7 @@
     tokens: int
 
 
+@wire_type("AcceptJob")
 @dataclass(frozen=True, slots=True)
 class AcceptJob:
     """Keep a whole job, accepted at a time of the ledger; the same id again changes nothing."""
@@ -36,6 +40,7 @@
     at_s: float
 
 
+@wire_type("ItemOutcome")
 @dataclass(frozen=True, slots=True)
 class ItemOutcome:
     """How an item ended: its whole text, or not ``done`` when it was given up."""
@@ -45,6 +50,7 @@
     text: str
 
 
+@wire_type("ListOutcomes")
 @dataclass(frozen=True, slots=True)
 class ListOutcomes:
     """Give ended items their positions in the job's results, in this order."""
@@ -53,6 +59,7 @@
     outcomes: tuple[ItemOutcome, ...]
 
 
+@wire_type("ItemNote")
 @dataclass(frozen=True, slots=True)
 class ItemNote:
     """How far an item's run has come since the last note of it.
@@ -68,6 +75,7 @@
     texts: tuple[str, ...]
 
 
+@wire_type("NoteProgress")
 @dataclass(frozen=True, slots=True)
 class NoteProgress:
     """Keep how far items have come at a time of the ledger, so that another leader goes on."""
@@ -76,6 +84,7 @@
     at_s: float
 
 
+@wire_type("EndRelayedJob")
 @dataclass(frozen=True, slots=True)
 class EndRelayedJob:
     """Run nothing more of a job; what is listed stays."""
@@ -83,6 +92,7 @@
     job: str
 
 
+@wire_type("DropRelayedJob")
 @dataclass(frozen=True, slots=True)
 class DropRelayedJob:
     """Forget a job whose results need not be kept any longer."""
@@ -90,6 +100,7 @@
     job: str
 
 
+@wire_type("ListedOutcome")
 @dataclass(frozen=True, slots=True)
 class ListedOutcome:
     """One position of a job's results."""
@@ -99,7 +110,7 @@
     text: str
 
 
-@wire_record
+@wire_record("RelayedJobSnapshot")
 @dataclass(frozen=True, slots=True)
 class RelayedJobSnapshot:
     """One job as a part of a snapshot; bodies of listed items are empty."""
--- a/src/rainsail/state/job_items.py
+++ b/src/rainsail/state/job_items.py
@@ -32,7 +32,7 @@
 _CANCEL_UNFINISHED = bytes.maketrans(bytes([PENDING, LEASED]), bytes([CANCELLED, CANCELLED]))
 
 
-@wire_record
+@wire_record("StoredRange")
 @dataclass(frozen=True, slots=True)
 class StoredRange:
     """One range of a job's items, for a snapshot; ``offsets`` holds 32-bit numbers."""
--- a/src/rainsail/state/lease_queue.py
+++ b/src/rainsail/state/lease_queue.py
@@ -39,7 +39,7 @@
     job_id: str
 
 
-@wire_record
+@wire_record("StoredTenantShare")
 @dataclass(frozen=True, slots=True)
 class StoredTenantShare:
     """A tenant's virtual service at one service, for a snapshot."""
@@ -49,7 +49,7 @@
     virtual_service: int
 
 
-@wire_record
+@wire_record("StoredVirtualTime")
 @dataclass(frozen=True, slots=True)
 class StoredVirtualTime:
     """A service's virtual time, for a snapshot."""
--- a/src/rainsail/state/lease_requests.py
+++ b/src/rainsail/state/lease_requests.py
@@ -9,7 +9,7 @@
 from rainsail.wire.codec import wire_record
 
 
-@wire_record
+@wire_record("LedgerCounters")
 @dataclass(frozen=True, slots=True)
 class LedgerCounters:
     """The ledger's counters, for a snapshot."""
@@ -18,7 +18,7 @@
     next_sequence: int
 
 
-@wire_record
+@wire_record("AnsweredLease")
 @dataclass(frozen=True, slots=True)
 class AnsweredLease:
     """A holder's lease request and the items it got."""
--- a/src/rainsail/state/ledger_commands.py
+++ b/src/rainsail/state/ledger_commands.py
@@ -3,6 +3,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+from rainsail.wire.names import wire_type
+
 DEFAULT_TENANT_WEIGHT = 1.0
 """Weight of a tenant that is not declared."""
 
@@ -26,6 +28,7 @@
     CANCELLED = "cancelled"
 
 
+@wire_type("JobSpec")
 @dataclass(frozen=True, slots=True)
 class JobSpec:
     """What a caller asks for with a job.
@@ -47,6 +50,7 @@
     tenant_weight: float = DEFAULT_TENANT_WEIGHT
 
 
+@wire_type("ItemBody")
 @dataclass(frozen=True, slots=True)
 class ItemBody:
     """One item: the caller's own id, the prompt and the bound on generated tokens."""
@@ -56,6 +60,7 @@
     max_tokens: int
 
 
+@wire_type("OpenJob")
 @dataclass(frozen=True, slots=True)
 class OpenJob:
     """Create a job that is not accepted yet."""
@@ -64,6 +69,7 @@
     spec: JobSpec
 
 
+@wire_type("AddItems")
 @dataclass(frozen=True, slots=True)
 class AddItems:
     """Add a range of items, ``first_index`` onwards; re-sent ranges are ignored."""
@@ -73,6 +79,7 @@
     items: tuple[ItemBody, ...]
 
 
+@wire_type("SealJob")
 @dataclass(frozen=True, slots=True)
 class SealJob:
     """Accept the job: every item is there. From now on it completes exactly once."""
@@ -80,6 +87,7 @@
     job_id: str
 
 
+@wire_type("CancelJob")
 @dataclass(frozen=True, slots=True)
 class CancelJob:
     """Cancel a job; leases are revoked and later results are not committed."""
@@ -88,6 +96,7 @@
     change_id: str
 
 
+@wire_type("ForgetJob")
 @dataclass(frozen=True, slots=True)
 class ForgetJob:
     """Remove a finished job whose retention has passed."""
@@ -95,6 +104,7 @@
     job_id: str
 
 
+@wire_type("JobView")
 @dataclass(frozen=True, slots=True)
 class JobView:
     """A job's phase and counts."""
@@ -109,6 +119,7 @@
     cancelled: int
 
 
+@wire_type("LeaseItems")
 @dataclass(frozen=True, slots=True)
 class LeaseItems:
     """Lease up to ``max_items`` and ``max_tokens`` of a service's items to ``holder``.
@@ -124,6 +135,7 @@
     max_tokens: int
 
 
+@wire_type("ItemRef")
 @dataclass(frozen=True, slots=True)
 class ItemRef:
     """Names one leased item; ``fence`` rises with every lease of that item."""
@@ -133,6 +145,7 @@
     fence: int
 
 
+@wire_type("LeasedItem")
 @dataclass(frozen=True, slots=True)
 class LeasedItem:
     """An item handed out, with what a dispatcher needs to run it."""
@@ -145,6 +158,7 @@
     generated_prefix: str = ""
 
 
+@wire_type("ItemsLeased")
 @dataclass(frozen=True, slots=True)
 class ItemsLeased:
     """The items leased; may be fewer than asked for, or none. ``backlog`` is what is left."""
@@ -153,6 +167,7 @@
     backlog: int
 
 
+@wire_type("ItemResult")
 @dataclass(frozen=True, slots=True)
 class ItemResult:
     """The result of one item."""
@@ -162,6 +177,7 @@
     generated_tokens: int
 
 
+@wire_type("CommitResults")
 @dataclass(frozen=True, slots=True)
 class CommitResults:
     """Commit results; each is taken only when its item is unfinished and its fence is current."""
@@ -180,6 +196,7 @@
     UNKNOWN_ITEM = "unknown_item"
 
 
+@wire_type("ResultsCommitted")
 @dataclass(frozen=True, slots=True)
 class ResultsCommitted:
     """One verdict per result, in order."""
@@ -187,6 +204,7 @@
     verdicts: tuple[CommitVerdict, ...]
 
 
+@wire_type("ReturnedItem")
 @dataclass(frozen=True, slots=True)
 class ReturnedItem:
     """An item given back. ``failure`` is empty for a preemption, which costs no attempt."""
@@ -196,6 +214,7 @@
     failure: str = ""
 
 
+@wire_type("ReturnItems")
 @dataclass(frozen=True, slots=True)
 class ReturnItems:
     """Give leased items back to the queue."""
@@ -204,6 +223,7 @@
     items: tuple[ReturnedItem, ...]
 
 
+@wire_type("RevokeLeases")
 @dataclass(frozen=True, slots=True)
 class RevokeLeases:
     """Revoke every lease of a holder that has not renewed in time."""
--- a/src/rainsail/state/resource_commands.py
+++ b/src/rainsail/state/resource_commands.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from rainsail.resources.specs import Condition, Resource, ResourceKey, Spec, Status
+from rainsail.wire.names import wire_type
 
 ANY_REVISION = -1
 """``expected_revision`` of a change that does not care about the current revision."""
@@ -10,6 +11,7 @@
 """``expected_revision`` of a change that creates."""
 
 
+@wire_type("PutResource")
 @dataclass(frozen=True, slots=True)
 class PutResource:
     """Create or replace a spec. ``change_id`` makes a re-sent change get its first answer."""
@@ -20,6 +22,7 @@
     expected_revision: int = ANY_REVISION
 
 
+@wire_type("DeleteResource")
 @dataclass(frozen=True, slots=True)
 class DeleteResource:
     """Delete a resource."""
@@ -29,6 +32,7 @@
     expected_revision: int = ANY_REVISION
 
 
+@wire_type("PutStatus")
 @dataclass(frozen=True, slots=True)
 class PutStatus:
     """Replace status and conditions; refused with a conflict when the revision moved on."""
@@ -39,6 +43,7 @@
     expected_revision: int = ANY_REVISION
 
 
+@wire_type("MarkInForce")
 @dataclass(frozen=True, slots=True)
 class MarkInForce:
     """Record that every gateway under a configuration lease has applied ``revision``."""
@@ -46,6 +51,7 @@
     revision: int
 
 
+@wire_type("ResourceChanged")
 @dataclass(frozen=True, slots=True)
 class ResourceChanged:
     """The resource after the change (for a deletion: as it last was) and the store revision."""
--- a/src/rainsail/state/resource_store.py
+++ b/src/rainsail/state/resource_store.py
@@ -33,7 +33,7 @@
 from rainsail.wire.codec import wire_record
 
 
-@wire_record
+@wire_record("StoreRevisions")
 @dataclass(frozen=True, slots=True)
 class StoreRevisions:
     """The revisions of a resource store, for a snapshot."""
@@ -42,7 +42,7 @@
     in_force_revision: int
 
 
-@wire_record
+@wire_record("StoredEvent")
 @dataclass(frozen=True, slots=True)
 class StoredEvent:
     """One event of the window, for a snapshot."""
--- a/src/rainsail/state/result_log.py
+++ b/src/rainsail/state/result_log.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 
 from rainsail.wire.codec import decode_body, encode_body, wire_record
+from rainsail.wire.names import wire_type
 
 SEGMENT_BYTES = 65_536
 _HEADER = struct.Struct("<II")
@@ -17,6 +18,7 @@
 _OFFSET_MASK = (1 << _SEGMENT_SHIFT) - 1
 
 
+@wire_type("FinishedItem")
 @dataclass(frozen=True, slots=True)
 class FinishedItem:
     """How an item ended: its text, or why it was set aside."""
@@ -27,7 +29,7 @@
     failure: str
 
 
-@wire_record
+@wire_record("StoredResults")
 @dataclass(frozen=True, slots=True)
 class StoredResults:
     """One segment of a job's results, for a snapshot."""
--- a/src/rainsail/state/session_commands.py
+++ b/src/rainsail/state/session_commands.py
@@ -4,8 +4,10 @@
 
 from rainsail.errors import Outcome
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("ClaimRequest")
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
     """Claim a non-repeatable request before it is sent to an engine."""
@@ -16,6 +18,7 @@
     gateway: str
 
 
+@wire_type("FinishRequest")
 @dataclass(frozen=True, slots=True)
 class FinishRequest:
     """Record how a claimed request ended. NOT_RUN releases the claim."""
@@ -27,6 +30,7 @@
     response: str = ""
 
 
+@wire_type("ClaimResult")
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
     """``granted`` to the asking gateway, or what is known of the first claim.
@@ -44,6 +48,7 @@
 # --- sessions ----------------------------------------------------------------------------
 
 
+@wire_type("AttachSession")
 @dataclass(frozen=True, slots=True)
 class AttachSession:
     """Pin a session to a runner under a new fence; the expected fence makes races lose."""
@@ -54,6 +59,7 @@
     expected_fence: int
 
 
+@wire_type("Turn")
 @dataclass(frozen=True, slots=True)
 class Turn:
     """One exchange of a session; ``request_id`` is the caller's, to know a re-sent turn by."""
@@ -63,6 +69,7 @@
     request_id: str = ""
 
 
+@wire_type("AppendTurn")
 @dataclass(frozen=True, slots=True)
 class AppendTurn:
     """Append a finished exchange; refused as FENCED when the session has moved.
@@ -76,7 +83,7 @@
     turn: Turn
 
 
-@wire_record
+@wire_record("SessionView")
 @dataclass(frozen=True, slots=True)
 class SessionView:
     """A session's place and transcript."""
--- a/src/rainsail/state/sessions.py
+++ b/src/rainsail/state/sessions.py
@@ -19,7 +19,7 @@
 """``attached_from`` of a session that has no place yet."""
 
 
-@wire_record
+@wire_record("SessionFenceFloor")
 @dataclass(frozen=True, slots=True)
 class SessionFenceFloor:
     """The highest fence of any removed session, for a snapshot."""
@@ -27,7 +27,7 @@
     fence: int
 
 
-@wire_record
+@wire_record("StoredSession")
 @dataclass(frozen=True, slots=True)
 class StoredSession:
     """One session for a snapshot; ``attached_from`` is the fence its attachment expected."""
--- a/src/rainsail/state/snapshot.py
+++ b/src/rainsail/state/snapshot.py
@@ -25,7 +25,7 @@
 """Assumed size of a record without a block of bytes, to close parts without encoding twice."""
 
 
-@wire_record
+@wire_record("SnapshotStart")
 @dataclass(frozen=True, slots=True)
 class SnapshotStart:
     """The first record of a snapshot."""
@@ -53,7 +53,7 @@
 )
 
 
-@wire_record
+@wire_record("SnapshotPart")
 @dataclass(frozen=True, slots=True)
 class SnapshotPart:
     """One chunk of a snapshot."""
--- a/src/rainsail/storage/identity.py
+++ b/src/rainsail/storage/identity.py
@@ -13,6 +13,7 @@
 from rainsail.storage.records import RecordKind, encode_record, scan
 from rainsail.storage.recovery import GROUP_PREFIX
 from rainsail.wire.codec import CodecError, decode_body, encode_body
+from rainsail.wire.names import wire_type
 
 IDENTITY_PATH = "identity"
 _TEMPORARY_PATH = "identity.part"
@@ -20,6 +21,7 @@
 _NO_GROUP = 0
 
 
+@wire_type("FormatRecord")
 @dataclass(frozen=True, slots=True)
 class FormatRecord:
     """First record of the identity file, in every format: the version of the folder's files."""
@@ -27,6 +29,7 @@
     format_version: int
 
 
+@wire_type("DataFolderRecord")
 @dataclass(frozen=True, slots=True)
 class DataFolderRecord:
     """Second record of the identity file: whose data folder it is.
--- a/src/rainsail/storage/interface.py
+++ b/src/rainsail/storage/interface.py
@@ -14,6 +14,7 @@
 
 from rainsail.errors import Fault
 from rainsail.storage.snapshot_sum import SnapshotPiece
+from rainsail.wire.names import wire_type
 
 
 class File(Protocol):
@@ -76,6 +77,7 @@
         ...
 
 
+@wire_type("LogEntry")
 @dataclass(frozen=True, slots=True)
 class LogEntry:
     """One entry of a group's log."""
@@ -85,6 +87,7 @@
     payload: bytes
 
 
+@wire_type("HardState")
 @dataclass(frozen=True, slots=True)
 class HardState:
     """What a replica must never forget: its term and its vote in that term."""
--- a/src/rainsail/storage/log_records.py
+++ b/src/rainsail/storage/log_records.py
@@ -2,10 +2,13 @@
 
 from dataclasses import dataclass
 
+from rainsail.wire.names import wire_type
+
 FORMAT_VERSION = 1
 """Version of the files of a data folder. A newer one is refused."""
 
 
+@wire_type("SegmentHeader")
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
     """First record of a segment: the state of the log where the segment begins."""
@@ -18,6 +21,7 @@
     voted_for: str
 
 
+@wire_type("Truncation")
 @dataclass(frozen=True, slots=True)
 class Truncation:
     """Every entry from ``first_removed`` on is removed; the one before it has ``last_term``."""
@@ -26,6 +30,7 @@
     last_term: int
 
 
+@wire_type("Reset")
 @dataclass(frozen=True, slots=True)
 class Reset:
     """Every entry is removed; the next one follows ``last_index`` (a snapshot was installed)."""
@@ -34,6 +39,7 @@
     last_term: int
 
 
+@wire_type("SnapshotHeader")
 @dataclass(frozen=True, slots=True)
 class SnapshotHeader:
     """First record of a snapshot file."""
@@ -44,6 +50,7 @@
     membership: bytes
 
 
+@wire_type("SnapshotEnd")
 @dataclass(frozen=True, slots=True)
 class SnapshotEnd:
     """Last record of a snapshot file: what came before it."""
--- a/src/rainsail/storage/snapshot_sum.py
+++ b/src/rainsail/storage/snapshot_sum.py
@@ -11,8 +11,10 @@
 
 from rainsail.errors import RainsailError
 from rainsail.storage.faults import storage_fault
+from rainsail.wire.names import wire_type
 
 
+@wire_type("SnapshotSum")
 @dataclass(frozen=True, slots=True)
 class SnapshotSum:
     """The number of chunks, their bytes, and the CRC-32C over all of them in order."""
--- a/src/rainsail/tenancy/messages.py
+++ b/src/rainsail/tenancy/messages.py
@@ -3,8 +3,10 @@
 from dataclasses import dataclass
 
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_type
 
 
+@wire_type("QuotaNeed")
 @dataclass(frozen=True, slots=True)
 class QuotaNeed:
     """What a gateway needs of one tenant's quota.
@@ -21,7 +23,7 @@
     spent: int
 
 
-@wire_record
+@wire_record("QuotaAsk")
 @dataclass(frozen=True, slots=True)
 class QuotaAsk:
     """Asks the keeper to admit requests."""
@@ -30,6 +32,7 @@
     needs: tuple[QuotaNeed, ...]
 
 
+@wire_type("QuotaGrant")
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
     """What the keeper grants of one tenant's quota.
@@ -44,7 +47,7 @@
     share: float
 
 
-@wire_record
+@wire_record("QuotaGrants")
 @dataclass(frozen=True, slots=True)
 class QuotaGrants:
     """The keeper's answer, a grant for each need."""
--- a/src/rainsail/wire/codec.py
+++ b/src/rainsail/wire/codec.py
@@ -1,8 +1,9 @@
 """Avro codec for frozen dataclasses.
 
-The Avro schema of a record is derived from the dataclass's type hints, so the dataclass is the
-only definition. Supported field types: ``int`` (long), ``float`` (double), ``str``, ``bytes``,
-``bool``, ``StrEnum`` (string), nested dataclasses, unions of those with ``None``,
+The Avro schema of a record is derived from the dataclass's type hints and the names that
+``wire.names`` holds, so the dataclass is the only definition. Supported field types: ``int``
+(long), ``float`` (double), ``str``, ``bytes``, ``bool``, ``StrEnum`` (string), nested
+dataclasses, unions of those with ``None``,
 ``tuple[T, ...]`` (array), ``dict[str, T]`` (map). Unions of several dataclasses become Avro
 unions of records. A record can't contain itself.
 
@@ -16,7 +17,7 @@
 import io
 import struct
 import typing
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from enum import StrEnum
 from functools import cache
 from typing import Any, TypeVar
@@ -24,7 +25,8 @@
 import crc32c
 import fastavro
 
-from rainsail.wire.schema import parsed_schema, union_members
+from rainsail.wire.names import wire_field_name, wire_name, wire_type
+from rainsail.wire.schema import avro_name, parsed_schema, union_members
 
 T = TypeVar("T")
 Converter = Callable[[Any], Any]
@@ -69,25 +71,27 @@
 def _field_expressions(
     cls: Any, converter: Callable[[Any], Converter], access: str, names: dict[str, Any]
 ) -> list[tuple[str, str]]:
-    """Return each field's name and the expression of its converted value.
+    """Return each field's name on the wire and the expression of its converted value.
 
-    ``access`` is how a field is read, with its name as ``{0}``; the converters go into ``names``.
+    ``access`` is how a field is read, with its name in the code as ``{code}`` and its name on the
+    wire as ``{wire}``; the converters go into ``names``.
     """
     hints = typing.get_type_hints(cls)
     expressions = []
     for place, field in enumerate(dataclasses.fields(cls)):
-        expression = access.format(field.name)
+        name_on_wire = wire_field_name(cls, field.name)
+        expression = access.format(code=field.name, wire=name_on_wire)
         convert = converter(hints[field.name])
         if convert is not _identity:
             names[f"convert_{place}"] = convert
             expression = f"convert_{place}({expression})"
-        expressions.append((field.name, expression))
+        expressions.append((name_on_wire, expression))
     return expressions
 
 
 def _record_writer(cls: Any) -> Converter:
     names: dict[str, Any] = {}
-    fields = _field_expressions(cls, _writer, "value.{0}", names)
+    fields = _field_expressions(cls, _writer, "value.{code}", names)
     parts = ", ".join(f"{name!r}: {expression}" for name, expression in fields)
     return _compiled(f"lambda value: {{{parts}}}", names)
 
@@ -98,7 +102,7 @@
         others = [_writer(m) for m in members if m is not type(None)]
         convert = others[0]
         return lambda value: None if value is None else convert(value)
-    by_type = {cls: (f"rainsail.{cls.__name__}", _writer(cls)) for cls in records}
+    by_type = {cls: (avro_name(cls), _writer(cls)) for cls in records}
 
     def write(value: Any) -> Any:
         if value is None:
@@ -133,7 +137,7 @@
 
 def _record_reader(cls: Any) -> Converter:
     names: dict[str, Any] = {"record": cls}
-    fields = _field_expressions(cls, _reader, "value[{0!r}]", names)
+    fields = _field_expressions(cls, _reader, "value[{wire!r}]", names)
     parts = ", ".join(expression for _, expression in fields)
     return _compiled(f"lambda value: record({parts})", names)
 
@@ -144,7 +148,7 @@
         others = [_reader(m) for m in members if m is not type(None)]
         convert = others[0]
         return lambda value: None if value is None else convert(value)
-    by_name = {f"rainsail.{cls.__name__}": _reader(cls) for cls in records}
+    by_name = {avro_name(cls): _reader(cls) for cls in records}
 
     def read(value: Any) -> Any:
         if value is None:
@@ -198,9 +202,9 @@
         RecursionError,
         struct.error,
     ) as error:
-        raise CodecError(f"not a {cls.__name__}: {error!r}") from error
+        raise CodecError(f"not a {wire_name(cls)}: {error!r}") from error
     if buffer.tell() != len(data):
-        raise CodecError(f"{len(data) - buffer.tell()} bytes follow a {cls.__name__}")
+        raise CodecError(f"{len(data) - buffer.tell()} bytes follow a {wire_name(cls)}")
     return value
 
 
@@ -212,15 +216,25 @@
     return f"{cls.__module__}.{cls.__qualname__}"
 
 
-def wire_record(cls: type[T]) -> type[T]:
-    """Class decorator: register a frozen dataclass as a top-level record of the protocol."""
-    number = crc32c.crc32c(cls.__name__.encode())
-    known = _REGISTRY.get(number)
-    if known is not None and _place(known) != _place(cls):
-        raise TypeError(f"{_place(cls)} and {_place(known)} share a type id")
-    _REGISTRY[number] = cls
-    _TYPE_IDS[cls] = _TYPE_ID.pack(number)
-    return cls
+def wire_record(
+    name: str, renamed_fields: Mapping[str, str] | None = None
+) -> Callable[[type[T]], type[T]]:
+    """Class decorator: register a frozen dataclass as a top-level record of the protocol.
+
+    The type id is the CRC-32C of ``name``; both arguments are those of ``wire_type``.
+    """
+
+    def register(cls: type[T]) -> type[T]:
+        wire_type(name, renamed_fields or {})(cls)
+        number = crc32c.crc32c(name.encode())
+        known = _REGISTRY.get(number)
+        if known is not None and _place(known) != _place(cls):
+            raise TypeError(f"{_place(cls)} and {_place(known)} share a type id")
+        _REGISTRY[number] = cls
+        _TYPE_IDS[cls] = _TYPE_ID.pack(number)
+        return cls
+
+    return register
 
 
 def encode(message: Any, prefix: bytes = b"") -> bytes:
@@ -240,8 +254,8 @@
 
 
 def registered_records() -> tuple[Any, ...]:
-    """Return every registered record, in name order."""
-    return tuple(sorted(_REGISTRY.values(), key=lambda each: each.__name__))
+    """Return every registered record, in the order of their names on the wire."""
+    return tuple(sorted(_REGISTRY.values(), key=wire_name))
 
 
 def protocol_fingerprint(modules: tuple[str, ...] | None = None) -> int:
--- a/src/rainsail/wire/connection.py
+++ b/src/rainsail/wire/connection.py
@@ -11,6 +11,7 @@
 from rainsail.wire.framing import FramedConnection
 from rainsail.wire.hello import Certified, LinkHello, LinkRefused, RoleOf, check_hello
 from rainsail.wire.messenger import Envelope, ProcessName
+from rainsail.wire.names import wire_name
 from rainsail.wire.settings import WireSettings
 
 STEP = "wire.connection"
@@ -155,7 +156,7 @@
         elif isinstance(message, LinkHello):
             self._judge_hello(message)
         else:
-            name = type(message).__name__
+            name = wire_name(type(message))
             self.close(self._invalid(FaultCode.FORBIDDEN, f"{name} arrived before the hello"))
 
     def _judge_hello(self, other: LinkHello) -> None:
--- a/src/rainsail/wire/hello.py
+++ b/src/rainsail/wire/hello.py
@@ -30,7 +30,7 @@
 """Tells which role a process of that name has in this fleet."""
 
 
-@wire_record
+@wire_record("LinkHello")
 @dataclass(frozen=True, slots=True)
 class LinkHello:
     """The first frame of each side."""
@@ -40,7 +40,7 @@
     protocol_fingerprint: int
 
 
-@wire_record
+@wire_record("LinkRefused")
 @dataclass(frozen=True, slots=True)
 class LinkRefused:
     """Tells the other side why its hello was refused, before the connection is closed."""
--- a/src/rainsail/wire/messenger.py
+++ b/src/rainsail/wire/messenger.py
@@ -20,6 +20,7 @@
 from rainsail.errors import Fault, FaultCode, Outcome, RainsailError
 from rainsail.runtime.clock import Clock
 from rainsail.wire.codec import wire_record
+from rainsail.wire.names import wire_name
 
 ProcessName = str
 """The unique name of a process, for instance ``replica-2`` or ``gateway-a1``."""
@@ -60,7 +61,7 @@
         ...
 
 
-wire_record(Fault)
+wire_record("Fault")(Fault)
 
 
 class Messenger:
@@ -99,7 +100,7 @@
         if fault is not None:
             return succeed(Error(fault))
         done: Deferred[Any] = Deferred()
-        step = f"call.{type(message).__name__}"
+        step = f"call.{wire_name(type(message))}"
         timer = self._clock.callLater(timeout_s, self._expire, call_id, step, timeout_s)
         self._waiting[call_id] = (done, timer, destination)
         return done
@@ -131,7 +132,7 @@
         It may still be opening its disk, and the message may be sound: this is never INVALID, so
         that the caller tries elsewhere.
         """
-        detail = f"{type(message).__name__} is not served here, or not yet"
+        detail = f"{wire_name(type(message))} is not served here, or not yet"
         return Fault(FaultCode.UNAVAILABLE, "messenger.deliver", detail, self.name, Outcome.NOT_RUN)
 
     def _handler_failed(self, failure: Failure) -> Fault:
--- a/src/rainsail/wire/schema.py
+++ b/src/rainsail/wire/schema.py
@@ -9,6 +9,8 @@
 
 import fastavro
 
+from rainsail.wire.names import wire_field_name, wire_name
+
 _PRIMITIVES: dict[Any, str] = {
     int: "long",
     float: "double",
@@ -46,16 +48,24 @@
     raise TypeError(f"no Avro type for {hint!r}")
 
 
+def avro_name(cls: Any) -> str:
+    """Return the full name of a record in Avro schemas."""
+    return f"rainsail.{wire_name(cls)}"
+
+
 def _record_schema(cls: Any, defined: dict[str, Any]) -> Any:
-    name = f"rainsail.{cls.__name__}"
+    name = avro_name(cls)
     if name in defined:
         if defined[name] is not cls:
-            raise TypeError(f"two records of one schema are named {cls.__name__}")
+            raise TypeError(f"two records of one schema are named {wire_name(cls)}")
         return name
     defined[name] = cls
     hints = typing.get_type_hints(cls)
     fields = [
-        {"name": field.name, "type": _avro_type(hints[field.name], defined)}
+        {
+            "name": wire_field_name(cls, field.name),
+            "type": _avro_type(hints[field.name], defined),
+        }
         for field in dataclasses.fields(cls)
     ]
     return {"type": "record", "name": name, "fields": fields}
