--- a/features/steps/consensus_log_steps.py
+++ b/features/steps/consensus_log_steps.py
@@ -8,9 +8,9 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import run_state_machine_as_test
 
+from rainsail.consensus.leading import NO_OPERATION_PAYLOAD
 from rainsail.consensus.log_window import LogWindow
 from rainsail.consensus.membership import Membership, MemberSpec
-from rainsail.consensus.roles import NO_OPERATION_PAYLOAD
 from rainsail.storage.interface import LogEntry
 
 EXAMPLES = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
--- a/features/support/control_group.py
+++ b/features/support/control_group.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from rainsail.assembly.replica import ReplicaConfig
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.control.config_view import ConfigView
 from rainsail.control.leader_client import LeaderClient
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -2,11 +2,12 @@
 
 from collections.abc import Generator
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_placement import members_of_group
@@ -20,9 +21,6 @@
 from rainsail.wire.codec import CodecError
 from rainsail.wire.messenger import Messenger
 
-if TYPE_CHECKING:
-    from rainsail.assembly.replica import ReplicaConfig
-
 
 @dataclass(frozen=True, slots=True)
 class HostedGroup:
@@ -32,12 +30,12 @@
     state: ReplicatedState
 
 
-def group_ids(config: "ReplicaConfig") -> tuple[GroupId, ...]:
+def group_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
     """Return every group of the fleet in order: the root group and those of the batch ledger."""
     return tuple(sorted({ROOT_GROUP, *config.batch.groups}))
 
 
-def hosted_ids(config: "ReplicaConfig") -> tuple[GroupId, ...]:
+def hosted_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
     """Return the groups that this replica keeps a member of."""
     count = config.control.replicas_per_group
     return tuple(
@@ -50,7 +48,7 @@
 @inlineCallbacks
 def open_group(
     group: GroupId,
-    config: "ReplicaConfig",
+    config: ReplicaConfig,
     seams: ReplicaSeams,
     identity: ReplicaIdentity,
     state: ReplicatedState,
--- a/src/rainsail/assembly/replica.py
+++ b/src/rainsail/assembly/replica.py
@@ -1,7 +1,6 @@
 """A replica: a member of the groups placed on it, with its control service and controllers."""
 
 from collections.abc import Callable, Generator
-from dataclasses import dataclass, field
 from typing import Any
 
 from expression import Error, Ok, Result
@@ -9,42 +8,22 @@
 
 from rainsail.assembly.hosted_group import HostedGroup, hosted_ids, open_group
 from rainsail.assembly.machine_watch import MachineWatch
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.assembly.seams import ReplicaSeams
-from rainsail.batch.settings import BatchSettings
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.router import GroupRouter
-from rainsail.consensus.settings import ConsensusSettings
 from rainsail.control.controllers.manager import ControllerManager
-from rainsail.control.controllers.settings import ControllerSettings
 from rainsail.control.leader_client import LeaderClient
 from rainsail.control.operator_api import OperatorApi
 from rainsail.control.service import ControlService
-from rainsail.control.settings import ControlSettings
 from rainsail.errors import Fault
 from rainsail.state.commands import ROOT_GROUP, GroupId
 from rainsail.state.durable_schemas import durable_fingerprint
 from rainsail.state.machine import ReplicatedState
-from rainsail.state.settings import StateSettings
 from rainsail.storage.identity import load_or_create_identity
-from rainsail.storage.settings import StorageSettings
 from rainsail.wire.messenger import Messenger
 
 
-@dataclass(frozen=True, slots=True)
-class ReplicaConfig:
-    """What a replica is told: its name, its fleet and the list of all replicas."""
-
-    name: str
-    fleet: str
-    replicas: tuple[str, ...]
-    consensus: ConsensusSettings = field(default_factory=ConsensusSettings)
-    control: ControlSettings = field(default_factory=ControlSettings)
-    controllers: ControllerSettings = field(default_factory=ControllerSettings)
-    state: StateSettings = field(default_factory=StateSettings)
-    storage: StorageSettings = field(default_factory=StorageSettings)
-    batch: BatchSettings = field(default_factory=BatchSettings)
-
-
 class ReplicaNode:
     """Opens the data folder, joins its groups and serves control messages.
 
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -14,7 +14,8 @@
 from rainsail.assembly.gateway import GatewayConfig, GatewayNode
 from rainsail.assembly.listening import HTTP_IDLE_TIMEOUT_S, listen_site
 from rainsail.assembly.recording import open_recorder
-from rainsail.assembly.replica import ReplicaConfig, ReplicaNode
+from rainsail.assembly.replica import ReplicaNode
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
 from rainsail.assembly.served_connections import ServedConnections
 from rainsail.control.operator_site import make_operator_site
--- a/src/rainsail/consensus/core.py
+++ b/src/rainsail/consensus/core.py
@@ -7,13 +7,16 @@
 import random as random_module
 
 from rainsail.consensus import (
+    append_receiving,
+    append_replies,
+    append_sending,
     election,
+    following,
     founding,
     lease,
     membership_change,
     reads,
-    replication,
-    roles,
+    snapshot_sending,
     snapshots,
     transfer,
 )
@@ -82,11 +85,11 @@
     def _tick_leader(self, now: float) -> None:
         state = self.state
         if lease.has_lost_quorum(state, now):
-            roles.become_follower(state, state.term, now)
+            following.become_follower(state, state.term, now)
             return
         transfer.tick(state, now)
         if state.role == Role.LEADER and now >= state.next_heartbeat_s:
-            replication.begin_round(state, now)
+            append_sending.begin_round(state, now)
 
     def _tick_campaign(self, now: float) -> None:
         state = self.state
@@ -96,7 +99,7 @@
         if not state.membership.is_voter(state.identity):
             founding.say_hello(state)
         if state.role in (Role.PRE_CANDIDATE, Role.CANDIDATE):
-            roles.become_follower(state, state.term, now)
+            following.become_follower(state, state.term, now)
         election.campaign(state, now)
 
     def next_wakeup_s(self) -> float:
@@ -125,9 +128,9 @@
         state = self.state
         match message:
             case AppendRequest():
-                replication.handle_append_request(state, source, message, now)
+                append_receiving.handle_append_request(state, source, message, now)
             case AppendReply():
-                replication.handle_append_reply(state, message, now)
+                append_replies.handle_append_reply(state, message, now)
             case PreVoteRequest():
                 election.handle_pre_vote_request(state, source, message, now)
             case PreVoteReply():
@@ -139,7 +142,7 @@
             case SnapshotChunk():
                 snapshots.handle_chunk(state, source, message, now)
             case SnapshotReply():
-                snapshots.handle_reply(state, message, now)
+                snapshot_sending.handle_reply(state, message, now)
             case TimeoutNow():
                 election.handle_timeout_now(state, message, now)
             case FoundingVoteRequest():
@@ -152,8 +155,8 @@
     def _after_leader_input(self, now: float) -> None:
         state = self.state
         if membership_change.is_removed(state):
-            replication.begin_round(state, now)
-            roles.become_follower(state, state.term, now)
+            append_sending.begin_round(state, now)
+            following.become_follower(state, state.term, now)
             return
         if state.transfer_target:
             transfer.continue_when_ready(state)
@@ -166,7 +169,7 @@
         first = state.log.last_index + 1
         for offset, payload in enumerate(payloads):
             state.append(LogEntry(first + offset, state.term, payload))
-        replication.replicate(state)
+        append_sending.replicate(state)
         return first, state.take_effects()
 
     def change_membership(self, membership: Membership, now: float) -> tuple[Fault | None, Effects]:
@@ -192,7 +195,7 @@
             election.own_vote_synced(state, now)
             founding.own_vote_synced(state, now)
         if state.role == Role.LEADER:
-            replication.advance_commit(state)
+            append_replies.advance_commit(state)
             self._after_leader_input(now)
         return state.take_effects()
 
--- a/src/rainsail/consensus/core_state.py
+++ b/src/rainsail/consensus/core_state.py
@@ -231,6 +231,14 @@
             raise AssertionError(f"role change from {self.role} to {role}")
         self.role = role
 
+    def progress_of(self, identity: str) -> Progress:
+        """Return the progress of a member, new ones starting at the end of the log."""
+        progress = self.progress.get(identity)
+        if progress is None:
+            progress = Progress(next_index=self.log.last_index + 1)
+            self.progress[identity] = progress
+        return progress
+
     def reset_election_deadline(self, now: float) -> None:
         """Draw the next moment at which this member campaigns if it hears no leader."""
         timeout = self.settings.election_timeout_s
--- a/src/rainsail/consensus/election.py
+++ b/src/rainsail/consensus/election.py
@@ -1,6 +1,6 @@
 """Elections: pre-vote, vote, and the rule by which a leader's voters keep their votes back."""
 
-from rainsail.consensus import roles
+from rainsail.consensus import following, leading
 from rainsail.consensus.core_state import CoreState, Role
 from rainsail.consensus.messages import (
     PreVoteReply,
@@ -68,7 +68,7 @@
         return
     state.votes[state.identity] = True
     if has_won(state):
-        roles.become_leader(state, now)
+        leading.become_leader(state, now)
 
 
 def has_won(state: CoreState) -> bool:
@@ -118,7 +118,7 @@
 def handle_pre_vote_reply(state: CoreState, message: PreVoteReply, now: float) -> None:
     """Count a pre-vote; campaign for real when a majority would vote."""
     if message.term > state.term and not message.granted:
-        roles.become_follower(state, message.term, now)
+        following.become_follower(state, message.term, now)
         return
     if state.role != Role.PRE_CANDIDATE or message.proposed_term != state.term + 1:
         return
@@ -132,7 +132,7 @@
     if message.term > state.term:
         if not message.transfer and keeps_vote_back(state, now):
             return
-        roles.become_follower(state, message.term, now)
+        following.become_follower(state, message.term, now)
     granted = (
         message.term == state.term
         and state.role in (Role.FOLLOWER, Role.EMPTY)
@@ -149,13 +149,13 @@
 def handle_vote_reply(state: CoreState, message: VoteReply, now: float) -> None:
     """Count a vote of this term."""
     if message.term > state.term:
-        roles.become_follower(state, message.term, now)
+        following.become_follower(state, message.term, now)
         return
     if state.role != Role.CANDIDATE or message.term != state.term:
         return
     state.votes[message.sender] = message.granted
     if has_won(state):
-        roles.become_leader(state, now)
+        leading.become_leader(state, now)
 
 
 def handle_timeout_now(state: CoreState, message: TimeoutNow, now: float) -> None:
--- a/src/rainsail/consensus/founding.py
+++ b/src/rainsail/consensus/founding.py
@@ -9,7 +9,7 @@
 the returned replica is a learner.
 """
 
-from rainsail.consensus import roles
+from rainsail.consensus import following, leading
 from rainsail.consensus.core_state import CoreState, Newcomer, Role
 from rainsail.consensus.messages import FoundingVoteReply, FoundingVoteRequest, Hello
 
@@ -59,7 +59,7 @@
     granted = False
     if is_empty(state) and message.replicas == state.bootstrap:
         if message.term > state.term:
-            roles.become_follower(state, message.term, now)
+            following.become_follower(state, message.term, now)
         if message.term == state.term and state.voted_for in ("", message.sender):
             granted = True
             state.save_hard_state(state.term, message.sender)
@@ -81,10 +81,10 @@
         return
     if message.group_exists:
         state.group_exists = True
-        roles.become_follower(state, state.term, now)
+        following.become_follower(state, state.term, now)
         return
     if message.term > state.term:
-        roles.become_follower(state, message.term, now)
+        following.become_follower(state, message.term, now)
         return
     if message.term == state.term and not message.granted:
         state.founding_refused = True
@@ -103,7 +103,7 @@
 def found_when_unanimous(state: CoreState, now: float) -> None:
     """Found the group when every bootstrap name has an identity."""
     if all(name in state.founding_votes for name in state.bootstrap):
-        roles.found_group(state, now)
+        leading.found_group(state, now)
 
 
 def handle_hello(state: CoreState, source: str, message: Hello, now: float) -> None:
--- a/src/rainsail/consensus/roles.py
+++ b/src/rainsail/consensus/leading.py
@@ -1,6 +1,6 @@
-"""Changes of role: stepping down, becoming leader."""
+"""Becoming leader: of a term that was won, or of a group that is being founded."""
 
-from rainsail.consensus import replication
+from rainsail.consensus import append_sending
 from rainsail.consensus.core_state import CoreState, Progress, Role
 from rainsail.consensus.membership import Membership, MemberSpec, encode_membership
 from rainsail.state.command_basics import NoOperation
@@ -10,36 +10,6 @@
 NO_OPERATION_PAYLOAD = encode(NoOperation())
 
 
-def become_follower(state: CoreState, term: int, now: float) -> None:
-    """Follow in ``term`` (the current one or a later one)."""
-    was_leader = state.role == Role.LEADER
-    if term > state.term:
-        state.save_hard_state(term, "")
-        state.leader = ""
-        state.leader_replica = ""
-    if was_leader:
-        end_leadership(state)
-        state.reset_election_deadline(now)
-    state.votes.clear()
-    state.founding_votes.clear()
-    has_group = bool(state.membership.members)
-    state.change_role(Role.FOLLOWER if has_group else Role.EMPTY)
-
-
-def end_leadership(state: CoreState) -> None:
-    """Forget what only a leader keeps, and fail the barriers that wait."""
-    state.effects.leadership_lost = True
-    state.effects.reads_failed += [read.request for read in state.reads]
-    state.reads.clear()
-    state.commit_marks.clear()
-    state.progress.clear()
-    state.round_sent_at_s.clear()
-    state.transfer_target = ""
-    if state.leader == state.identity:
-        state.leader = ""
-        state.leader_replica = ""
-
-
 def become_leader(state: CoreState, now: float) -> None:
     """Lead the current term: append an entry of it and begin the first heartbeat round."""
     state.change_role(Role.LEADER)
@@ -58,7 +28,7 @@
     state.term_start_index = state.log.last_index + 1
     state.append(LogEntry(state.term_start_index, state.term, NO_OPERATION_PAYLOAD))
     state.effects.leadership_won = True
-    replication.begin_round(state, now)
+    append_sending.begin_round(state, now)
 
 
 def found_group(state: CoreState, now: float) -> None:
--- a/src/rainsail/consensus/membership_change.py
+++ b/src/rainsail/consensus/membership_change.py
@@ -1,6 +1,6 @@
 """Membership changes: one voter at a time, each as a log entry that counts once appended."""
 
-from rainsail.consensus import replication
+from rainsail.consensus import append_sending
 from rainsail.consensus.core_state import CoreState, Role
 from rainsail.consensus.membership import Membership, encode_membership
 from rainsail.errors import Fault, FaultCode
@@ -21,8 +21,8 @@
             del state.progress[identity]
     for member in membership.members:
         if member.identity != state.identity and member.identity not in state.progress:
-            replication.progress_of(state, member.identity).added_at_s = now
-    replication.replicate(state)
+            state.progress_of(member.identity).added_at_s = now
+    append_sending.replicate(state)
     return None
 
 
--- a/src/rainsail/consensus/reads.py
+++ b/src/rainsail/consensus/reads.py
@@ -1,6 +1,6 @@
 """Read barriers: under the lease at once, else after a round that a quorum confirms."""
 
-from rainsail.consensus import lease, replication
+from rainsail.consensus import append_sending, lease
 from rainsail.consensus.core_state import CoreState, PendingRead, Role
 from rainsail.consensus.effects import ReadReady
 
@@ -20,18 +20,4 @@
         state.reads.append(PendingRead(request, index, state.round))
         return
     state.reads.append(PendingRead(request, index, state.round + 1))
-    replication.begin_round(state, now)
-
-
-def finish_confirmed(state: CoreState) -> None:
-    """Release the barriers whose round a quorum has answered."""
-    if not state.reads:
-        return
-    confirmed = lease.quorum_round(state)
-    waiting = []
-    for read in state.reads:
-        if read.round <= confirmed:
-            state.effects.reads_ready.append(ReadReady(read.request, read.index))
-        else:
-            waiting.append(read)
-    state.reads = waiting
+    append_sending.begin_round(state, now)
--- a/src/rainsail/consensus/repair.py
+++ b/src/rainsail/consensus/repair.py
@@ -11,9 +11,9 @@
 """
 
 from rainsail.consensus import membership_change
+from rainsail.consensus.append_replies import match_index_of
 from rainsail.consensus.core_state import CoreState, Role
 from rainsail.consensus.membership import Membership, MemberSpec
-from rainsail.consensus.replication import match_index_of
 
 
 def next_membership(state: CoreState, now: float) -> Membership | None:
--- a/src/rainsail/consensus/snapshots.py
+++ b/src/rainsail/consensus/snapshots.py
@@ -1,36 +1,20 @@
-"""Snapshots on their way: the leader sends chunks, the follower gathers them and may resume."""
-
-from rainsail.consensus import lease, replication, roles
-from rainsail.consensus.core_state import CoreState, IncomingSnapshot, Progress, ProgressMode, Role
-from rainsail.consensus.effects import SnapshotInstall, SnapshotOrder, SnapshotRefused
-from rainsail.consensus.membership import (
-    EMPTY_MEMBERSHIP,
-    MemberSpec,
-    membership_of_payload,
-)
+"""Snapshots at a member: gathered from the leader and installed, or taken of its own state."""
+
+from rainsail.consensus import following
+from rainsail.consensus.core_state import CoreState, IncomingSnapshot, Role
+from rainsail.consensus.effects import SnapshotInstall, SnapshotRefused
+from rainsail.consensus.membership import EMPTY_MEMBERSHIP, membership_of_payload
 from rainsail.consensus.messages import AppendReply, SnapshotChunk, SnapshotReply
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.snapshot_sum import SnapshotSum
 
 
-def order_chunk(state: CoreState, member: MemberSpec, progress: Progress, heartbeat: bool) -> None:
-    """Ask the driver for the follower's next chunk; a heartbeat repeats the last order."""
-    if progress.mode != ProgressMode.SNAPSHOT:
-        progress.mode = ProgressMode.SNAPSHOT
-        progress.snapshot_offset = 0
-        progress.reset_in_flight()
-    elif not heartbeat:
-        return
-    order = SnapshotOrder(member.replica, member.identity, progress.snapshot_offset, state.round)
-    state.effects.snapshot_orders.append(order)
-
-
 def handle_chunk(state: CoreState, source: str, message: SnapshotChunk, now: float) -> None:
     """Take the next chunk; a snapshot that is whole is handed to the driver to be stored."""
     if message.term < state.term:
         reply(state, source, message, 0)
         return
-    replication.accept_leader(state, source, message.term, message.sender, now)
+    following.accept_leader(state, source, message.term, message.sender, now)
     if state.installing:
         reply(state, source, message, message.offset)
         return
@@ -56,25 +40,25 @@
     return known
 
 
-def finish(state: CoreState, source: str, message: SnapshotChunk, told: SnapshotSum) -> None:
+def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotSum) -> None:
     """Install what was gathered when it is the whole snapshot; otherwise begin anew.
 
     What is refused is not answered, so that the leader tries again with its next heartbeat.
     """
     incoming = incoming_for(state, message)
     state.incoming = None
-    if is_whole(incoming, told):
+    if is_whole(incoming, expected):
         install(state, message, incoming)
         reply(state, source, message, len(incoming.chunks))
         return
     state.effects.snapshot_refused = SnapshotRefused(
-        source, message.last_index, incoming.received, told
+        source, message.last_index, incoming.received, expected
     )
 
 
-def is_whole(incoming: IncomingSnapshot, told: SnapshotSum) -> bool:
+def is_whole(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
     """Tell whether what was gathered is what the leader's snapshot holds on its disk."""
-    return incoming.received == told
+    return incoming.received == expected
 
 
 def install(state: CoreState, message: SnapshotChunk, incoming: IncomingSnapshot) -> None:
@@ -137,26 +121,3 @@
     settings = state.settings
     log = state.log
     log.compact(log.retained_from(index, settings.retained_entries, settings.retained_bytes))
-
-
-def handle_reply(state: CoreState, message: SnapshotReply, now: float) -> None:
-    """Send the next chunk, or go back to appends when the snapshot is through."""
-    if message.term > state.term:
-        roles.become_follower(state, message.term, now)
-        return
-    if state.role != Role.LEADER or message.term != state.term:
-        return
-    member = state.membership.find(message.sender)
-    if member is None:
-        return
-    progress = replication.progress_of(state, member.identity)
-    lease.note_acknowledged(state, progress, message.round, now)
-    if progress.mode != ProgressMode.SNAPSHOT:
-        return
-    next_offset = message.next_offset if message.last_index == state.snapshot_index else 0
-    if next_offset != progress.snapshot_offset:
-        progress.snapshot_offset = next_offset
-        order = SnapshotOrder(
-            member.replica, member.identity, progress.snapshot_offset, state.round
-        )
-        state.effects.snapshot_orders.append(order)
--- a/src/rainsail/consensus/status.py
+++ b/src/rainsail/consensus/status.py
@@ -1,9 +1,9 @@
 """The leader's view of its group as a status reply."""
 
+from rainsail.consensus.append_replies import match_index_of
 from rainsail.consensus.core_state import CoreState, Role
 from rainsail.consensus.group_status import GroupHealth, GroupStatusReply, MemberStatus
 from rainsail.consensus.membership import MemberSpec
-from rainsail.consensus.replication import match_index_of
 
 
 def is_reachable(state: CoreState, member: MemberSpec, now: float) -> bool:
--- a/src/rainsail/consensus/transfer.py
+++ b/src/rainsail/consensus/transfer.py
@@ -5,7 +5,7 @@
 taken over within an election timeout, the old leader steps down.
 """
 
-from rainsail.consensus import roles
+from rainsail.consensus import following
 from rainsail.consensus.core_state import CoreState, Role
 from rainsail.consensus.messages import TimeoutNow
 
@@ -55,4 +55,4 @@
 def tick(state: CoreState, now: float) -> None:
     """Step down when the target has not taken over in time."""
     if state.transfer_target and now >= state.transfer_deadline_s:
-        roles.become_follower(state, state.term, now)
+        following.become_follower(state, state.term, now)
--- a/src/rainsail/fleet/port.py
+++ b/src/rainsail/fleet/port.py
@@ -2,17 +2,14 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
+from rainsail.cluster.controller import FleetController
 from rainsail.http.exchange import Handler
+from rainsail.jobs.client import JobClient
+from rainsail.relay.gateway import RelayGateway
 from rainsail.relay.protocol import RelayProtocol
 from rainsail.relay.table_reader import TableReader
 
-if TYPE_CHECKING:
-    from rainsail.cluster.controller import FleetController
-    from rainsail.jobs.client import JobClient
-    from rainsail.relay.gateway import RelayGateway
-
 
 @dataclass(frozen=True, slots=True)
 class PlatformPort:
@@ -24,6 +21,6 @@
 
     protocol: RelayProtocol
     read_table: TableReader
-    client_handler: "Callable[[RelayGateway, JobClient], Handler]"
-    readiness_handler: "Callable[[RelayGateway], Handler]"
-    control_handler: "Callable[[FleetController], Handler]"
+    client_handler: Callable[[RelayGateway, JobClient], Handler]
+    readiness_handler: Callable[[RelayGateway], Handler]
+    control_handler: Callable[[FleetController], Handler]
--- a/src/rainsail/simulation/consensus_defects.py
+++ b/src/rainsail/simulation/consensus_defects.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from rainsail.consensus import core, election, replication, snapshots
+from rainsail.consensus import append_receiving, append_replies, core, election, snapshots
 from rainsail.consensus.core_state import CoreState, IncomingSnapshot
 from rainsail.consensus.messages import AppendRequest, GroupMessage
 from rainsail.storage.snapshot_sum import SnapshotSum
@@ -43,7 +43,7 @@
     return True
 
 
-def _take_any_snapshot(incoming: IncomingSnapshot, told: SnapshotSum) -> bool:
+def _take_any_snapshot(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
     return True
 
 
@@ -51,8 +51,8 @@
 
 CONSENSUS_DEFECTS: dict[str, tuple[Patch, ...]] = {
     "ack-before-sync": (
-        (replication, "answers_at_once", _acknowledge_at_once),
-        (replication, "acknowledged_index", _acknowledge_unsynced),
+        (append_receiving, "answers_at_once", _acknowledge_at_once),
+        (append_receiving, "acknowledged_index", _acknowledge_unsynced),
     ),
     "empty-disk-votes": ((core, "is_addressed", _take_the_old_identity),),
     "no-pre-vote-stale-read": (
@@ -60,7 +60,7 @@
         (election, "campaign", _campaign_without_pre_vote),
     ),
     "half-snapshot": ((snapshots, "is_whole", _take_any_snapshot),),
-    "commit-older-term": ((replication, "counts_for_commit", _count_any_term),),
+    "commit-older-term": ((append_replies, "counts_for_commit", _count_any_term),),
 }
 """The name of each variant, with what it replaces."""
 
--- a/src/rainsail/simulation/fleet.py
+++ b/src/rainsail/simulation/fleet.py
@@ -3,7 +3,7 @@
 import random
 
 from rainsail.assembly.gateway import GatewayConfig, GatewayNode
-from rainsail.assembly.replica import ReplicaConfig
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.batch.settings import BatchSettings
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.control.leader_client import LeaderClient
--- a/src/rainsail/simulation/processes.py
+++ b/src/rainsail/simulation/processes.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 
 from rainsail.assembly.gateway import GatewayConfig, GatewayNode
-from rainsail.assembly.replica import ReplicaConfig, ReplicaNode
+from rainsail.assembly.replica import ReplicaNode
+from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
 from rainsail.engine.interface import AttemptListener, GenerateRequest
 from rainsail.errors import Fault
