--- a/features/support/consensus.py
+++ b/features/support/consensus.py
@@ -10,8 +10,9 @@
 from rainsail.consensus.core_state import Role
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_status import GroupStatusReply
-from rainsail.consensus.membership import MemberSpec
+from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.messages import SnapshotChunk
+from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.errors import Fault
 from rainsail.simulation.clock import SkewedClock, VirtualClock
@@ -128,19 +129,10 @@
     ) -> None:
         if self.running.get(name) is not member:
             return
-        member.driver = GroupDriver(
-            GROUP,
-            name,
-            identity,
-            storage,
-            member.state,
-            Messenger(member.transport, member.clock),
-            member.clock,
-            generator,
-            self.settings,
-            tuple(MemberSpec(each, "") for each in self.names),
-            encode_command,
-        )
+        router = GroupRouter(Messenger(member.transport, member.clock), member.clock)
+        seams = MemberSeams(storage, member.state, router, member.clock, generator, encode_command)
+        which = GroupMember(GROUP, name, identity, tuple(self.names))
+        member.driver = GroupDriver(which, seams, self.settings)
         member.driver.on_fatal(member.faults.append)
         member.driver.on_leadership(member.leadership.append)
         member.driver.start()
--- a/features/support/consensus_groups.py
+++ b/features/support/consensus_groups.py
@@ -8,7 +8,7 @@
 from features.support.storage import SCHEMAS
 
 from rainsail.consensus.driver import GroupDriver
-from rainsail.consensus.membership import MemberSpec
+from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.simulation.clock import SkewedClock, VirtualClock
@@ -58,29 +58,25 @@
         process = GroupsProcess(clock, transport, GroupRouter(messenger, clock))
         self.processes[name] = process
         made = load_or_create_identity(self.disks[name], FLEET, name, SCHEMAS, random.Random(name))
-        made.addCallback(lambda identity: self._open(name, process, messenger, identity.ok))
+        made.addCallback(lambda identity: self._open(name, process, identity.ok))
 
-    def _open(self, name, process, messenger, identity) -> None:
+    def _open(self, name, process, identity) -> None:
         for group in self.groups:
             opened = open_group_storage(self.disks[name], group, StorageSettings())
-            opened.addCallback(self._opened, name, group, process, messenger, identity)
+            opened.addCallback(self._opened, name, group, process, identity)
 
-    def _opened(self, storage, name, group, process, messenger, identity) -> None:
+    def _opened(self, storage, name, group, process, identity) -> None:
         state = process.states[group] = RecordingState()
-        driver = process.drivers[group] = GroupDriver(
-            group,
-            name,
-            identity,
+        seams = MemberSeams(
             storage.ok,
             state,
-            messenger,
+            process.router,
             process.clock,
             random.Random(f"{name}/{group}"),
-            ConsensusSettings(),
-            tuple(MemberSpec(each, "") for each in self.names),
             encode_command,
-            process.router,
         )
+        member = GroupMember(group, name, identity, tuple(self.names))
+        driver = process.drivers[group] = GroupDriver(member, seams, ConsensusSettings())
         driver.start()
 
     def crash(self, name: str) -> None:
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -11,7 +11,7 @@
 from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_placement import members_of_group
-from rainsail.consensus.membership import MemberSpec
+from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.router import GroupRouter
 from rainsail.errors import Fault, FaultCode, RainsailError
 from rainsail.state.commands import ROOT_GROUP, GroupId, encode_command
@@ -19,7 +19,6 @@
 from rainsail.storage.group_storage import open_group_storage
 from rainsail.storage.identity import ReplicaIdentity
 from rainsail.wire.codec import CodecError
-from rainsail.wire.messenger import Messenger
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +51,6 @@
     seams: ReplicaSeams,
     identity: ReplicaIdentity,
     state: ReplicatedState,
-    messenger: Messenger,
     router: GroupRouter,
 ) -> Generator[Deferred[Any], Any, Result[HostedGroup, Fault]]:
     """Open a group's log and make its driver; the driver is not started yet."""
@@ -60,21 +58,11 @@
     if storage.is_error():
         return Error(storage.error)
     names = members_of_group(group, config.replicas, config.control.replicas_per_group)
+    member = GroupMember(group, config.name, identity, tuple(names))
+    node = seams.node
+    given = MemberSeams(storage.ok, state, router, node.clock, node.random, encode_command)
     try:
-        driver = GroupDriver(
-            group,
-            config.name,
-            identity,
-            storage.ok,
-            state,
-            messenger,
-            seams.node.clock,
-            seams.node.random,
-            config.consensus,
-            tuple(MemberSpec(name, "", True) for name in names),
-            encode_command,
-            router,
-        )
+        driver = GroupDriver(member, given, config.consensus)
     except (CodecError, RainsailError) as error:
         detail = f"group {group}: its snapshot or log can't be read: {error}"
         return Error(Fault(FaultCode.STORAGE, "assembly.open_group", detail))
--- a/src/rainsail/assembly/replica.py
+++ b/src/rainsail/assembly/replica.py
@@ -73,9 +73,7 @@
         router = GroupRouter(self.messenger, node.clock)
         for group in hosted_ids(config):
             state = self.state if group == ROOT_GROUP else ReplicatedState(config.state)
-            opened = yield open_group(
-                group, config, self._seams, identity.ok, state, self.messenger, router
-            )
+            opened = yield open_group(group, config, self._seams, identity.ok, state, router)
             if opened.is_error():
                 return Error(opened.error)
             self.hosted[group] = opened.ok
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -1,6 +1,10 @@
-"""Runs one member of a group: messages, timers, storage, the state machine."""
+"""Runs one member of a group: carries out what the consensus core decides.
+
+Owns the order in which effects are carried out, the member's wake-up timer, and the answers to
+proposals and reads. Relies on ``core`` for every decision, on ``sync_queue`` for writes, on
+``apply_loop`` for the state machine and on ``snapshot_worker`` for snapshots.
+"""
 
-import random as random_module
 from collections import deque
 from collections.abc import Callable
 from typing import Any
@@ -8,24 +12,26 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, succeed
 
-from rainsail.consensus import repair
+from rainsail.consensus import open_group, repair
 from rainsail.consensus.applier import Applier, ProposalResult, leadership_lost
+from rainsail.consensus.apply_loop import ApplyLoop
 from rainsail.consensus.core import ConsensusCore
 from rainsail.consensus.core_state import Role
 from rainsail.consensus.effects import Effects, Outgoing
 from rainsail.consensus.group_status import GroupStatusReply
 from rainsail.consensus.leadership import Leadership
+from rainsail.consensus.log_window import LogWindow
 from rainsail.consensus.member_log import (
     log_acknowledged_lost,
     log_snapshot_refused,
     log_stranger,
 )
-from rainsail.consensus.membership import Membership, MemberSpec
+from rainsail.consensus.member_seams import GroupMember, MemberSeams
+from rainsail.consensus.membership import Membership
 from rainsail.consensus.messages import GroupMessage
 from rainsail.consensus.proposal_queue import ProposalQueue
 from rainsail.consensus.read_barriers import ReadBarriers
 from rainsail.consensus.recovery import recover_log
-from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.consensus.snapshot_worker import SnapshotWorker
 from rainsail.consensus.status import status_reply
@@ -33,87 +39,58 @@
 from rainsail.consensus.sync_watch import SyncWatch
 from rainsail.consensus.wake_timer import WakeTimer
 from rainsail.errors import Fault, FaultCode
-from rainsail.runtime.clock import Clock
-from rainsail.state.command_basics import GroupId
-from rainsail.state.state_machine import StateMachine
-from rainsail.storage.identity import ReplicaIdentity
-from rainsail.storage.interface import GroupStorage
-from rainsail.wire.codec import CodecError
-from rainsail.wire.messenger import Messenger
 
 
 class GroupDriver:
     """One member of a replicated group; implements ``rainsail.consensus.interface.Group``."""
 
     def __init__(
-        self,
-        group: GroupId,
-        replica: str,
-        identity: ReplicaIdentity,
-        storage: GroupStorage,
-        state_machine: StateMachine,
-        messenger: Messenger,
-        clock: Clock,
-        random: random_module.Random,
-        settings: ConsensusSettings,
-        bootstrap: tuple[MemberSpec, ...],
-        encode_command: Callable[[Any], bytes],
-        router: GroupRouter | None = None,
-        started_s: float | None = None,
+        self, member: GroupMember, seams: MemberSeams, settings: ConsensusSettings
     ) -> None:
-        """``encode_command`` makes the payload of a log entry of one of this group's commands.
-
-        ``started_s`` is when the process began, by ``clock``; None stands for now.
-        """
-        self.group = group
+        self.group = member.group
         self.settings = settings
-        self._clock = clock
-        self._state_machine = state_machine
-        self._router = router if router is not None else GroupRouter(messenger, clock)
-        log = recover_log(storage, state_machine)
-        names = tuple(member.replica for member in bootstrap)
-        self._replicas = frozenset(names)
-        self.core = ConsensusCore(
-            group,
-            replica,
-            identity.identity,
-            names,
-            settings,
-            random,
-            storage.hard_state,
-            log,
-            clock.seconds(),
-            started_s,
-        )
-        self._applier = Applier(log, state_machine, log.base_index)
-        self._sync_queue = SyncQueue(storage, self._send, self._synced, self._fatal)
+        self._founders = frozenset(member.founders)
+        self._clock = seams.clock
+        self._router = seams.router
+        self._state_machine = seams.state_machine
+        log = recover_log(seams.storage, seams.state_machine)
+        self.core = _new_core(member, seams, settings, log)
+        self._effects: deque[Effects] = deque()
+        self._taking = False
+        self._stopped = False
+        self._fatal_listeners: list[Callable[[Fault], None]] = []
+        self._timer = WakeTimer(self._clock, self._wake)
+        self._leadership = Leadership()
+        self._applier = Applier(log, seams.state_machine, log.base_index)
+        self._reads = ReadBarriers(self._applier)
+        self._sync_queue = SyncQueue(seams.storage, self._send, self._synced, self._fatal)
         self._sync_watch = SyncWatch(settings.sync_stall_s)
         self._snapshots = SnapshotWorker(
-            storage,
-            state_machine,
+            seams.storage,
+            seams.state_machine,
             self._applier,
             self.core,
-            clock,
+            self._clock,
             self._send,
             self._take,
             self._fatal,
         )
-        self._effects: deque[Effects] = deque()
-        self._taking = False
-        self._apply_planned = False
-        self._timer = WakeTimer(clock, self._wake)
-        self._stopped = False
-        self._leadership = Leadership()
-        self._fatal_listeners: list[Callable[[Fault], None]] = []
-        self._reads = ReadBarriers(self._applier)
+        self._apply_loop = ApplyLoop(
+            self.core.state,
+            self._applier,
+            self._snapshots,
+            self._leadership,
+            self._clock,
+            self._fatal,
+        )
         self._proposals = ProposalQueue(
             self.core,
             self._applier,
             self._sync_queue,
-            clock,
+            self._clock,
             self._take,
             self._not_leader,
-            encode_command,
+            seams.encode_command,
         )
 
     # --- life cycle ----------------------------------------------------------------------
@@ -131,6 +108,7 @@
         self._router.remove(self.group)
         self._sync_queue.stop()
         self._snapshots.stop()
+        self._apply_loop.stop()
         self._timer.cancel()
         self._end_leadership()
         self._proposals.stop()
@@ -216,9 +194,7 @@
 
     def open_to(self, contacts: tuple[str, ...], target_voters: int) -> None:
         """Let replicas that were not founders join; ``contacts`` are those known by now."""
-        state = self.core.state
-        state.target_voters = target_voters
-        state.contacts = tuple(name for name in contacts if name != state.replica)
+        open_group.open_to(self.core.state, contacts, target_voters)
 
     def let_go(self, replicas: frozenset[str]) -> None:
         """Move the group off these replicas; a leader among them hands its leadership over."""
@@ -228,27 +204,12 @@
         """Return the latest membership in this member's log."""
         return self.core.state.membership
 
-    def _is_contact(self, source: str) -> bool:
-        state = self.core.state
-        if not state.target_voters:
-            return False
-        return source in state.contacts or bool(state.membership.named(source))
-
-    def _leave_when_asked(self, now: float) -> None:
-        """Hand leadership over when this replica is to leave and others can do without it."""
-        state = self.core.state
-        if state.replica not in state.leaving or state.role != Role.LEADER:
-            return
-        if len(state.membership.voters()) > state.target_voters:
-            _, effects = self.core.transfer_leadership(now)
-            self._take(effects)
-
     # --- inputs --------------------------------------------------------------------------
 
     def _receive(self, source: str, message: GroupMessage) -> None:
         if self._stopped:
             return
-        if source not in self._replicas and not self._is_contact(source):
+        if source not in self._founders and not open_group.may_speak(self.core.state, source):
             log_stranger(source, message)
             return
         self._take(self.core.receive(source, message, self._clock.seconds()))
@@ -268,18 +229,25 @@
             return
         now = self._clock.seconds()
         self._take(self.core.tick(now))
-        self._leave_stalled_disk(now)
-        self._leave_when_asked(now)
+        if self._leads_on_stalled_disk(now):
+            self._hand_over(now)
+        if open_group.should_hand_over(self.core.state):
+            self._hand_over(now)
         membership = repair.next_membership(self.core.state, now)
         if membership is not None and not self._stopped:
             self.change_membership(membership)
 
-    def _leave_stalled_disk(self, now: float) -> None:
-        """Hand leadership over when the own disk finishes no sync: nothing new is appended."""
+    def _leads_on_stalled_disk(self, now: float) -> bool:
+        """Tell whether the own disk finishes no sync while this member leads.
+
+        Nothing new would be committed until another replica leads.
+        """
         stalled = self._sync_watch.is_stalled(self._sync_queue.running_sequence, now)
-        if stalled and self.core.state.role == Role.LEADER:
-            _, effects = self.core.transfer_leadership(now)
-            self._take(effects)
+        return stalled and self.core.state.role == Role.LEADER
+
+    def _hand_over(self, now: float) -> None:
+        _, effects = self.core.transfer_leadership(now)
+        self._take(effects)
 
     # --- effects -------------------------------------------------------------------------
 
@@ -308,8 +276,7 @@
         if effects.install is not None:
             self._snapshots.install(effects.install)
         if effects.commit_index:
-            self._applier.commit_index = max(self._applier.commit_index, effects.commit_index)
-            self._plan_apply()
+            self._apply_loop.commit_to(effects.commit_index)
         self._reads.answer(effects, self._not_leader)
         for lost in effects.acknowledged_lost:
             log_acknowledged_lost(lost)
@@ -320,40 +287,25 @@
         for outgoing in messages:
             self._router.send(outgoing.replica, outgoing.message)
 
-    def _plan_apply(self) -> None:
-        if not self._apply_planned:
-            self._apply_planned = True
-            self._clock.callLater(0, self._apply)
-
-    def _apply(self) -> None:
-        self._apply_planned = False
-        if self._stopped or self._snapshots.installing:
-            return
-        try:
-            more = self._applier.apply_batch(self.settings.max_apply_batch)
-        except CodecError as error:
-            index = self._applier.applied_index + 1
-            detail = f"group {self.group}: entry {index} can't be read: {error}"
-            self._fatal(Fault(FaultCode.STORAGE, "consensus.apply", detail))
-            return
-        if self._stopped:
-            return
-        self._announce_leadership()
-        self._snapshots.take_when_due()
-        if more:
-            self._plan_apply()
-
-    # --- leadership ----------------------------------------------------------------------
-
-    def _announce_leadership(self) -> None:
-        state = self.core.state
-        if self._leadership.announced or state.role != Role.LEADER:
-            return
-        if self._applier.applied_index >= state.term_start_index:
-            self._leadership.begin()
-
     def _end_leadership(self) -> None:
         fault = leadership_lost(self.core.state.leader_replica)
         self._applier.fail_waiting(fault)
         self._proposals.refuse_all()
         self._leadership.end()
+
+
+def _new_core(
+    member: GroupMember, seams: MemberSeams, settings: ConsensusSettings, log: LogWindow
+) -> ConsensusCore:
+    return ConsensusCore(
+        member.group,
+        member.replica,
+        member.identity.identity,
+        member.founders,
+        settings,
+        seams.random,
+        seams.storage.hard_state,
+        log,
+        seams.clock.seconds(),
+        seams.process_started_s,
+    )
--- a/src/rainsail/fleet/group_folder.py
+++ b/src/rainsail/fleet/group_folder.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok, Result
 
 from rainsail.consensus.driver import GroupDriver
-from rainsail.consensus.membership import MemberSpec
+from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.consensus.status import losses_borne
@@ -75,23 +75,18 @@
         """Make the group's driver; ``founders`` found it when all of them are empty."""
         assert self._identity is not None and self._storage is not None
         base = self._base
-        router = GroupRouter(base.messenger, base.clock)
+        member = GroupMember(self._group, base.node.address, self._identity, founders)
+        seams = MemberSeams(
+            self._storage,
+            state,
+            GroupRouter(base.messenger, base.clock),
+            base.clock,
+            base.random,
+            encode_fleet_command,
+            base.started_s,
+        )
         try:
-            driver = GroupDriver(
-                self._group,
-                base.node.address,
-                self._identity,
-                self._storage,
-                state,
-                base.messenger,
-                base.clock,
-                base.random,
-                group_settings(base.settings),
-                tuple(MemberSpec(name, "", True) for name in founders),
-                encode_fleet_command,
-                router,
-                base.started_s,
-            )
+            driver = GroupDriver(member, seams, group_settings(base.settings))
         except (CodecError, RainsailError) as error:
             detail = f"group {self._group}: its snapshot or log can't be read: {error}"
             return Error(Fault(FaultCode.STORAGE, "fleet.open_group", detail))
