--- a/features/steps/committed_copy_steps.py
+++ b/features/steps/committed_copy_steps.py
@@ -31,7 +31,7 @@
 def uncommitted(context, version):
     fleet = context.fleet
     fleet.isolate("controller-1")
-    done = fleet.controller("controller-1").replace_table(version, str(version).encode())
+    done = fleet.controller("controller-1").tables.replace(version, str(version).encode())
     assert fleet.result_of(done, "an answer to the order").is_error()
     fleet.rejoin("controller-1")
 
@@ -49,7 +49,7 @@
     until_s = fleet.clock.seconds() + TRIES_S
     while True:
         fleet.leader("controller")
-        done = fleet.controller("controller-2").replace_table(version, str(version).encode())
+        done = fleet.controller("controller-2").tables.replace(version, str(version).encode())
         if fleet.result_of(done, "an answer to the order").is_ok():
             break
         assert fleet.clock.seconds() < until_s
--- a/features/steps/large_start_steps.py
+++ b/features/steps/large_start_steps.py
@@ -48,7 +48,7 @@
     if fleet.nodes[at].role.controller is None:
         fleet.clock.callLater(0.3, _speak, fleet, at, record, controllers)
         return
-    fleet.controller(at).runner_word(record).addCallback(take)
+    fleet.controller(at).reports.take(record).addCallback(take)
 
 
 @then("every gateway has table {version:d} and knows {count:d} runners within {seconds:g} seconds")
@@ -125,7 +125,7 @@
     voters = set(fleet.nodes["gateway-1"].base.follower.voters())
     aside = [name for name in fleet.names("controller") if fleet.address(name) not in voters]
     record = replace(_record(5), state=RunnerState.DRAINING, sequence=2)
-    done = fleet.controller(aside[-1]).runner_word(record)
+    done = fleet.controller(aside[-1]).reports.take(record)
     assert fleet.result_of(done, "an acknowledgement").is_ok()
     fleet.run_for(0.5)
 
--- a/features/steps/platform_translation_steps.py
+++ b/features/steps/platform_translation_steps.py
@@ -269,14 +269,15 @@
     def __init__(self):
         self.told = []
         self.gone = []
+        self.reports = self
 
-    def runner_gone(self, runner, born=None):
+    def take_end(self, runner, born=None):
         """Note a leave."""
         self.gone.append((runner, born))
         return succeed(Ok(None))
 
-    def runner_word(self, record):
-        """Note a word."""
+    def take(self, record):
+        """Note a report."""
         self.told.append(record)
         return succeed(Ok(None))
 
--- a/features/steps/queue_limit_steps.py
+++ b/features/steps/queue_limit_steps.py
@@ -6,6 +6,7 @@
 from twisted.internet.defer import succeed
 
 from rainsail.cluster.leader_calls import LeaderCaller
+from rainsail.cluster.messages import ReadTable
 from rainsail.errors import Fault, FaultCode, Outcome
 from rainsail.fleet_api.replies import reply_fault
 from rainsail.simulation.clock import VirtualClock
@@ -113,7 +114,7 @@
     messenger = _Messenger((FIRST_FAULTS[first], over))
     caller = LeaderCaller(messenger, clock, None, lambda: ("storage-1",))
     results = []
-    caller.call("a job", None, WITHIN_S, repeatable=True).addCallback(results.append)
+    caller.call(ReadTable(), None, WITHIN_S, repeatable=True).addCallback(results.append)
     clock.advance(WITHIN_S)
     context.exchange = _Exchange()
     reply_fault(context.exchange, results[0].error)
--- a/features/steps/relayed_fleet_steps.py
+++ b/features/steps/relayed_fleet_steps.py
@@ -57,7 +57,7 @@
 
 
 def _send_table(context, version, name):
-    return context.fleet.controller(name).replace_table(version, str(version).encode())
+    return context.fleet.controller(name).tables.replace(version, str(version).encode())
 
 
 @step("an operator sends table {version:d} to controller {number:d}")
@@ -95,7 +95,7 @@
 
 
 def _read(context, name):
-    return context.fleet.result_of(context.fleet.controller(name).read_table(), "a read")
+    return context.fleet.result_of(context.fleet.controller(name).tables.read(), "a read")
 
 
 def _read_gives(context, name, version):
@@ -105,7 +105,7 @@
         if context.fleet.controller(name) is None:
             context.fleet.run_for(0.05)
             return False
-        done = context.fleet.controller(name).read_table()
+        done = context.fleet.controller(name).tables.read()
         results.append(context.fleet.result_of(done, "a read"))
         return results[-1].is_ok()
 
@@ -138,7 +138,7 @@
 
 @then("a runner that drains there gets no acknowledgement")
 def drain_unacknowledged(context):
-    done = context.fleet.controller(context.cut).runner_word(runner_record(5, "draining", 2))
+    done = context.fleet.controller(context.cut).reports.take(runner_record(5, "draining", 2))
     assert context.fleet.result_of(done, "an answer").is_error()
 
 
@@ -205,7 +205,7 @@
 def runner_says(context, number, at, state):
     sequence = 1 if state == "ready" else 2
     controller = context.fleet.controller(f"controller-{at}")
-    done = controller.runner_word(runner_record(number, state, sequence))
+    done = controller.reports.take(runner_record(number, state, sequence))
     context.word = context.fleet.result_of(done, "an answer to the runner")
     if state == "ready":
         context.fleet.run_for(1.5)
--- a/features/steps/relayed_job_steps.py
+++ b/features/steps/relayed_job_steps.py
@@ -25,8 +25,8 @@
     fleet.leader("controller")
     fleet.leader("storage")
     controller = fleet.controller("controller-1")
-    assert fleet.result_of(controller.replace_table(1, b"1"), "a table").is_ok()
-    controller.runner_word(replace(runner_record(1), slots=slots))
+    assert fleet.result_of(controller.tables.replace(1, b"1"), "a table").is_ok()
+    controller.reports.take(replace(runner_record(1), slots=slots))
     fleet.run_for(1.5)
     context.job_size = 0
 
--- a/features/steps/relayed_soak_steps.py
+++ b/features/steps/relayed_soak_steps.py
@@ -9,10 +9,10 @@
 from features.support.relayed_soak import KEPT_DISK_KINDS, RelayedSoak, SoakPlan
 from twisted.internet.defer import Deferred
 
-from rainsail.cluster.controller import FleetController
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.messages import RunnerState, ZoneDrainAnswer
 from rainsail.cluster.registry import RunnerRegistry
+from rainsail.cluster.table_service import TableService
 from rainsail.cluster.zone_drain_orders import ZoneDrainOrders
 from rainsail.consensus.driver import GroupDriver
 from rainsail.errors import Fault, FaultCode
@@ -116,7 +116,8 @@
 
 
 def _submit_always(self, message):
-    proposed = self._group.propose(ReplaceTable(message.version, message.content))
+    command = ReplaceTable(message.version, message.content)
+    proposed = self._context.group.propose(command)
     return proposed.addCallback(lambda result: result.error if result.is_error() else Done())
 
 
@@ -138,7 +139,7 @@
 
 
 def _read_at_once(self, message):
-    return self._document()
+    return self._applied_document()
 
 
 def _take_any_note(self, note):
@@ -180,7 +181,7 @@
     ),
     "any table replaces the one held": (
         (FleetState, "apply", _take_any_table(FleetState.apply)),
-        (FleetController, "_submit_as_leader", _submit_always),
+        (TableService, "_submit_as_leader", _submit_always),
     ),
     "an event that comes twice is taken twice": ((ItemProgress, "take", _take_every_event),),
     "nodes send to drained zones": ((RunnerRegistry, "_may_get_work", _send_to_drained_zones),),
@@ -197,9 +198,7 @@
     "the last word at an address ends the runner before it": (
         (RunnerRegistry, "_give_address", _end_former),
     ),
-    "a leader answers reads without its lease": (
-        (FleetController, "_read_as_leader", _read_at_once),
-    ),
+    "a leader answers reads without its lease": ((TableService, "_read_as_leader", _read_at_once),),
 }
 
 
--- a/features/steps/residency_steps.py
+++ b/features/steps/residency_steps.py
@@ -197,7 +197,7 @@
     fleet.run_for(1.5)
     for number in (3, 6, 4, 5):
         record = runner_record(number, zone=f"zone-{number % 3}")
-        done = fleet.controller("controller-1").runner_word(record)
+        done = fleet.controller("controller-1").reports.take(record)
         assert fleet.result_of(done, "an answer to the runner").is_ok()
     context.table_version = 0
     allow_jobs(context, "east")
@@ -208,7 +208,7 @@
 def allow_jobs(context, region):
     context.table_version += 1
     content = f"{context.table_version} {region}".encode()
-    done = context.fleet.controller("controller-1").replace_table(context.table_version, content)
+    done = context.fleet.controller("controller-1").tables.replace(context.table_version, content)
     assert context.fleet.result_of(done, "an answer to the table").is_ok()
     context.fleet.run_for(1.5)
 
--- a/features/steps/runner_journal_steps.py
+++ b/features/steps/runner_journal_steps.py
@@ -19,7 +19,7 @@
 @when("the runner of {zone} says at controller {number:d} that it leaves")
 def leaves(context, zone, number):
     record = runner_record(ZONE_RUNNERS[zone], "draining", 2, zone)
-    done = context.fleet.controller(f"controller-{number}").runner_word(record)
+    done = context.fleet.controller(f"controller-{number}").reports.take(record)
     context.leaving = context.fleet.result_of(done, "an answer to the runner")
 
 
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -162,7 +162,7 @@
     fleet.leader("controller")
     fleet.run_for(2.0)
     for born, count in ((first, n), (second, m)):
-        done = fleet.controller("controller-1").runner_word(word(runner, born, "ready", count))
+        done = fleet.controller("controller-1").reports.take(word(runner, born, "ready", count))
         assert fleet.result_of(done, "the word is taken").is_ok()
     fleet.run_for(2.0)
 
@@ -181,7 +181,7 @@
 
 @when('runner "{runner}" born at {born:d} says "{state}" with count {n:d}')
 def says(context, runner, born, state, n):
-    done = context.fleet.controller("controller-2").runner_word(word(runner, born, state, n))
+    done = context.fleet.controller("controller-2").reports.take(word(runner, born, state, n))
     context.fleet.result_of(done, "the word is answered")
     context.fleet.run_for(2.0)
 
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -29,7 +29,7 @@
 
 
 def _say(context, name, record):
-    done = context.fleet.controller(name).runner_word(record)
+    done = context.fleet.controller(name).reports.take(record)
     return context.fleet.result_of(done, "an answer to the runner")
 
 
@@ -219,7 +219,7 @@
     "{zone} at controller {two:d}"
 )
 def race_with_table(context, version, one, zone, two):
-    table = context.fleet.controller(f"controller-{one}").replace_table(
+    table = context.fleet.controller(f"controller-{one}").tables.replace(
         version, str(version).encode()
     )
     order = _order(context, f"controller-{two}", zone, True)
@@ -275,7 +275,7 @@
     _say(context, "controller-1", context.living)
     fleet.run_for(1.5)
     crashed = replace(runner_record(6, zone="zone-0"), address=context.living.address)
-    fleet.controller("controller-2").runner_word(crashed)
+    fleet.controller("controller-2").reports.take(crashed)
     fleet.run_for(0.1)
     assert not any(node.base.registry.is_ready(LIVING) for node in fleet.nodes.values())
 
--- a/features/support/fatal_request_fleet.py
+++ b/features/support/fatal_request_fleet.py
@@ -79,7 +79,7 @@
     def put_table(self, version: int) -> None:
         """Put a table in force."""
         controller = self.controller(self.names("controller")[0])
-        done = controller.replace_table(version, str(version).encode())
+        done = controller.tables.replace(version, str(version).encode())
         assert self.result_of(done, "a table").is_ok()
 
     def table_of(self, content: bytes) -> Any:
@@ -126,7 +126,7 @@
         """Hand a runner's word to a controller that is there."""
         names = [name for name in self.names("controller") if self.controller(name) is not None]
         if names:
-            self.controller(self._draw.choice(sorted(names))).runner_word(record)
+            self.controller(self._draw.choice(sorted(names))).reports.take(record)
 
     # --- clients -------------------------------------------------------------------------
 
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -180,7 +180,7 @@
         known = self.runners[name]
         record = replace(known, state=state, sequence=known.sequence + 1)
         self.runners[name] = record
-        controller.runner_word(record).addCallback(self._word_taken, name, state)
+        controller.reports.take(record).addCallback(self._word_taken, name, state)
 
     def _word_taken(self, result: Any, name: str, state: RunnerState) -> None:
         if result.is_ok() and state == RunnerState.DRAINING:
@@ -282,7 +282,7 @@
     def _say_late(self, record: RunnerRecord) -> None:
         controller = self._controller()
         if controller is not None:
-            controller.runner_word(record)
+            controller.reports.take(record)
 
     def _send_table(self) -> None:
         controller = self._controller()
@@ -294,7 +294,7 @@
             version = self.version
         elif self.random.random() < 0.5:
             version = max(1, version - 1)
-        done = controller.replace_table(version, self._content(version))
+        done = controller.tables.replace(version, self._content(version))
         done.addCallback(self._table_taken, version)
 
     def _content(self, version: int) -> bytes:
@@ -310,7 +310,7 @@
     def _read_table(self) -> None:
         controller = self._controller()
         if controller is not None:
-            controller.read_table().addCallback(self._table_read, self.tables.newest)
+            controller.tables.read().addCallback(self._table_read, self.tables.newest)
 
     def _table_read(self, result: Any, least: int) -> None:
         if result.is_ok():
--- /dev/null
+++ b/src/rainsail/cluster/fleet_views.py
@@ -0,0 +1,98 @@
+"""What a controller knows of the fleet's nodes, and the view of it that heartbeats are answered by.
+
+Relies on the root group's membership and state, on the directory of nodes that send heartbeats
+here, and, while this controller is outside the group, on what its own follower has heard.
+"""
+
+from rainsail.cluster.beat_answers import NumberedView
+from rainsail.cluster.controller_context import ControllerContext
+from rainsail.cluster.followed import MOST_FOLLOWED_WHOLE
+from rainsail.cluster.messages import FleetView, NodeRole
+
+GATEWAYS_ROUNDED_TO = 32
+"""The count of gateways is rounded up to a multiple of this, so that a view seldom changes.
+
+Not measured; it has to be larger than the number of gateways that start or end in a minute.
+"""
+
+
+class FleetViews:
+    """Makes the view of one controller, and answers who the other controllers are."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self._context = context
+        self._numbered = NumberedView(self._make)
+
+    @property
+    def number(self) -> int:
+        """The number of the latest view; it rises whenever the view changes."""
+        return self._numbered.number
+
+    def current(self) -> FleetView:
+        """Return the view of now, or of a moment ago."""
+        return self._numbered.current(self._context.clock.seconds())
+
+    def voters(self) -> tuple[str, ...]:
+        """Return the root group's voters; a controller outside the group knows them by hearsay."""
+        own = tuple(member.replica for member in self._context.group.members().voters())
+        return own or self._context.follower.voters()
+
+    def other_controllers(self) -> list[str]:
+        """Return the controllers to ask when this one does not lead."""
+        context = self._context
+        known = {*self._make(context.clock.seconds()).controllers, *self._heard_controllers()}
+        named = self.voters() or known
+        return sorted(name for name in named if name != context.node.address)
+
+    def is_followed(self) -> bool:
+        """Tell whether nodes send heartbeats to this controller, so that its pushes reach them."""
+        known = {*self._numbered.view.controllers, *self._heard_controllers()}
+        return self._context.node.address in self.voters() or len(known) <= MOST_FOLLOWED_WHOLE
+
+    def contacts(self) -> tuple[str, ...]:
+        """Return the controllers that may join, or whom this one asks to let it join.
+
+        Before the first heartbeats arrive a controller knows the others from its seeds alone.
+        """
+        context = self._context
+        known = {*self.current().controllers, *self._heard_controllers()}
+        members = self._members()
+        asked = members or set(context.follower.view().voters)
+        if context.node.address in members or len(known) <= MOST_FOLLOWED_WHOLE or not asked:
+            return tuple(sorted(known))
+        return tuple(sorted(asked))
+
+    def zones(self) -> frozenset[str]:
+        """Return the fleet's zones: as the settings name them, else as nodes and runners do."""
+        context = self._context
+        return context.settings.zones or context.directory.zones() | context.registry.zones()
+
+    def _members(self) -> set[str]:
+        return {member.replica for member in self._context.group.members().members}
+
+    def _heard_controllers(self) -> tuple[str, ...]:
+        return self._context.follower.view().controllers
+
+    def _make(self, now: float) -> FleetView:
+        context = self._context
+        directory = context.directory
+        controllers = {context.node.address, *self._members()}
+        controllers.update(directory.addresses(NodeRole.CONTROLLER, now))
+        leading = directory.ledger_status(now)
+        return FleetView(
+            tuple(sorted(controllers)),
+            directory.addresses(NodeRole.STORAGE, now),
+            context.state.founders,
+            context.state.released,
+            "" if leading is None else leading[0],
+            tuple(member.replica for member in context.group.members().voters()),
+            () if leading is None else leading[1].voters,
+            0 if leading is None else leading[1].term,
+            _rounded_up(len(directory.live(NodeRole.GATEWAY, now))),
+            context.registry.zone_drains.orders(),
+            context.follower.quarantine.current,
+        )
+
+
+def _rounded_up(count: int) -> int:
+    return -(-count // GATEWAYS_ROUNDED_TO) * GATEWAYS_ROUNDED_TO
--- a/src/rainsail/fleet/controller_role.py
+++ b/src/rainsail/fleet/controller_role.py
@@ -6,7 +6,9 @@
 from expression import Error, Ok, Result
 
 from rainsail.cluster.committed_copy import CommittedCopies
-from rainsail.cluster.controller import ControllerSettings, FleetController
+from rainsail.cluster.controller import FleetController
+from rainsail.cluster.controller_context import ControllerContext, ControllerSettings
+from rainsail.cluster.directory import NodeDirectory
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.founders import voters_for
 from rainsail.cluster.runner_journal import RunnerJournal
@@ -59,19 +61,10 @@
         committed = self._committed.load()
         base.follower.take_zone_drains(committed.zone_drains)
         base.follower.take_quarantine(committed.quarantine)
-        losses = base.settings.node.losses
-        driver.open_to(base.settings.seed_controllers(), voters_for(losses))
+        context = self._context(driver)
+        driver.open_to(base.settings.seed_controllers(), voters_for(context.settings.losses))
         self.controller = FleetController(
-            base.node,
-            driver,
-            self.state,
-            base.follower,
-            base.messenger,
-            base.clock,
-            ControllerSettings(losses=losses, zones=frozenset(base.settings.node.zones)),
-            self._journal,
-            self._committed,
-            self._services_of,
+            context, self._journal, self._committed, self._services_of
         )
         quarantine = self.controller.quarantine
         base.metrics.gauge("requests_suspected", lambda: float(quarantine.suspects))
@@ -80,6 +73,23 @@
         base.follower.start()
         return Ok(None)
 
+    def _context(self, driver: GroupDriver) -> ControllerContext:
+        base = self._base
+        node_settings = base.settings.node
+        settings = ControllerSettings(
+            losses=node_settings.losses, zones=frozenset(node_settings.zones)
+        )
+        return ControllerContext(
+            base.node,
+            driver,
+            self.state,
+            NodeDirectory(),
+            base.follower,
+            base.messenger,
+            base.clock,
+            settings,
+        )
+
     def _services_of(self, content: bytes) -> frozenset[str] | None:
         """Return the services of a routing table, None when there is none or it can't be read."""
         if self._read_table is None or not content:
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -81,7 +81,7 @@
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", str(error)))
             return
-        self._answer(exchange, self._controller.runner_word(record))
+        self._answer(exchange, self._controller.reports.take(record))
 
     def _take_leave(self, exchange: Exchange, runner: str) -> None:
         try:
@@ -89,7 +89,7 @@
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", str(error)))
             return
-        self._answer(exchange, self._controller.runner_gone(runner, born))
+        self._answer(exchange, self._controller.reports.take_end(runner, born))
 
     def _replace_table(self, exchange: Exchange) -> None:
         content = exchange.request.body
@@ -97,10 +97,10 @@
         if table.is_error():
             reply_fault(exchange, table.error)
             return
-        self._answer(exchange, self._controller.replace_table(table.ok.version, content))
+        self._answer(exchange, self._controller.tables.replace(table.ok.version, content))
 
     def _read_table(self, exchange: Exchange) -> None:
-        done = self._controller.read_table()
+        done = self._controller.tables.read()
 
         def answer(result) -> None:  # type: ignore[no-untyped-def]
             if result.is_error():
