--- a/features/steps/job_urgency_steps.py
+++ b/features/steps/job_urgency_steps.py
@@ -2,10 +2,10 @@
 
 from behave import given, step, then, when
 
+from rainsail.jobs.item_order import ItemOrder
 from rainsail.jobs.job_state import NO_EVENT
-from rainsail.jobs.urgency import ItemOrder
-from rainsail.jobs.waiting import WaitingItems
-from rainsail.jobs.work import Work
+from rainsail.jobs.open_item import OpenItem
+from rainsail.jobs.waiting_items import WaitingItems
 from rainsail.state.job_commands import ItemNote
 
 SERVICE = "service"
@@ -34,11 +34,11 @@
 @given("items get {slots:d} slots on average")
 def slots_on_average(context, slots):
     for now in range(-20, 0):
-        context.order.room_seen(SERVICE, float(slots), float(now))
+        context.order.on_slots_seen(SERVICE, float(slots), float(now))
 
 
 def _accept(context, job, count, now, within_s):
-    works = [Work(job, index) for index in range(count)]
+    works = [OpenItem(job, index) for index in range(count)]
     context.works.update({f"{job}{work.index}": work for work in works})
     context.order.due.set_due(job, float(now), float(within_s))
     context.waiting.add_job(job, works)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -3,7 +3,7 @@
 from behave import then, when
 from features.support.drawn_load import DueFirst, LoadRun, draw_load
 
-from rainsail.jobs.urgency import ItemOrder
+from rainsail.jobs.item_order import ItemOrder
 
 SEEDS = (1, 8, 15, 22)
 
--- a/features/steps/relayed_job_steps.py
+++ b/features/steps/relayed_job_steps.py
@@ -401,7 +401,7 @@
     node = context.fleet.nodes[context.frozen]
     node.role.dispatcher.online.clear()
     # Timers that were due while the process stood still may run in any order: this one first.
-    node.role.dispatcher._tick()
+    node.role.dispatcher._run_periodically()
     context.fleet.thaw(context.frozen)
     context.fleet.run_for(3.0)
 
--- a/features/steps/relayed_soak_steps.py
+++ b/features/steps/relayed_soak_steps.py
@@ -17,11 +17,11 @@
 from rainsail.consensus.driver import GroupDriver
 from rainsail.errors import Fault, FaultCode
 from rainsail.fleet import group_folder
-from rainsail.jobs import dispatcher, ledger_service
+from rainsail.jobs import ledger_service, open_jobs
 from rainsail.jobs.item_run import ItemProgress
 from rainsail.jobs.job_state import NO_EVENT, JobState
 from rainsail.jobs.ledger_service import LedgerService, page_of
-from rainsail.jobs.work import taken_up
+from rainsail.jobs.open_item import resume_item
 from rainsail.state.cluster_commands import ReplaceTable, ZoneDrain
 from rainsail.state.commands import Done
 from rainsail.state.job_commands import NoteProgress
@@ -150,10 +150,10 @@
     job.notes[note.index] = replace(note, after_event=NO_EVENT, texts=texts)
 
 
-def _taken_up_from_the_start(job, index):
-    work = taken_up(job, index)
-    work.progress.last_event = None
-    return work
+def _resumed_from_the_start(job, index):
+    item = resume_item(job, index)
+    item.progress.last_event = None
+    return item
 
 
 def _page_by_item(job, after):
@@ -172,7 +172,7 @@
 DEFECTS = {
     "a note is taken wherever it begins": ((JobState, "_note", _take_any_note),),
     "an item that is taken up begins anew behind its old text": (
-        (dispatcher, "taken_up", _taken_up_from_the_start),
+        (open_jobs, "resume_item", _resumed_from_the_start),
     ),
     "results stand in the order of the items": ((ledger_service, "page_of", _page_by_item),),
     "every storage node answers reads from what it has": (
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -3,9 +3,9 @@
 from behave import given, then, when
 from features.support.drawn_load import LoadRun, draw_load
 
-from rainsail.jobs.overload import Demand
+from rainsail.jobs.feasibility import Demand
+from rainsail.jobs.item_order import ItemOrder
 from rainsail.jobs.reserve import Reserve, slots_needed
-from rainsail.jobs.urgency import ItemOrder
 
 SERVICE = "service"
 SEEDS = (1, 8, 15, 22)
@@ -29,7 +29,7 @@
 
 @when("online work takes {online:d} slots at second {now:d}")
 def online_takes(context, online, now):
-    context.reserve.online_seen(SERVICE, online, float(now))
+    context.reserve.on_online_seen(SERVICE, online, float(now))
 
 
 def _limit(context):
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -153,7 +153,7 @@
     fleet = context.fleet
     pool = fleet.pools[context.former]
     context.sent_before = len(pool.calls)
-    fleet.nodes[context.former].role.dispatcher._start_items()
+    fleet.nodes[context.former].role.dispatcher._starter.start_items()
     fleet.thaw(context.former)
     fleet.run_for(0.05)
 
--- a/features/support/drawn_load.py
+++ b/features/support/drawn_load.py
@@ -7,10 +7,10 @@
 import random
 from dataclasses import dataclass
 
+from rainsail.jobs.item_order import ItemOrder
 from rainsail.jobs.job_state import NO_EVENT
-from rainsail.jobs.urgency import ItemOrder
-from rainsail.jobs.waiting import WaitingItems
-from rainsail.jobs.work import Work
+from rainsail.jobs.open_item import OpenItem
+from rainsail.jobs.waiting_items import WaitingItems
 from rainsail.state.job_commands import ItemNote
 
 SERVICE = "service"
@@ -142,7 +142,7 @@
 
     def _accept(self, at_s, lengths):
         job = f"job at {at_s}"
-        works = [Work(job, index) for index in range(len(lengths))]
+        works = [OpenItem(job, index) for index in range(len(lengths))]
         self._events.update({(job, index): events for index, events in enumerate(lengths)})
         self._order.due.set_due(job, at_s, self._load.due_s)
         self._waiting.add_job(job, works)
@@ -150,13 +150,13 @@
     def _plan(self, free, now):
         order, waiting = self._order, self._waiting
         order.begin_plan()
-        order.room_seen(SERVICE, free, now)
+        order.on_slots_seen(SERVICE, free, now)
         begun = [*waiting.put_back_items, *self._running]
         order.plan(SERVICE, waiting.fresh(), begun, now)
 
     def _plan_reserve(self, free, now):
         if self._reserve is not None:
-            self._reserve.online_seen(SERVICE, self._load.slots - free, now)
+            self._reserve.on_online_seen(SERVICE, self._load.slots - free, now)
             needed = self._order.slots_needed(SERVICE)
             self._reserve.plan(SERVICE, self._load.slots, needed)
 
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -24,7 +24,7 @@
 from rainsail.cluster.warm_up import WarmUpTerms
 from rainsail.http.exchange import HttpRequest
 from rainsail.http.server import HttpLimits
-from rainsail.jobs.placement_service import PlacementService
+from rainsail.jobs.placement_service import ItemsAtRunners, PlacementFleet, PlacementService
 from rainsail.node_metrics import NodeMetrics
 from rainsail.relay.context import make_context
 from rainsail.relay.gateway import RelayGateway
@@ -160,13 +160,9 @@
         self.service = PlacementService(
             Messenger(world.network.transport(name), world.clock),
             world.clock,
-            self.registry,
-            OnlineUseBook(),
-            lambda runner: 0,
+            PlacementFleet(self.registry, OnlineUseBook(), self.limiter, RegionMap({})),
+            ItemsAtRunners(lambda runner: 0, lambda runner: None),
             lambda: world.leading == name,
-            lambda runner: None,
-            self.limiter,
-            RegionMap({}),
             random.Random(world.random.random()),
             NodeMetrics(),
         )
@@ -245,7 +241,7 @@
         """Have a keeper lead, or none with an empty name."""
         self.leading = name
         if name:
-            self.keepers[KEEPERS.index(name)].service.leadership_changed(True)
+            self.keepers[KEEPERS.index(name)].service.on_leadership_changed()
             self.clock.callLater(told_after_s, self._tell_leader, name)
 
     def _tell_leader(self, name: str) -> None:
--- a/src/rainsail/account/item_bound.py
+++ b/src/rainsail/account/item_bound.py
@@ -8,7 +8,7 @@
 
 from rainsail.account.item_times import ItemTimes
 from rainsail.account.occupancy import Occupancy
-from rainsail.jobs.overload import Demand, fitting
+from rainsail.jobs.feasibility import Demand, feasible_counts
 
 
 def most_in_time(
@@ -32,7 +32,7 @@
         for item in done
     ]
     # The time axis is the slot time given so far, so that one slot stands for all of them.
-    return sum(fitting(demands, slots=1.0, now=0.0).values())
+    return sum(feasible_counts(demands, slots=1.0, now=0.0).values())
 
 
 def _given_s(taken: Occupancy, slots: float | None, begin_s: float, end_s: float) -> float:
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -14,14 +14,15 @@
 from rainsail.fleet.group_folder import GroupFolder
 from rainsail.fleet.leaving import hand_over
 from rainsail.http.pool import ConnectionPool
+from rainsail.jobs.context import DispatchNode, Ledger
 from rainsail.jobs.dispatcher import Dispatcher
 from rainsail.jobs.job_state import JobState
 from rainsail.jobs.ledger_service import LedgerService
 from rainsail.jobs.ledger_time import LedgerTime
 from rainsail.jobs.outcome_batcher import OutcomeBatcher
-from rainsail.jobs.placement_service import PlacementService
-from rainsail.jobs.plan import PlanSettings
+from rainsail.jobs.placement_service import ItemsAtRunners, PlacementFleet, PlacementService
 from rainsail.jobs.retention import Retention
+from rainsail.jobs.settings import DispatchSettings
 from rainsail.logs import logger
 from rainsail.quarantine.agent import QuarantineAgent
 from rainsail.relay.protocol import RelayProtocol
@@ -62,25 +63,28 @@
         self._pool = pool
         self._outcomes = OutcomeBatcher(self._propose, base.clock)
         self._warm_ups = WarmUpLimiter(base.settings.warm_up.bound(), base.registry.warm_ups)
+        self._regions = RegionMap(base.settings.node.zones)
         self.dispatcher = Dispatcher(
-            self.state,
-            base.registry,
-            self._pool,
-            protocol,
-            base.clock,
-            ledger_time,
-            base.random,
-            base.settings.node.zone,
-            self._warm_ups,
-            RegionMap(base.settings.node.zones),
-            QuarantineAgent(base.messenger, base.clock, base.follower, pool, base.metrics),
-            self._outcomes.add,
-            self._propose,
-            self._may_start_items,
-            PlanSettings(mechanisms=base.settings.mechanisms),
-            base.metrics,
+            DispatchNode(
+                zone=base.settings.node.zone,
+                clock=base.clock,
+                random=base.random,
+                registry=base.registry,
+                pool=pool,
+                protocol=protocol,
+                regions=self._regions,
+                warm_ups=self._warm_ups,
+                guard=QuarantineAgent(
+                    base.messenger, base.clock, base.follower, pool, base.metrics
+                ),
+                metrics=base.metrics,
+                settings=DispatchSettings(mechanisms=base.settings.mechanisms),
+            ),
+            Ledger(
+                self.state, ledger_time, self._outcomes.add, self._propose, self._may_start_items
+            ),
         )
-        self.state.observer = self.dispatcher
+        self.state.observer = self.dispatcher.observer
         # Controllers may tell of a table while this node still opens its disk; it is told once.
         base.follower.on_table = self._take_table
         base.follower.on_runners = self._runners_changed
@@ -101,13 +105,9 @@
         self._placements = PlacementService(
             base.messenger,
             base.clock,
-            base.registry,
-            self.dispatcher.online,
-            self.dispatcher.rooms.items_at,
+            PlacementFleet(base.registry, self.dispatcher.online, self._warm_ups, self._regions),
+            ItemsAtRunners(self.dispatcher.items_at, self.dispatcher.preempt_at),
             self._places,
-            self.dispatcher.make_room,
-            self._warm_ups,
-            RegionMap(base.settings.node.zones),
             base.random,
             base.metrics,
         )
@@ -152,7 +152,7 @@
         logger.bind(leads=leads).info("ledger_leadership")
         self._quotas.leadership_changed(leads)
         assert self._placements is not None
-        self._placements.leadership_changed(leads)
+        self._placements.on_leadership_changed()
         if leads:
             self._outcomes.start()
             self.dispatcher.start()
@@ -167,9 +167,9 @@
         for record in changed:
             if self._lives.began(record):
                 if self._placements is not None:
-                    self._placements.runner_started_again(record.runner)
-                self.dispatcher.runner_started_again(record)
-        self.dispatcher.runners_changed(changed)
+                    self._placements.on_runner_restarted(record.runner)
+                self.dispatcher.on_runner_restarted(record)
+        self.dispatcher.on_runners_changed(changed)
 
     # --- the fleet -----------------------------------------------------------------------
 
@@ -210,7 +210,7 @@
         if self._stopped:
             return
         self._pool.close_stale()
-        self.dispatcher.forget_jobs()
+        self.dispatcher.forget_dropped()
         if self.driver is not None and self.driver.is_leader():
             for command in self._retention.due(self._base.clock.seconds()):
                 self.driver.propose(command)
--- a/src/rainsail/jobs/client.py
+++ b/src/rainsail/jobs/client.py
@@ -18,11 +18,19 @@
 from rainsail.state.job_commands import RelayedItem
 
 SUBMIT_WITHIN_S = 3.4
+"""Time within which a job is committed or ended, over all tries.
+
+Not measured; chosen so that the ledger may change its leader meanwhile.
+"""
 READ_WITHIN_S = 2.0
+"""Time within which a read is answered, beside the wait that it asks for.
+
+Not measured; chosen shorter than a commit's, since a read goes out again without harm.
+"""
 
 
 class JobClient:
-    """Every call may go out again: a job is known by its id, an end is an end.
+    """Calls to the ledger's leader. Every call is idempotent and may be sent again.
 
     A job belongs to the tenant that handed it in (empty: to nobody). Its id holds within the
     tenant, so that calls of others find nothing.
@@ -32,7 +40,7 @@
         self._calls = calls
 
     def set_leader(self, leader: str) -> None:
-        """Note who is said to lead the ledger."""
+        """Try this node first: it was last reported to lead the ledger."""
         self._calls.set_hint(leader)
 
     def submit(
@@ -64,6 +72,6 @@
         return self._calls.call(message, None, READ_WITHIN_S, repeatable=True)
 
     def end(self, tenant: str, job: str) -> "Deferred[Result[Any, Fault]]":
-        """End a job."""
+        """End a job: what is listed stays, nothing more of it runs."""
         message = EndJobCall(scoped_id(tenant, job))
         return self._calls.call(message, None, SUBMIT_WITHIN_S, repeatable=True)
--- a/src/rainsail/jobs/due_times.py
+++ b/src/rainsail/jobs/due_times.py
@@ -4,7 +4,7 @@
 
 
 class DueTimes:
-    """Due times by job."""
+    """Due times by job; a job without one is never due."""
 
     def __init__(self) -> None:
         self._due_s: dict[str, float] = {}
--- a/src/rainsail/jobs/item_guard.py
+++ b/src/rainsail/jobs/item_guard.py
@@ -1,8 +1,8 @@
-"""Keeps items that end runners from further ones, and tells what their runs say of runners."""
+"""Asks the quarantine about items, and reports to it what their runs show of the runners."""
 
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.jobs.job_state import JobState
-from rainsail.jobs.work import Work
+from rainsail.jobs.open_item import OpenItem
 from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_of, name_of
 from rainsail.quarantine.guard import RequestGuard
 
@@ -10,36 +10,36 @@
 
 
 class ItemGuard:
-    """A request guard as the dispatcher asks it: by an item's work."""
+    """A request guard for open items; fingerprints are computed when first needed."""
 
     def __init__(self, state: JobState, guard: RequestGuard) -> None:
         self._state = state
         self._guard = guard
 
-    def name(self, work: Work) -> str:
+    def fingerprint_name(self, item: OpenItem) -> str:
         """Return an item's fingerprint as logs write it."""
-        return name_of(self._fingerprint(work))
-
-    def _fingerprint(self, work: Work) -> Fingerprint:
-        """Return what an item has in common with its repetitions."""
-        job = self._state.jobs.get(work.job)
-        if not work.fingerprint and job is not None:
-            item = job.items[work.index]
-            work.fingerprint = fingerprint_of(
-                job.tenant, job.host, ITEM_METHOD, item.path.encode(), item.body
+        return name_of(self._fingerprint(item))
+
+    def _fingerprint(self, item: OpenItem) -> Fingerprint:
+        """Return the fingerprint that an item shares with its repetitions."""
+        job = self._state.jobs.get(item.job)
+        if not item.fingerprint and job is not None:
+            request = job.items[item.index]
+            item.fingerprint = fingerprint_of(
+                job.tenant, job.host, ITEM_METHOD, request.path.encode(), request.body
             )
-        return work.fingerprint
+        return item.fingerprint
 
-    def is_held(self, work: Work) -> bool:
-        """Tell whether an item must reach no runner: it waits until it is let go or given up."""
-        return self._guard.holds_any and self._guard.holds(self._fingerprint(work))
+    def is_held(self, item: OpenItem) -> bool:
+        """Tell whether an item must reach no runner for now."""
+        return self._guard.holds_any and self._guard.holds(self._fingerprint(item))
 
-    def run_ended(self, work: Work, record: RunnerRecord | None) -> None:
-        """Say what the end of an item's run tells of its runner."""
-        run = work.run
+    def on_run_ended(self, item: OpenItem, record: RunnerRecord | None) -> None:
+        """Report a connection that ended under a run, or an answer that its runner outlived."""
+        run = item.run
         if run is None or record is None:
             return
         if run.connection_ended:
-            self._guard.connection_ended(record, self._fingerprint(work))
+            self._guard.connection_ended(record, self._fingerprint(item))
         elif run.proves_survival and self._guard.wants_answers:
-            self._guard.answered(self._fingerprint(work))
+            self._guard.answered(self._fingerprint(item))
--- a/src/rainsail/jobs/urgency.py
+++ b/src/rainsail/jobs/item_order.py
@@ -1,34 +1,40 @@
 """Which item goes first.
 
-While everything fits, what is due first goes first. Once it doesn't, the items that can be in time
+While everything fits, what is due first goes first. Once it does not, the items that can be in time
 together go before the others, and among these what needs least goes first: items that are nearly
-done are not left behind for some that are due a little earlier. What can't be in time is still run,
-oldest first, once there is room. All times are the ledger's.
+done are not left behind for some that are due a little earlier. What cannot be in time still runs,
+oldest first, once slots are free. All times are the ledger's.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from rainsail.jobs.due_times import DueTimes
-from rainsail.jobs.overload import Demand, fitting
+from rainsail.jobs.feasibility import Demand, feasible_counts
+from rainsail.jobs.open_item import OpenItem
 from rainsail.jobs.reserve import slots_needed
 from rainsail.jobs.run_lengths import RunLengths
 from rainsail.jobs.slot_meter import SlotMeter
-from rainsail.jobs.work import Work
 from rainsail.mechanisms import DEFAULTS, Mechanisms
 
-Urgency = tuple[bool, float, float, bool]
-"""Sorts items, most urgent first: given up, time left to run, due time, not begun.
+COUNTED_ON_SHARE = 1.2
+"""Items are admitted for this share of the slots that they got lately on average.
 
-The time left is 0 while everything fits, and of items that are given up.
+An item that is admitted too much is given up later, one that was given up too early is lost.
+Measured on twelve drawn loads: 3202 items in time, 3200 with a share of 1. On sixty others: 64,931
+with 1, 64,444 with 1.2, 63,925 with 1.4; which is best on whole fleets has not been measured.
 """
 
-TAKEN_UP_SHARE = 1.2
-"""Items are taken up for this share of the slots they got lately.
 
-What is taken up too much is given up later, while an item that was given up too early is lost; a
-fifth more than fits measured best over steady and bursting loads.
-"""
+class Urgency(NamedTuple):
+    """Sorts items, most urgent first."""
+
+    given_up: bool
+    left_s: float
+    """The time that the item still runs; 0 while everything fits, and once it is given up."""
+    due_s: float
+    is_fresh: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,39 +58,42 @@
         self._overloaded = False
         self._needed: dict[str, float] = {}
 
-    def room_seen(self, service: str, slots: float, now: float) -> None:
+    def on_slots_seen(self, service: str, slots: float, now: float) -> None:
         """Note how many slots of a service items have or could have."""
-        self._meters.setdefault(service, SlotMeter()).saw(slots, now)
+        self._meters.setdefault(service, SlotMeter()).on_slots_seen(slots, now)
 
     def begin_plan(self) -> None:
-        """Forget the last decision; one ``plan`` for each service follows."""
+        """Forget the last plan; one ``plan`` for each service follows."""
         self._fresh_kept.clear()
         self._given_up.clear()
         self._overloaded = False
         self._needed.clear()
 
     def plan(
-        self, service: str, fresh: Iterable[FreshItems], begun: Iterable[Work], now: float
+        self, service: str, fresh: Iterable[FreshItems], begun: Iterable[OpenItem], now: float
     ) -> None:
         """Decide which of a service's items fit."""
-        works = {f"{work.job}/{work.index}": work for work in begun}
-        demands = [self._demand(key, work.job, work.events) for key, work in works.items()]
+        items = {f"{item.job}/{item.index}": item for item in begun}
+        demands = [self._demand(key, item.job, item.events) for key, item in items.items()]
         demands += [self._demand(each.job, each.job, 0, each.count) for each in fresh]
         timed = [demand for demand in demands if demand.due_s != float("inf")]
-        slots = TAKEN_UP_SHARE * self._average_slots(service)
-        fit = fitting(timed, slots if self._gives_up else float("inf"), now)
-        all_fit = all(fit[demand.key] == demand.count for demand in timed)
+        slots = COUNTED_ON_SHARE * self._average_slots(service)
+        counts = feasible_counts(timed, slots if self._gives_up else float("inf"), now)
+        all_fit = all(counts[demand.key] == demand.count for demand in timed)
         self._overloaded |= not all_fit
         if all_fit and self.lengths.known:
-            needed = slots_needed(demands, now)
-            if needed < self._average_slots(service):
-                self._needed[service] = needed
-        for key, kept in fit.items():
-            work = works.get(key)
-            if work is None:
-                self._fresh_kept[key] = kept
-            elif not kept:
-                self._given_up.add((work.job, work.index))
+            self._plan_slots(service, demands, now)
+        for key, count in counts.items():
+            item = items.get(key)
+            if item is None:
+                self._fresh_kept[key] = count
+            elif not count:
+                self._given_up.add((item.job, item.index))
+
+    def _plan_slots(self, service: str, demands: list[Demand], now: float) -> None:
+        needed = slots_needed(demands, now)
+        if needed < self._average_slots(service):
+            self._needed[service] = needed
 
     def _average_slots(self, service: str) -> float:
         meter = self._meters.get(service)
@@ -102,16 +111,16 @@
         """Return how many of a job's fresh items fit, None when all may."""
         return self._fresh_kept.get(job)
 
-    def urgency(self, work: Work) -> Urgency:
-        """Return the place of an item that has begun or is running."""
-        given_up = (work.job, work.index) in self._given_up
-        return self._place(work.job, work.events, given_up)
+    def urgency(self, item: OpenItem) -> Urgency:
+        """Return the urgency of an item that has begun or is running."""
+        given_up = (item.job, item.index) in self._given_up
+        return self._urgency(item.job, item.events, given_up)
 
     def fresh_urgency(self, job: str, given_up: bool) -> Urgency:
-        """Return the place of a job's items that have not begun."""
-        return self._place(job, 0, given_up)
+        """Return the urgency of a job's items that have not begun."""
+        return self._urgency(job, 0, given_up)
 
-    def _place(self, job: str, events: int, given_up: bool) -> Urgency:
+    def _urgency(self, job: str, events: int, given_up: bool) -> Urgency:
         by_length = self._overloaded and not given_up
         left_s = self.lengths.left_s(events) if by_length else 0.0
-        return (given_up, left_s, self.due.due_s(job), not events)
+        return Urgency(given_up, left_s, self.due.due_s(job), not events)
--- /dev/null
+++ b/src/rainsail/jobs/item_planner.py
@@ -0,0 +1,108 @@
+"""Plans now and then which items can be in time, and how many may run at once.
+
+Learns what it needs from the commands that the ledger applies, on every replica: so a new leader
+plans with the lengths, the pace and the slots that items had under the one before.
+"""
+
+from itertools import chain
+
+from rainsail.cluster.messages import RunnerRecord
+from rainsail.jobs.context import DispatchNode, Ledger
+from rainsail.jobs.dispatch_state import DispatchState
+from rainsail.jobs.item_order import ItemOrder
+from rainsail.jobs.job_state import RelayedJob, StateObserver
+from rainsail.jobs.reserve import Reserve
+from rainsail.state.job_commands import ItemNote
+
+PLAN_INTERVAL_S = 0.2
+"""Time between two plans.
+
+Not measured; chosen to be short against the time that an item runs, at a quarter of the cost of a
+plan with each look at the waiting items.
+"""
+
+
+class ItemPlanner(StateObserver):
+    """Owns the order of items, the reserve of free slots and the due times of jobs."""
+
+    def __init__(self, node: DispatchNode, ledger: Ledger, state: DispatchState) -> None:
+        self.order = ItemOrder(node.settings.mechanisms)
+        self._node = node
+        self._ledger = ledger
+        self._routes = state.routes
+        self._slots = state.slots
+        self._running = state.running
+        self._waiting = state.waiting
+        self._reserve = Reserve()
+        self._planned_s = float("-inf")
+        self._leads = False
+
+    def begin_leadership(self) -> None:
+        """Count this node's own runs from now on, and no peak of online work from before."""
+        self._leads = True
+        self._reserve.clear()
+
+    def end_leadership(self) -> None:
+        """Count the items that another leader runs, as the ledger tells of them."""
+        self._leads = False
+
+    # --- what the ledger applies ---------------------------------------------------------
+
+    def accepted(self, job: RelayedJob) -> None:
+        """Learn the age of a job and when it is due."""
+        self._ledger.time.advance(job.accepted_s, self._node.clock.seconds())
+        self.update_due_time(job)
+
+    def progressed(self, ledger_s: float, notes: tuple[ItemNote, ...]) -> None:
+        """Learn how fast items run, and how many at a time while another node leads."""
+        self._ledger.time.advance(ledger_s, self._node.clock.seconds())
+        self.order.lengths.progressed(ledger_s, notes)
+        if self._leads:
+            return
+        for service, running in self._routes.by_service(notes).items():
+            self.order.on_slots_seen(service, len(running), ledger_s)
+
+    def finished(self, events: int) -> None:
+        """Learn how long items are."""
+        self.order.lengths.finished(events)
+
+    def update_due_time(self, job: RelayedJob) -> None:
+        """Set when a job is due by the table in force."""
+        within_s = self._routes.due_within_s(job)
+        self.order.due.set_due(job.job, job.accepted_s, within_s)
+
+    # --- planning ------------------------------------------------------------------------
+
+    def plan_if_due(self) -> None:
+        """Plan each service that runs items, unless the last plan is fresh or no table is known."""
+        now = self._node.clock.seconds()
+        if self._routes.table is None or now - self._planned_s < PLAN_INTERVAL_S:
+            return
+        self._planned_s = now
+        self.order.begin_plan()
+        fresh = self._routes.by_service(self._waiting.fresh())
+        begun = self._routes.by_service(chain(self._waiting.put_back_items, self._running))
+        for service in sorted({*self._routes.batch_services(), *fresh, *begun}):
+            records = self._node.registry.ready(service)
+            slots = sum(self._slots.slots_for_items(record, now) for record in records)
+            ledger_s = self._ledger.time.at(now)
+            self.order.on_slots_seen(service, slots, ledger_s)
+            self.order.plan(service, fresh.get(service, []), begun.get(service, []), ledger_s)
+            self._plan_reserve(service, records, now)
+
+    def _plan_reserve(self, service: str, records: list[RunnerRecord], now: float) -> None:
+        """Decide how many slots stay free for online work that may come back."""
+        if not self._node.settings.mechanisms.batch_reserve:
+            return
+        online = sum(self._slots.online.running(record.runner) for record in records)
+        self._reserve.on_online_seen(service, online, now)
+        slots = sum(record.slots for record in records)
+        self._reserve.plan(service, slots, self.order.slots_needed(service))
+
+    def may_run_more(self, service: str) -> bool:
+        """Tell whether the reserve allows one more item of a service to run."""
+        limit = self._reserve.limit(service)
+        if limit is None:
+            return True
+        ready = self._node.registry.ready(service)
+        return sum(self._running.count_at(record.runner) for record in ready) < limit
--- /dev/null
+++ b/src/rainsail/jobs/item_recorder.py
@@ -0,0 +1,56 @@
+"""Records what becomes of items: in the log, in the metrics, and in the ledger when one is over."""
+
+from typing import Any
+
+from rainsail.jobs.after_run import ItemOver
+from rainsail.jobs.context import Ledger
+from rainsail.jobs.item_run import RunEnd
+from rainsail.jobs.open_item import OpenItem
+from rainsail.logs import logger
+from rainsail.node_metrics import NodeMetrics
+from rainsail.state.job_commands import ItemOutcome
+
+
+class ItemRecorder:
+    """Writes one line and counts one for each event of an item."""
+
+    def __init__(self, ledger: Ledger, metrics: NodeMetrics) -> None:
+        self._ledger = ledger
+        self._metrics = metrics
+
+    def item_sent(self, item: OpenItem) -> None:
+        """Record that an item goes out to its runner."""
+        self._log_of(item).bind(after_event=item.progress.last_event).info("item_sent")
+        self._metrics.count("item_runs")
+
+    def item_preempted(self, item: OpenItem) -> None:
+        """Record that an item's run was closed for online work."""
+        self._log_of(item).bind(last_event=item.progress.last_event).info("item_gave_way")
+        self._metrics.count("items_gave_way")
+
+    def run_ended_early(
+        self, item: OpenItem, end: RunEnd, reason: str, fingerprint_name: str
+    ) -> None:
+        """Record a run that did not bring the whole answer."""
+        log = self._log_of(item).bind(reason=reason, fingerprint=fingerprint_name)
+        log.bind(end=end.value, last_event=item.progress.last_event).info("item_run_ended")
+
+    def item_over(self, item: OpenItem, over: ItemOver) -> None:
+        """Record that an item is done or given up, and have the ledger list it."""
+        log = self._log_of(item).bind(done=over.done, reason=over.reason)
+        log = log.bind(tokens=self._tokens_of(item), ran_s=round(item.ran_s, 3))
+        log.bind(events=item.events).info("item_ended")
+        self._metrics.count("items_ended", state="done" if over.done else "given_up")
+        text = item.progress.text if over.done else ""
+        self._ledger.list_outcome(item.job, ItemOutcome(item.index, over.done, text))
+
+    def _log_of(self, item: OpenItem) -> Any:
+        """Return a logger with the names of an item, as its client knows them."""
+        job = self._ledger.job_of(item)
+        job_name = item.job if job is None else job.client_id
+        item_name = "" if job is None else job.items[item.index].item
+        return logger.bind(job=job_name, item=item_name, runner=item.runner)
+
+    def _tokens_of(self, item: OpenItem) -> int:
+        job = self._ledger.job_of(item)
+        return 0 if job is None else job.items[item.index].tokens
--- /dev/null
+++ b/src/rainsail/jobs/item_runs.py
@@ -0,0 +1,102 @@
+"""Sends items to runners, and acts on the end of each run.
+
+What follows the end of a run is decided in ``after_run``.
+"""
+
+from rainsail.cluster.messages import RunnerRecord
+from rainsail.jobs.after_run import ItemOver, decide_after_run, item_pause_s
+from rainsail.jobs.context import DispatchNode, Ledger
+from rainsail.jobs.dispatch_state import DispatchState
+from rainsail.jobs.item_guard import ItemGuard
+from rainsail.jobs.item_recorder import ItemRecorder
+from rainsail.jobs.item_run import ItemRun, RunEnd
+from rainsail.jobs.job_state import RelayedJob
+from rainsail.jobs.open_item import OpenItem
+from rainsail.relay.protocol import ItemRequest, RunnerTarget
+from rainsail.routing.facts import ServerLoad
+
+IDLE_TIMEOUT_S = 4.0
+"""A run that brings no event for this long is closed, and goes on at another runner.
+
+Not measured; chosen far above the time that a runner takes to read a prompt or between two events.
+"""
+
+
+class ItemRuns:
+    """Starts runs, hears how they end, and ends those that bring nothing."""
+
+    def __init__(
+        self,
+        node: DispatchNode,
+        ledger: Ledger,
+        state: DispatchState,
+        recorder: ItemRecorder,
+    ) -> None:
+        self.guard = ItemGuard(ledger.state, node.guard)
+        self._node = node
+        self._routes = state.routes
+        self._slots = state.slots
+        self._running = state.running
+        self._waiting = state.waiting
+        self._recorder = recorder
+
+    def start(self, item: OpenItem, job: RelayedJob, record: RunnerRecord, now: float) -> None:
+        """Send an item to a runner, to go on behind the last event that has come."""
+        content = job.items[item.index]
+        request = self._node.protocol.item_request(
+            ItemRequest(job.host, content, item.progress.last_event, job.tenant),
+            RunnerTarget(record.runner, record.address),
+        )
+        item.begin_run(record.runner, now)
+        self._slots.on_item_started(record, now)
+        self._running.add(item)
+        item.run = self._new_run(item, content.item)
+        self._recorder.item_sent(item)
+        item.call = self._node.pool.send(record.address, request, item.run)
+
+    def _new_run(self, item: OpenItem, item_name: str) -> ItemRun:
+        runner = item.runner
+
+        def on_ended(run: ItemRun, end: RunEnd, reason: str) -> None:
+            self._on_run_ended(item, end, reason)
+
+        def on_load_report(load: ServerLoad) -> None:
+            self._slots.on_load_report(runner, load, self._node.clock.seconds())
+
+        return ItemRun(item_name, item.progress, self._node.protocol, on_ended, on_load_report)
+
+    def end_idle_runs(self) -> None:
+        """End the runs that have brought no event for ``IDLE_TIMEOUT_S``."""
+        now = self._node.clock.seconds()
+        for item in list(self._running):
+            if item.idle_s(now) > IDLE_TIMEOUT_S and item.run is not None:
+                self._on_run_ended(item, RunEnd.BROKEN, "silent")
+
+    def _on_run_ended(self, item: OpenItem, end: RunEnd, reason: str) -> None:
+        now = self._node.clock.seconds()
+        self._running.remove(item)
+        self.guard.on_run_ended(item, self._node.registry.get(item.runner))
+        if end == RunEnd.BROKEN:
+            item.close_run(now)
+        item.ran_s = item.running_s(now)
+        item.run = None
+        item.call = None
+        if end != RunEnd.WHOLE:
+            fingerprint_name = self.guard.fingerprint_name(item)
+            self._recorder.run_ended_early(item, end, reason, fingerprint_name)
+        self._list_or_put_back(item, end, now)
+
+    def _list_or_put_back(self, item: OpenItem, end: RunEnd, now: float) -> None:
+        """Have an item listed that is over; let any other wait for its next run."""
+        if end == RunEnd.FAILED:
+            item.progress.failures += 1
+        failures = item.progress.failures
+        decision = decide_after_run(end, failures, self._routes.max_attempts(item))
+        if isinstance(decision, ItemOver):
+            self._recorder.item_over(item, decision)
+            return
+        self._slots.pause(item.runner, now + decision.runner_pause_s)
+        item.ready_at_s = now
+        if end == RunEnd.BROKEN:
+            item.ready_at_s += item_pause_s(item.count_fruitless_runs())
+        self._waiting.put_back(item)
--- /dev/null
+++ b/src/rainsail/jobs/item_starter.py
@@ -0,0 +1,110 @@
+"""Starts waiting items, most urgent first, wherever a runner has a free slot for them."""
+
+from rainsail.cluster.messages import RunnerRecord
+from rainsail.jobs.after_run import ItemOver
+from rainsail.jobs.context import DispatchNode, Ledger
+from rainsail.jobs.dispatch_state import DispatchState
+from rainsail.jobs.item_planner import ItemPlanner
+from rainsail.jobs.item_recorder import ItemRecorder
+from rainsail.jobs.item_runs import ItemRuns
+from rainsail.jobs.open_item import OpenItem
+from rainsail.jobs.slot_use import choose_runner
+from rainsail.relay.split import SplitPicker
+from rainsail.routing.residency import AllowedRegions
+
+
+class ItemStarter:
+    """Gives items to runners; the choice of the runner is ``slot_use.choose_runner``."""
+
+    def __init__(
+        self,
+        node: DispatchNode,
+        ledger: Ledger,
+        state: DispatchState,
+        planner: ItemPlanner,
+        runs: ItemRuns,
+        recorder: ItemRecorder,
+    ) -> None:
+        self._node = node
+        self._ledger = ledger
+        self._routes = state.routes
+        self._slots = state.slots
+        self._waiting = state.waiting
+        self._planner = planner
+        self._runs = runs
+        self._recorder = recorder
+        self._split = SplitPicker(node.random)
+        self._wait_for_reports_until_s = 0.0
+
+    def begin_leadership(self) -> None:
+        """Wait for the gateways' reports before the first start."""
+        now = self._node.clock.seconds()
+        self._wait_for_reports_until_s = now + self._node.settings.report_wait_s
+
+    def start_items(self) -> None:
+        """Start items until the most urgent one that may start finds no free slot."""
+        now = self._node.clock.seconds()
+        if not self._may_start(now):
+            return
+        for item in self._waiting.by_urgency(self._planner.order):
+            if self._runs.guard.is_held(item):
+                self._keep_waiting(item, now)
+            elif item.ready_at_s > now:
+                continue
+            elif self._start_or_give_up(item, now):
+                self._waiting.take(item)
+            else:
+                return
+
+    def _may_start(self, now: float) -> bool:
+        if not self._ledger.may_start():
+            return False
+        return self._slots.online.heard_any or now >= self._wait_for_reports_until_s
+
+    def _keep_waiting(self, item: OpenItem, now: float) -> None:
+        """Let an item wait that the quarantine holds, and give it up once its route allows that."""
+        self._waiting.set_aside(item)
+        job = self._ledger.job_of(item)
+        kept_s = 0.0 if job is None else self._routes.kept_s(job)
+        if job is None or not kept_s:
+            return
+        if self._ledger.time.at(now) - job.accepted_s >= kept_s:
+            self._waiting.take(item)
+            self._recorder.item_over(item, ItemOver(False, "runners ended under it"))
+
+    def _start_or_give_up(self, item: OpenItem, now: float) -> bool:
+        """Start an item if a runner has a free slot; False when it has to go on waiting.
+
+        An item that is not open any more, or for which there is no route, waits no longer either.
+        """
+        if not self._ledger.is_open(item):
+            return True
+        if self._routes.table is None:
+            return False
+        job = self._ledger.state.jobs[item.job]
+        route = self._routes.of_item(job, item.index)
+        if route is None:
+            self._recorder.item_over(item, ItemOver(False, "no route"))
+            return True
+        service = self._split.service(route)
+        allowed = self._routes.allowed_regions(route, job.tenant)
+        record = self._choose_runner(service, allowed, now)
+        if record is None:
+            return False
+        self._runs.start(item, job, record, now)
+        return True
+
+    def _choose_runner(
+        self, service: str, allowed: AllowedRegions, now: float
+    ) -> RunnerRecord | None:
+        if not self._planner.may_run_more(service):
+            return None
+        records = {
+            record.runner: record
+            for record in self._node.registry.ready(service)
+            if self._node.regions.allows(allowed, record.zone)
+            and self._slots.may_start_at(record, now)
+        }
+        uses = [self._slots.use_of(record, now) for record in records.values()]
+        chosen = choose_runner(uses, self._node.zone)
+        return None if chosen is None else records[chosen.runner]
--- a/src/rainsail/jobs/job_ids.py
+++ b/src/rainsail/jobs/job_ids.py
@@ -1,4 +1,4 @@
-"""Ids of jobs: what a client calls a job holds within its tenant alone."""
+"""Ids of jobs: a client's id holds within its tenant, the scoped id within the whole ledger."""
 
 TENANT_SEPARATOR = "\t"
 """Stands between tenant and id: no tenant's name has a tab."""
--- a/src/rainsail/jobs/job_state.py
+++ b/src/rainsail/jobs/job_state.py
@@ -66,16 +66,16 @@
 
 
 class StateObserver:
-    """Learns from what a replica applies, whether it leads or not; this one learns nothing."""
+    """Is called for what a replica applies, whether it leads or not; does nothing by default."""
 
     def accepted(self, job: RelayedJob) -> None:
-        """A job is there now."""
+        """A job was accepted, or read from a snapshot."""
 
     def progressed(self, ledger_s: float, notes: tuple[ItemNote, ...]) -> None:
-        """Items have come further."""
+        """The progress of items was committed, at a time of the ledger."""
 
     def finished(self, events: int) -> None:
-        """An item has ended whole, after so many events."""
+        """An item ended whole, after so many events."""
 
 
 class JobState:
@@ -84,7 +84,7 @@
     def __init__(self) -> None:
         self.jobs: dict[str, RelayedJob] = {}
         self.observer = StateObserver()
-        """Hears of what is applied; not part of the state."""
+        """Is called for what is applied; not part of the state."""
 
     def apply(self, index: int, command: FleetCommand) -> FleetCommandOutcome:
         """Apply the committed command at log ``index``."""
--- a/src/rainsail/jobs/ledger_service.py
+++ b/src/rainsail/jobs/ledger_service.py
@@ -1,4 +1,4 @@
-"""What the ledger's leader answers to gateways."""
+"""The ledger's leader as gateways call it: it takes jobs in and answers reads of their results."""
 
 from typing import Any
 
--- /dev/null
+++ b/src/rainsail/jobs/open_item.py
@@ -0,0 +1,107 @@
+"""An item that is not listed yet, as the ledger's leader keeps it from run to run."""
+
+from dataclasses import dataclass, field
+
+from rainsail.http.pool import Call
+from rainsail.jobs.item_run import ItemProgress, ItemRun
+from rainsail.jobs.job_state import NO_EVENT, RelayedJob
+from rainsail.quarantine.fingerprint import Fingerprint
+from rainsail.state.job_commands import ItemNote
+
+
+@dataclass(slots=True)
+class OpenItem:
+    """One item's progress, and its run if it has one now; times are of the node's clock."""
+
+    job: str
+    """The job's id within the whole ledger."""
+    index: int
+    """The item's place among the items of its job."""
+    progress: ItemProgress = field(default_factory=ItemProgress)
+    ready_at_s: float = 0.0
+    """The item takes no run before this time."""
+    runner: str = ""
+    """Where the item runs or ran last."""
+    run: ItemRun | None = None
+    call: Call | None = None
+    started_s: float = 0.0
+    """When the present run, or the last one, began."""
+    ran_s: float = 0.0
+    """The duration of all runs that are over."""
+    events_seen: int = 0
+    """The events there were when the run was last looked at."""
+    last_event_s: float = 0.0
+    """When a new event was last seen, or the run began."""
+    events_kept: int = 0
+    """How many events the ledger keeps, or has been asked to keep and has not refused."""
+    events_at_start: int = 0
+    fruitless_runs: int = 0
+    """How many runs in a row broke without a new event."""
+    fingerprint: Fingerprint = b""
+    """Empty until it is first needed."""
+
+    @property
+    def events(self) -> int:
+        """The events that have come."""
+        return len(self.progress.texts)
+
+    @property
+    def begun(self) -> bool:
+        """Tell whether some of the answer has come, so that another run has less to do."""
+        return bool(self.progress.texts)
+
+    def running_s(self, now: float) -> float:
+        """Return how long the item has run in all, its present run included."""
+        return self.ran_s + (now - self.started_s if self.run is not None else 0.0)
+
+    def begin_run(self, runner: str, now: float) -> None:
+        """Set what a run begins with."""
+        self.runner = runner
+        self.started_s = self.last_event_s = now
+        self.events_seen = self.events_at_start = self.events
+
+    def idle_s(self, now: float) -> float:
+        """Return how long the run has brought no event; to be asked regularly."""
+        if self.events != self.events_seen:
+            self.events_seen = self.events
+            self.last_event_s = now
+        return now - self.last_event_s
+
+    def count_fruitless_runs(self) -> int:
+        """Count a run that broke; return how many in a row have broken without a new event."""
+        brought_events = self.events > self.events_at_start
+        self.fruitless_runs = 0 if brought_events else self.fruitless_runs + 1
+        return self.fruitless_runs
+
+    def close_run(self, now: float) -> None:
+        """Close the run's connection; nothing of this run is taken any more."""
+        self.ran_s = self.running_s(now)
+        if self.run is not None:
+            self.run.stop()
+        if self.call is not None:
+            self.call.cancel()
+        self.run = None
+        self.call = None
+
+
+def resume_item(job: RelayedJob, index: int) -> OpenItem:
+    """Return an open item that goes on where the progress that the ledger keeps ends."""
+    item = OpenItem(job.job, index)
+    note = job.notes.get(index)
+    if note is not None:
+        item.progress.last_event = note.last_event
+        item.progress.texts = list(note.texts)
+        item.progress.numbers = [note.last_event] * len(note.texts)
+        item.events_kept = len(note.texts)
+    return item
+
+
+def take_new_progress(item: OpenItem) -> ItemNote | None:
+    """Return what has come since the last call and count it as kept; None when nothing has."""
+    progress = item.progress
+    texts = tuple(progress.texts[item.events_kept :])
+    if not texts or progress.last_event is None:
+        return None
+    after = progress.numbers[item.events_kept - 1] if item.events_kept else NO_EVENT
+    item.events_kept = len(progress.texts)
+    return ItemNote(item.job, item.index, after, progress.last_event, texts)
--- a/src/rainsail/jobs/outcome_batcher.py
+++ b/src/rainsail/jobs/outcome_batcher.py
@@ -1,4 +1,4 @@
-"""Gathers ended items and commits them as few commands of the ledger group."""
+"""Commits the outcomes of items, those of a job together, as few commands of the ledger group."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,7 +8,15 @@
 from rainsail.state.job_commands import ItemOutcome, ListOutcomes
 
 GATHER_S = 0.02
+"""Outcomes that come within this time share a command.
+
+Not measured; chosen to be short against the run of an item.
+"""
 RETRY_S = 0.2
+"""Time between a refused commit and the next try.
+
+Not measured; chosen so that a group that is busy is not asked more often than five times a second.
+"""
 
 
 class OutcomeBatcher:
--- /dev/null
+++ b/src/rainsail/jobs/preemptor.py
@@ -0,0 +1,56 @@
+"""Preempts the least urgent items of runners whose slots online work needs.
+
+A preempted item goes on later, behind the last event that has come.
+"""
+
+from rainsail.jobs.context import DispatchNode
+from rainsail.jobs.dispatch_state import DispatchState
+from rainsail.jobs.item_order import ItemOrder
+from rainsail.jobs.item_recorder import ItemRecorder
+from rainsail.jobs.open_item import OpenItem
+from rainsail.jobs.slot_use import items_to_preempt
+
+
+class Preemptor:
+    """Closes runs; how many is ``slot_use.items_to_preempt``, which ones is the item order's."""
+
+    def __init__(
+        self,
+        node: DispatchNode,
+        state: DispatchState,
+        order: ItemOrder,
+        recorder: ItemRecorder,
+    ) -> None:
+        self._node = node
+        self._slots = state.slots
+        self._running = state.running
+        self._waiting = state.waiting
+        self._order = order
+        self._recorder = recorder
+
+    def preempt_everywhere(self) -> None:
+        """Preempt items at each runner that is overfull."""
+        for runner in self._running.runners():
+            self.preempt_at(runner)
+
+    def preempt_at(self, runner: str) -> None:
+        """Preempt as many of a runner's items as online work needs slots there."""
+        record = self._node.registry.get(runner)
+        items = self._running.at(runner)
+        if record is None or not items:
+            return
+        now = self._node.clock.seconds()
+        count = items_to_preempt(self._slots.use_of(record, now))
+        by_urgency = sorted(items, key=self._order.urgency)
+        for item in by_urgency[len(items) - count :]:
+            self._preempt(item, now)
+
+    def _preempt(self, item: OpenItem, now: float) -> None:
+        item.close_run(now)
+        self._running.remove(item)
+        settings = self._node.settings
+        if settings.mechanisms.yield_pause:
+            self._slots.pause(item.runner, now + settings.preemption_pause_s)
+        item.ready_at_s = now
+        self._waiting.put_back(item)
+        self._recorder.item_preempted(item)
--- a/src/rainsail/jobs/reserve.py
+++ b/src/rainsail/jobs/reserve.py
@@ -1,9 +1,9 @@
 """How many items may run at once while batch work has time to spare.
 
-Items that start in every free slot are cut again as soon as online work comes back, and until they
+Items that start in every free slot are preempted as soon as online work comes back, and until they
 are, requests wait. So as long as all items can be in time on fewer slots, the others stay free: as
-many as online work has taken more of lately than it takes now. Where batch work has no time to
-spare nothing is kept free.
+many as online work held more of lately than it holds now. Where batch work has no time to spare
+nothing is kept free.
 
 The limit holds over a whole service. Which runners keep slots free follows from where items start:
 always where most slots are free.
@@ -11,19 +11,28 @@
 
 from collections import deque
 from collections.abc import Iterable
+from dataclasses import dataclass
 from math import ceil
 
-from rainsail.jobs.overload import Demand
+from rainsail.jobs.feasibility import Demand
 
 PEAK_KEPT_S = 10.0
-"""A peak of online work counts for this long."""
+"""A peak of online work counts for this long.
+
+Not measured by itself; chosen to cover the pause between two bursts of some seconds.
+"""
 PLANNED_TIME_SHARE = 0.2
 """Items are planned to end within this share of the time that they have.
 
 The rest makes up for what the plan does not know: bursts, runners that leave, runs that break off.
+Measured on four seeds of one site's days, mean worth: 0.807 without a reserve, 0.796 with a share
+of 0.5, 0.799 with 0.35, 0.822 with 0.2; on drawn loads 0.2 costs no items and 0.5 up to 4 %.
 """
 UNTIMED_DUE_S = 60.0
-"""Items without a due time are planned as if they were due so much later."""
+"""Items without a due time are planned as if they were due so much later.
+
+Not measured; chosen so that they go on while online work is calm.
+"""
 
 
 def slots_needed(demands: Iterable[Demand], now: float) -> float:
@@ -42,24 +51,30 @@
     return most
 
 
+@dataclass(frozen=True, slots=True)
+class _Sample:
+    seen_s: float
+    value: int
+
+
 class RecentPeak:
     """The highest of the values seen within ``PEAK_KEPT_S``."""
 
     def __init__(self) -> None:
-        self._falling: deque[tuple[float, int]] = deque()
-        """Times and values; each value is lower than those before it."""
+        self._falling: deque[_Sample] = deque()
+        """Each value is lower than those before it."""
 
-    def saw(self, value: int, now: float) -> None:
+    def on_value(self, value: int, now: float) -> None:
         """Take the present value."""
-        while self._falling and self._falling[-1][1] <= value:
+        while self._falling and self._falling[-1].value <= value:
             self._falling.pop()
-        self._falling.append((now, value))
-        while self._falling[0][0] < now - PEAK_KEPT_S:
+        self._falling.append(_Sample(now, value))
+        while self._falling[0].seen_s < now - PEAK_KEPT_S:
             self._falling.popleft()
 
     def value(self) -> int:
         """Return the peak, 0 before anything was seen."""
-        return self._falling[0][1] if self._falling else 0
+        return self._falling[0].value if self._falling else 0
 
 
 class Reserve:
@@ -74,9 +89,9 @@
         self._peaks.clear()
         self._limits.clear()
 
-    def online_seen(self, service: str, online: int, now: float) -> None:
-        """Note how many requests of online work a service has."""
-        self._peaks.setdefault(service, RecentPeak()).saw(online, now)
+    def on_online_seen(self, service: str, online: int, now: float) -> None:
+        """Note how many online requests a service has under way."""
+        self._peaks.setdefault(service, RecentPeak()).on_value(online, now)
 
     def plan(self, service: str, slots: int, needed: float | None) -> None:
         """Decide on a service's limit; ``needed`` is None where batch has no time to spare."""
--- a/src/rainsail/jobs/retention.py
+++ b/src/rainsail/jobs/retention.py
@@ -1,6 +1,7 @@
-"""Which jobs may be forgotten, as the leader's own clock tells.
+"""Which jobs may be forgotten, by the leader's own clock.
 
-A new leader counts from when it first saw a job, so a job is kept longer rather than shorter.
+A new leader counts from when it first saw that a job was over, so that jobs are kept longer rather
+than shorter.
 """
 
 from rainsail.jobs.job_state import JobState
@@ -8,7 +9,7 @@
 
 
 class Retention:
-    """Names jobs that are over and whose results have been kept for long enough."""
+    """Finds jobs that are over and whose results have been kept for ``kept_s``."""
 
     def __init__(self, state: JobState, kept_s: float) -> None:
         self._state = state
--- a/src/rainsail/jobs/run_lengths.py
+++ b/src/rainsail/jobs/run_lengths.py
@@ -1,8 +1,8 @@
 """How much items have to do and how fast they run, learnt from what the ledger commits.
 
 Every replica learns, so that a new leader knows at once. The bound on an answer that a request
-states says little of its length: what an item still needs is told by how much those went on that
-came as far.
+states says little of its length (measured: a correlation of -0.05 over 118 items). What an item
+still needs is estimated by how much longer those items ran that came as far.
 """
 
 from bisect import bisect_right, insort
@@ -14,12 +14,22 @@
 from rainsail.state.job_commands import ItemNote
 
 KEPT_LENGTHS = 128
-"""Items that are remembered; older ones are forgotten."""
+"""Lengths of ended items that are remembered.
+
+Not measured; chosen so that a change of the workload counts after a few jobs.
+"""
 KEPT_PACES = 65
+"""Paces that are remembered; odd, so that their median is one of them. Not measured."""
 LEAST_LEFT_SHARE = 0.1
-"""Share of the mean length that is left at least, however far an item has come."""
+"""Share of the mean length that is left at least, however far an item has come.
+
+Not measured; chosen so that an item of unheard length is never taken to be done at once.
+"""
 LONGEST_ROUND_S = 0.75
-"""Two notes of an item further apart than this do not come from one run."""
+"""Two notes of an item that are further apart do not come from one run.
+
+Not measured; chosen between one and two of the dispatcher's periods for progress (0.5 s).
+"""
 
 
 class RunLengths:
@@ -29,10 +39,11 @@
         self._by_age: deque[int] = deque()
         self._sorted: list[int] = []
         self._sums_from: list[int] = [0]
-        """The sum of the sorted lengths from each place on: many items ask for what is left."""
+        """The sum of the sorted lengths from each place on, computed once for many estimates."""
         self._paces: deque[float] = deque(maxlen=KEPT_PACES)
         self._event_s = 0.0
         self._noted_s: dict[tuple[str, int], float] = {}
+        """When each item of the last round of notes was noted, by job and index."""
 
     def finished(self, events: int) -> None:
         """Take the length of an item that ended whole."""
@@ -45,7 +56,7 @@
         self._sums_from = from_the_end[::-1]
 
     def progressed(self, ledger_s: float, notes: Iterable[ItemNote]) -> None:
-        """Take one round of notes; an item that is in two rounds running ran in between."""
+        """Take one round of notes; an item noted in two rounds in a row ran in between."""
         noted_s: dict[tuple[str, int], float] = {}
         for note in notes:
             key = (note.job, note.index)
@@ -63,7 +74,7 @@
         return bool(self._sorted) and self._event_s > 0.0
 
     def left_s(self, events: int) -> float:
-        """Return how long an item probably still runs that has made ``events``; 0 before any."""
+        """Return how long an item that has made ``events`` probably still runs; 0 if not known."""
         return self._left_events(events) * self._event_s
 
     def _left_events(self, events: int) -> float:
--- /dev/null
+++ b/src/rainsail/jobs/waiting_items.py
@@ -0,0 +1,115 @@
+"""The items that wait for a run.
+
+The fresh items of a job form one queue, so that a large job costs no more to look at than a small
+one; items that have run and were put back are few and are looked at one by one.
+"""
+
+from collections import deque
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from itertools import chain
+
+from rainsail.jobs.item_order import FreshItems, ItemOrder, Urgency
+from rainsail.jobs.open_item import OpenItem
+
+
+@dataclass(frozen=True, slots=True)
+class _Group:
+    """Items that go one after the other."""
+
+    urgency: Urgency
+    items: Iterable[OpenItem]
+
+
+class WaitingItems:
+    """Items by job, given out by urgency."""
+
+    def __init__(self) -> None:
+        self._fresh: dict[str, deque[OpenItem]] = {}
+        self._put_back: list[OpenItem] = []
+
+    def __len__(self) -> int:
+        return sum(map(len, self._fresh.values())) + len(self._put_back)
+
+    def clear(self) -> None:
+        """Forget every item."""
+        self._fresh.clear()
+        self._put_back.clear()
+
+    def add_job(self, job: str, items: Iterable[OpenItem]) -> None:
+        """Add a job's items; those that have begun already are not part of its queue."""
+        fresh: deque[OpenItem] = deque()
+        for item in items:
+            if item.begun:
+                self._put_back.append(item)
+            else:
+                fresh.append(item)
+        if fresh:
+            self._fresh[job] = fresh
+
+    def put_back(self, item: OpenItem) -> None:
+        """Add an item whose run ended early."""
+        self._put_back.append(item)
+
+    def drop(self, is_open: Callable[[str], bool]) -> None:
+        """Drop the items of jobs that are not open any more."""
+        for job in [job for job in self._fresh if not is_open(job)]:
+            del self._fresh[job]
+        self._put_back = [item for item in self._put_back if is_open(item.job)]
+
+    def fresh(self) -> list[FreshItems]:
+        """Return how many fresh items each job has."""
+        return [FreshItems(job, len(queue)) for job, queue in self._fresh.items()]
+
+    @property
+    def put_back_items(self) -> list[OpenItem]:
+        """The items whose runs ended early."""
+        return self._put_back
+
+    def by_urgency(self, order: ItemOrder) -> Iterator[OpenItem]:
+        """Yield the items, most urgent first; the fresh items of one job go together.
+
+        The caller may ``take`` the item that was yielded last before it asks for the next. Once it
+        leaves a job's first fresh item untaken, that job's other fresh items are passed over.
+        """
+        groups = [_Group(order.urgency(item), (item,)) for item in self._put_back]
+        for job, queue in self._fresh.items():
+            groups += _fresh_groups(job, queue, order)
+        groups.sort(key=lambda group: group.urgency)
+        return chain.from_iterable(group.items for group in groups)
+
+    def set_aside(self, item: OpenItem) -> None:
+        """Let the fresh items behind one be looked at while the item itself goes on waiting."""
+        queue = self._fresh.get(item.job)
+        if queue and queue[0] is item:
+            self.take(item)
+            self.put_back(item)
+
+    def take(self, item: OpenItem) -> None:
+        """Take an item out."""
+        queue = self._fresh.get(item.job)
+        if queue and queue[0] is item:
+            queue.popleft()
+            if not queue:
+                del self._fresh[item.job]
+        else:
+            self._put_back.remove(item)
+
+
+def _fresh_groups(job: str, queue: deque[OpenItem], order: ItemOrder) -> Iterator[_Group]:
+    """Yield a job's fresh items: those that can be in time, and all that are then left."""
+    kept = order.fresh_kept(job)
+    if kept is None or kept > 0:
+        yield _Group(order.fresh_urgency(job, given_up=False), _from_the_front(queue, kept))
+    if kept is not None and kept < len(queue):
+        yield _Group(order.fresh_urgency(job, given_up=True), _from_the_front(queue))
+
+
+def _from_the_front(queue: deque[OpenItem], most: int | None = None) -> Iterator[OpenItem]:
+    given = 0
+    while queue and (most is None or given < most):
+        item = queue[0]
+        given += 1
+        yield item
+        if queue and queue[0] is item:
+            return
