--- a/features/platform/translation.feature
+++ b/features/platform/translation.feature
@@ -14,24 +14,29 @@
 
     Examples:
       | spoiled                         | word            |
-      | cut short                       | JSONDecodeError |
+      | cut short                       | the body is not JSON |
       | naming an unknown service       | unknown service |
       | putting two routes in one place | shares host     |
       | without any weight              | weights         |
-      | with a time-out of 0            | timeoutMs       |
-      | without its routes              | routes          |
-      | no table but a list             | TypeError       |
+      | with a time-out of 0            | timeoutMs: expected a number above 0, got 0 |
+      | without its routes              | routes: expected a list, got nothing |
+      | with its services as a number   | services: expected a list, got a number |
+      | with a text as its version      | version: expected a whole number above 0, got a string |
+      | with a service without a name   | services[1].name: expected a string, got nothing |
+      | with a weight that is no number | split[1].weight: expected a number, got a string |
+      | with a tenant's key as a number | tenants[0].apiKeys: expected a list of strings, got a list |
+      | no table but a list             | the body: expected an object, got a list |
 
   Scenario Outline: Of a large configuration the route that is wrong is named
     Given the platform's example configuration with 2000 more routes
     When route 1500 of it comes <spoiled>
-    Then it is refused and the fault names "route 1500 (<name>)"
+    Then it is refused and the fault names "route 1500 (<name>): the route<problem>"
 
     Examples:
-      | spoiled              | name      |
-      | without its host     | more-1498 |
-      | with a time-out of 0 | more-1498 |
-      | as a bare text       | None      |
+      | spoiled              | name      | problem                                         |
+      | without its host     | more-1498 | .host: expected a string, got nothing           |
+      | with a time-out of 0 | more-1498 | .timeoutMs: expected a number above 0, got 0    |
+      | as a bare text       | None      | : expected an object, got a string              |
 
   Scenario: A route of a large configuration is found, and no other takes its place
     Given the platform's example configuration with 2000 more routes
@@ -74,14 +79,29 @@
   Scenario Outline: A heartbeat that can't be read gets 400 and changes nothing
     When a controller gets the heartbeat '<body>'
     Then the call is answered 400
+    And the answer's error has "<problem>"
     And the controller was told nothing
 
     Examples:
-      | body                                                                     |
-      | {"service":"s","address":"10.0.0.1:1","state":"ready"}                   |
-      | {"service":7,"address":"10.0.0.1:1","state":"ready","sequence":1}        |
-      | {"service":"s"                                                           |
-      | []                                                                       |
+      | body                                                              | problem                                   |
+      | {"service":"s","address":"10.0.0.1:1","state":"ready"}            | zone: expected a string, got nothing      |
+      | {"service":7,"address":"10.0.0.1:1","state":"ready","sequence":1} | zone: expected a string, got nothing      |
+      | {"service":"s"                                                    | the body is not JSON                      |
+      | []                                                                | the body: expected an object, got a list  |
+
+  Scenario Outline: The error of a heartbeat names the field as the platform does: <field> is <value>
+    When a controller gets a runner's heartbeat in which <field> is <value>
+    Then the call is answered 400
+    And the answer's error has "<problem>"
+
+    Examples:
+      | field      | value   | problem                                           |
+      | service    | 7       | service: Input should be a valid string           |
+      | state      | "idle"  | state: expected ready or draining, got another state |
+      | slots      | missing | slots: expected a whole number, got nothing       |
+      | coldLeftMs | -5      | coldLeftMs: Input should be greater than or equal to 0 |
+      | coldLeftMs | "0"     | coldLeftMs: Input should be a valid number        |
+      | born       | null    | born: Input should be a valid integer             |
 
   Scenario Outline: A heartbeat of another writer gets 400 and changes nothing: <field> is <value>
     When a controller gets a runner's heartbeat in which <field> is <value>
@@ -156,18 +176,28 @@
     When that runner takes its leave with its birth written "1796254995480"
     Then the call is answered 400
 
-  Scenario Outline: A job that can't be read gets 400 and is not handed in
+  Scenario Outline: A job that can't be read gets 400, with the field that is wrong, and is not handed in
     When a gateway gets the job '<body>'
     Then the call is answered 400
+    And the answer's error has "<problem>"
     And no job was handed in
 
     Examples:
-      | body                                              |
-      | {"items":[]}                                      |
-      | {"items":[{"id":"a","path":"/p","body":"*"}]}     |
-      | {"items":[{"id":1,"path":"/p","body":""}]}        |
-      | {"things":[]}                                     |
-      | {"items":                                         |
+      | body                                                    | problem                                         |
+      | {"items":[]}                                            | items: expected 1 to 200 items, got 0           |
+      | {"items":[{"id":"a","path":"/p","body":"*"}]}           | items[0].body: expected base64 text             |
+      | {"items":[{"id":"a","path":"/p","body":7}]}             | items[0].body: expected base64 text, got a number |
+      | {"items":[{"id":1,"path":"/p","body":""}]}              | items[0].id: expected a string, got a number    |
+      | {"items":[{"id":"a","path":"/p"},{"id":"b"}]}           | items[1].path: expected a string, got nothing   |
+      | {"items":[{"id":"a","path":null}]}                      | items[0].path: expected a string, got null      |
+      | {"items":[{"id":"a","path":"/p","headers":["x"]}]}      | items[0].headers: expected an object, got a list |
+      | {"items":[{"id":"a","path":"/p","tokens":"many"}]}      | items[0].tokens: expected a whole number, got a string |
+      | {"items":[{"id":"a","path":"/p","tokens":1e999}]}       | items[0].tokens: expected a whole number, got a number |
+      | {"items":["a"]}                                         | items[0]: expected an object, got a string      |
+      | {"items":7}                                             | items: expected a list, got a number            |
+      | {"things":[]}                                           | items: expected a list, got nothing             |
+      | []                                                      | the body: expected an object, got a list        |
+      | {"items":                                               | the body is not JSON                            |
 
   Scenario Outline: How a job's call ended is said truly
     When a gateway gets a job, and the ledger's answer is <answer>
--- a/features/steps/platform_translation_steps.py
+++ b/features/steps/platform_translation_steps.py
@@ -141,6 +141,16 @@
             first["timeoutMs"] = 0
         case "without its routes":
             del document["routes"]
+        case "with its services as a number":
+            document["services"] = 2
+        case "with a text as its version":
+            document["version"] = "7"
+        case "with a service without a name":
+            del document["services"][1]["name"]
+        case "with a weight that is no number":
+            second["split"][1]["weight"] = "heavy"
+        case "with a tenant's key as a number":
+            document["tenants"] = [{"name": "t", "apiKeys": [12345]}]
         case _:
             raise AssertionError(spoiled)
     context.content = json.dumps(document).encode()
@@ -415,6 +425,12 @@
     _hand_in(context, body.encode(), Ok(RelayedJobAccepted("9c41")))
 
 
+@then('the answer\'s error has "{problem}"')
+def error_has(context, problem):
+    error = json.loads(context.exchange.body)["error"]
+    assert problem in error, error
+
+
 @then("no job was handed in")
 def none_handed_in(context):
     assert context.jobs.handed_in == []
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -7,6 +7,7 @@
 from rainsail.cluster.controller import FleetController
 from rainsail.cluster.messages import ZoneDrainNotice
 from rainsail.errors import Fault, FaultCode
+from rainsail.fleet_api.json_fields import UNREADABLE, explain
 from rainsail.fleet_api.quarantine import take_quarantine_call
 from rainsail.fleet_api.replies import (
     EMPTY,
@@ -16,7 +17,7 @@
     reply_fault,
     reply_when_done,
 )
-from rainsail.fleet_api.runner_words import UNREADABLE, read_leave, read_word
+from rainsail.fleet_api.runner_words import read_leave, read_word
 from rainsail.fleet_api.tables import read_table
 from rainsail.http.exchange import Exchange, Handler
 
@@ -79,7 +80,7 @@
         try:
             record = read_word(runner, json.loads(exchange.request.body))
         except UNREADABLE as error:
-            reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", str(error)))
+            reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
         self._answer(exchange, self._controller.runner_word(record))
 
@@ -87,7 +88,7 @@
         try:
             born = read_leave(exchange.request.body)
         except UNREADABLE as error:
-            reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", str(error)))
+            reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
         self._answer(exchange, self._controller.runner_gone(runner, born))
 
--- a/src/rainsail/fleet_api/items.py
+++ b/src/rainsail/fleet_api/items.py
@@ -1,45 +1,57 @@
 """Jobs as JSON: items with their requests, results by position."""
 
 import base64
-import binascii
 import json
-from typing import Any
 
 from expression import Error, Ok, Result
 
 from rainsail.errors import Fault, FaultCode
+from rainsail.fleet_api.json_fields import UNREADABLE, FieldError, Fields, explain, json_type
 from rainsail.state.job_commands import ItemHeader, RelayedItem
 
 STEP = "fleet_api.items"
 MAX_ITEMS = 200
+"""Items of one job. Not measured; chosen so that a job's command stays small."""
 
 
 def read_items(content: bytes) -> Result[tuple[RelayedItem, ...], Fault]:
-    """Read a job's items, each with ``id``, ``path``, ``headers``, base64 ``body``, ``tokens``."""
+    """Read a job's items, each with ``id``, ``path``, ``headers``, base64 ``body``, ``tokens``.
+
+    An INVALID fault names the first field that is wrong and what was expected there.
+    """
     try:
-        entries = json.loads(content)["items"]
-        if not entries or len(entries) > MAX_ITEMS:
-            raise ValueError(f"{len(entries)} items")
-        return Ok(tuple(_item(entry) for entry in entries))
-    except (
-        ValueError,
-        KeyError,
-        TypeError,
-        AttributeError,
-        RecursionError,
-        binascii.Error,
-    ) as error:
-        return Error(Fault(FaultCode.INVALID, STEP, f"{type(error).__name__}: {error}"))
-
-
-def _item(entry: Any) -> RelayedItem:
-    headers = tuple(
-        ItemHeader(str(name), str(value)) for name, value in (entry.get("headers") or {}).items()
+        entries = Fields(json.loads(content)).entries("items")
+        if not 1 <= len(entries) <= MAX_ITEMS:
+            raise FieldError("items", f"1 to {MAX_ITEMS} items", str(len(entries)))
+        items = [_item(Fields(entry, f"items[{n}]")) for n, entry in enumerate(entries)]
+        return Ok(tuple(items))
+    except UNREADABLE as error:
+        return Error(Fault(FaultCode.INVALID, STEP, explain(error)))
+
+
+def _item(fields: Fields) -> RelayedItem:
+    return RelayedItem(
+        fields.text("id"),
+        fields.text("path"),
+        _headers(fields),
+        _body(fields),
+        fields.whole_or("tokens", 0),
     )
-    if not isinstance(entry["id"], str) or not isinstance(entry["path"], str):
-        raise TypeError("an item's id or path is no text")
-    body = base64.b64decode(entry.get("body") or "", validate=True)
-    return RelayedItem(entry["id"], entry["path"], headers, body, int(entry.get("tokens") or 0))
+
+
+def _headers(fields: Fields) -> tuple[ItemHeader, ...]:
+    headers = fields.get("headers") or {}
+    if not isinstance(headers, dict):
+        raise FieldError(fields.path_of("headers"), "an object", json_type(headers))
+    return tuple(ItemHeader(str(name), str(value)) for name, value in headers.items())
+
+
+def _body(fields: Fields) -> bytes:
+    body = fields.get("body") or ""
+    try:
+        return base64.b64decode(body, validate=True)
+    except (TypeError, ValueError):
+        raise FieldError(fields.path_of("body"), "base64 text", json_type(body)) from None
 
 
 def whole_number(text: str) -> int:
--- /dev/null
+++ b/src/rainsail/fleet_api/job_calls.py
@@ -0,0 +1,150 @@
+"""Serves clients' calls about relayed jobs, whatever these calls look like on the wire.
+
+A job is handed in by a request on a batch route, its id in the request's header. How the other
+calls are written is up to a ``JobCallFormat``; each of them is one of the ledger's, wherever its
+leader is.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from rainsail.fleet_api.items import read_items
+from rainsail.fleet_api.replies import (
+    EMPTY,
+    STATUS_ACCEPTED,
+    STATUS_OK,
+    reply_fault,
+    reply_json,
+    reply_when_done,
+)
+from rainsail.http.exchange import Exchange, Handler, HttpRequest
+from rainsail.jobs.client import JobClient
+from rainsail.jobs.messages import QueueLimit, ResultPage
+from rainsail.logs import logger
+from rainsail.relay.gateway import RelayGateway
+from rainsail.relay.protocol import RequestFacts
+from rainsail.relay.table import Route
+from rainsail.tenancy.tenants import Identity
+
+BODY_TYPE = (b"Content-Type", b"application/octet-stream")
+
+
+@dataclass(frozen=True, slots=True)
+class ReadJobResults:
+    """Read results from a position on, waiting for one for up to ``wait_s``."""
+
+    job: str
+    after: int
+    wait_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class ReadJobBody:
+    """Read the body of an item that is not listed yet."""
+
+    job: str
+    item: str
+
+
+@dataclass(frozen=True, slots=True)
+class EndJob:
+    """Run nothing more of a job."""
+
+    job: str
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownJobCall:
+    """No call that there is, at a path of jobs: its key is checked, then it is relayed."""
+
+
+JobCall = ReadJobResults | ReadJobBody | EndJob | UnknownJobCall
+
+
+class JobCallFormat(Protocol):
+    """How calls about jobs and their answers are written."""
+
+    def read_call(self, request: HttpRequest) -> JobCall | None:
+        """Return the call that a request makes, None when it is no call about a job."""
+        ...
+
+    def page_body(self, page: ResultPage) -> Mapping[str, Any]:
+        """Return a page of results as JSON has it."""
+        ...
+
+
+def client_handler(gateway: RelayGateway, jobs: JobClient, calls: JobCallFormat) -> Handler:
+    """Return the handler of a gateway's address for clients."""
+    service = JobCallService(gateway, jobs, calls)
+    gateway.on_batch = service.submit
+
+    def handle(exchange: Exchange) -> None:
+        if not service.handle(exchange):
+            gateway.handle(exchange)
+
+    return handle
+
+
+class JobCallService:
+    """Answers calls about jobs with what the ledger says."""
+
+    def __init__(self, gateway: RelayGateway, jobs: JobClient, calls: JobCallFormat) -> None:
+        self._gateway = gateway
+        self._jobs = jobs
+        self._calls = calls
+
+    def submit(
+        self, exchange: Exchange, route: Route, facts: RequestFacts, identity: Identity
+    ) -> None:
+        """Hand a job in; 202 once a quorum has synced all of it."""
+        log = logger.bind(job=facts.request)
+        items = read_items(exchange.request.body)
+        if items.is_error():
+            log.bind(fault=str(items.error)).info("job_refused")
+            reply_fault(exchange, items.error)
+            return
+
+        def answer(result: Any) -> None:
+            if result.is_ok():
+                log.info("job_accepted")
+                reply_json(exchange, STATUS_ACCEPTED, EMPTY)
+                return
+            log.bind(fault=str(result.error)).info("job_not_accepted")
+            reply_fault(exchange, result.error)
+
+        limit = QueueLimit(route.prefix, route.max_queued_tokens)
+        done = self._jobs.submit(
+            identity.tenant, facts.request, facts.host, facts.path, items.ok, limit
+        )
+        done.addCallback(answer)
+
+    def handle(self, exchange: Exchange) -> bool:
+        """Answer a call about a job that is there; False when it is another request."""
+        call = self._calls.read_call(exchange.request)
+        if call is None:
+            return False
+        identity = self._gateway.identify_job_call(exchange)
+        if identity is None:
+            return True
+        match call:
+            case ReadJobResults():
+                page = self._jobs.read(identity.tenant, call.job, call.after, call.wait_s)
+                reply_when_done(exchange, page, self._calls.page_body)
+            case ReadJobBody():
+                self._read_body(exchange, identity.tenant, call)
+            case EndJob():
+                ended = self._jobs.end(identity.tenant, call.job)
+                reply_when_done(exchange, ended, lambda _: EMPTY)
+            case UnknownJobCall():
+                return False
+        return True
+
+    def _read_body(self, exchange: Exchange, tenant: str, call: ReadJobBody) -> None:
+        def answer(result: Any) -> None:
+            if result.is_error():
+                reply_fault(exchange, result.error)
+            else:
+                exchange.answer(STATUS_OK, (BODY_TYPE,), result.ok.body)
+
+        self._jobs.read_body(tenant, call.job, call.item).addCallback(answer)
--- a/src/rainsail/fleet_api/replies.py
+++ b/src/rainsail/fleet_api/replies.py
@@ -13,6 +13,7 @@
 JSON_TYPE = (b"Content-Type", b"application/json")
 EMPTY: dict[str, Any] = {}
 STATUS_OK = 200
+STATUS_ACCEPTED = 202
 STATUS_INVALID = 400
 STATUS_NOT_FOUND = 404
 STATUS_CONFLICT = 409
--- a/src/rainsail/fleet_api/runner_words.py
+++ b/src/rainsail/fleet_api/runner_words.py
@@ -11,6 +11,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
 from rainsail.cluster.messages import RunnerRecord, RunnerState
+from rainsail.fleet_api.json_fields import A_WHOLE_NUMBER, FieldError
 from rainsail.wire.address import parse_address
 
 LONGEST_TEXT = 256
@@ -18,9 +19,6 @@
 MOST_SLOTS = 1_000_000
 LONGEST_WARM_UP_S = 1e6
 
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError)
-"""What reading a body raises when it is no runner's word."""
-
 
 def _listening(address: str) -> str:
     if parse_address(address).port == 0:
@@ -56,9 +54,9 @@
 
 
 def read_word(runner: str, fields: Any) -> RunnerRecord:
-    """Return what a runner says; raises one of ``UNREADABLE``."""
+    """Return what a runner says; raises one of ``json_fields.UNREADABLE``."""
     if not runner or len(runner) > LONGEST_TEXT:
-        raise ValueError("the runner has no id, or one that is too long")
+        raise ValueError(f"the runner's id: expected 1 to {LONGEST_TEXT} characters")
     body = RunnerBody.model_validate(fields)
     return RunnerRecord(
         runner,
@@ -79,5 +77,5 @@
         return None
     fields = json.loads(content)
     if isinstance(fields, dict) and "born" in fields and fields["born"] is None:
-        raise ValueError("born is no number")
+        raise FieldError("born", A_WHOLE_NUMBER, "null")
     return LeaveBody.model_validate(fields).born
