--- a/src/rainsail/jobs/ledger_service.py
+++ b/src/rainsail/jobs/ledger_service.py
@@ -7,6 +7,7 @@
 
 from rainsail.consensus.driver import GroupDriver
 from rainsail.errors import Fault, FaultCode
+from rainsail.jobs.held_reads import HeldReads
 from rainsail.jobs.job_ids import client_id
 from rainsail.jobs.job_state import JobState, RelayedJob
 from rainsail.jobs.ledger_time import LedgerTime
@@ -21,18 +22,25 @@
     ResultPage,
     SubmitRelayedJob,
 )
+from rainsail.jobs.queue_limits import QueueLimits
 from rainsail.logs import logger
 from rainsail.runtime.clock import Clock
 from rainsail.state.job_commands import AcceptJob, EndRelayedJob
 from rainsail.wire.messenger import Messenger
 
 MAX_PAGE_BYTES = 700_000
-"""Text of one page of results; what is added around it stays under a megabyte."""
-MAX_READ_WAIT_S = 1.0
+"""Text of one page of results.
+
+Not measured; chosen so that a page stays under a megabyte with what JSON adds to it.
+"""
 
 
 class LedgerService:
-    """Serves jobs over the messenger while this node leads the ledger group."""
+    """Serves jobs over the messenger while this node leads the ledger group.
+
+    Reads are answered from this node's own state: while it holds the leader's lease, which a quorum
+    renews, no other node can have committed anything.
+    """
 
     def __init__(
         self, messenger: Messenger, clock: Clock, state: JobState, ledger_time: LedgerTime
@@ -41,9 +49,8 @@
         self._ledger_time = ledger_time
         self._state = state
         self._group: GroupDriver | None = None
-        self._held: dict[str, list[_HeldRead]] = {}
-        self._proposed: dict[str, SubmitRelayedJob] = {}
-        """Jobs whose acceptance is under way."""
+        self._held = HeldReads(clock, self._read_now)
+        self._limits = QueueLimits(state)
         messenger.serve(SubmitRelayedJob, self._submit)
         messenger.serve(ReadResults, self._read)
         messenger.serve(ReadItemBody, self._read_body)
@@ -52,9 +59,10 @@
     def serve_group(self, group: GroupDriver) -> None:
         """Begin to answer for a group whose storage is open."""
         self._group = group
-        group.on_applied(self._release_held)
+        group.on_applied(lambda index: self._held.release_where(self._has_news))
 
     def _refusal(self, step: str) -> Fault | None:
+        """Return the fault with which a node answers that does not lead, None when it leads."""
         group = self._group
         if group is None:
             return Fault(FaultCode.NOT_LEADER, step, "the ledger is not open here")
@@ -62,57 +70,37 @@
             return Fault(FaultCode.NOT_LEADER, step, "another node leads", group.leader())
         return None
 
+    # --- changes -------------------------------------------------------------------------
+
     def _submit(self, source: str, message: SubmitRelayedJob) -> "Deferred[Any]":
         refusal = self._refusal("jobs.submit")
         if refusal is not None:
             return succeed(refusal)
-        assert self._group is not None
         if message.job in self._state.jobs:
             return succeed(RelayedJobAccepted(message.job))
-        over = self._over_limit(message)
-        if over is not None:
-            return succeed(over)
+        over_limit = self._limits.refusal(message)
+        if over_limit is not None:
+            return succeed(over_limit)
+        job = client_id(message.tenant, message.job)
+        log = logger.bind(job=job, tenant=message.tenant, items=len(message.items))
+        log.bind(gateway=source).info("job_proposed")
+        return self._propose_job(message)
+
+    def _propose_job(self, message: SubmitRelayedJob) -> "Deferred[Any]":
+        assert self._group is not None
         at_s = self._ledger_time.at(self._clock.seconds())
         command = AcceptJob(
             message.job, message.tenant, message.host, message.path, message.items, at_s
         )
-        job = client_id(message.tenant, message.job)
-        log = logger.bind(job=job, tenant=message.tenant, items=len(message.items))
-        log.bind(gateway=source).info("job_proposed")
-        self._proposed[message.job] = message
+        self._limits.begin(message)
         proposed = self._group.propose(command)
-        proposed.addBoth(self._proposal_over, message.job)
+        proposed.addBoth(self._on_proposal_over, message.job)
         return proposed.addCallback(_reply, RelayedJobAccepted(message.job))
 
-    def _proposal_over(self, result: Any, job: str) -> Any:
-        self._proposed.pop(job, None)
+    def _on_proposal_over(self, result: Any, job: str) -> Any:
+        self._limits.end(job)
         return result
 
-    def _over_limit(self, message: SubmitRelayedJob) -> Fault | None:
-        """Return the fault of a job that does not fit its tenant's limit on the route.
-
-        Jobs that are being committed count as if they were accepted. The refusal is a promise:
-        the log of a leader that answers holds no other proposal of this job, since all that came
-        before its term is applied.
-        """
-        limit = message.limit
-        if not limit.tokens or message.job in self._proposed:
-            return None
-        proposed = sum(
-            _tokens(each)
-            for each in self._proposed.values()
-            if (each.tenant, each.host) == (message.tenant, message.host)
-            and each.path.startswith(limit.prefix)
-        )
-        waiting = proposed + self._state.waiting_tokens(message.tenant, message.host, limit.prefix)
-        if waiting + _tokens(message) <= limit.tokens:
-            return None
-        detail = f"{waiting} tokens wait, {_tokens(message)} more don't fit {limit.tokens}"
-        job = client_id(message.tenant, message.job)
-        log = logger.bind(job=job, tenant=message.tenant, waiting=waiting, limit=limit.tokens)
-        log.info("job_over_limit")
-        return Fault(FaultCode.OVER_LIMIT, "jobs.submit", detail)
-
     def _end(self, source: str, message: EndJobCall) -> "Deferred[Any]":
         refusal = self._refusal("jobs.end")
         if refusal is not None:
@@ -124,10 +112,12 @@
         proposed = self._group.propose(EndRelayedJob(message.job))
         return proposed.addCallback(_reply, JobEnded(message.job))
 
-    def _read_body(self, source: str, message: ReadItemBody) -> "Deferred[Any]":
-        return self._confirmed("jobs.read_body", lambda: self._body_of(message))
+    # --- reads ---------------------------------------------------------------------------
 
-    def _body_of(self, message: ReadItemBody) -> Any:
+    def _read_body(self, source: str, message: ReadItemBody) -> ItemBodyFound | Fault:
+        refusal = self._refusal("jobs.read_body")
+        if refusal is not None:
+            return refusal
         job = self._state.jobs.get(message.job)
         body = None if job is None else job.body(message.item)
         if body is None:
@@ -135,63 +125,27 @@
             return Fault(FaultCode.NOT_FOUND, "jobs.read_body", detail)
         return ItemBodyFound(body)
 
-    def _read(self, source: str, message: ReadResults) -> "Deferred[Any]":
-        return self._confirmed("jobs.read", lambda: self._page_or_hold(message))
-
-    def _confirmed(self, step: str, answer: Any) -> "Deferred[Any]":
-        """Answer at once under the leader's lease, which a quorum has renewed lately."""
-        refusal = self._refusal(step)
+    def _read(self, source: str, message: ReadResults) -> "ResultPage | Fault | Deferred[Any]":
+        refusal = self._refusal("jobs.read")
         if refusal is not None:
-            return succeed(refusal)
-        return _as_deferred(answer())
+            return refusal
+        if message.wait_s <= 0 or self._has_news(message):
+            return self._read_now(message)
+        return self._held.hold(message)
 
-    def _page_or_hold(self, message: ReadResults) -> Any:
+    def _has_news(self, message: ReadResults) -> bool:
+        """Tell whether a read is answered at once: waiting would bring nothing more."""
         job = self._state.jobs.get(message.job)
-        if job is None:
-            return Fault(FaultCode.NOT_FOUND, "jobs.read", f"no job {message.job}")
-        if len(job.listed) > message.after or message.wait_s <= 0 or not job.is_open:
-            return page_of(job, message.after)
-        held = _HeldRead(message, Deferred())
-        self._held.setdefault(message.job, []).append(held)
-        wait_s = min(message.wait_s, MAX_READ_WAIT_S)
-        self._clock.callLater(wait_s, self._release, held)
-        return held.done
-
-    def _release_held(self, index: int) -> None:
-        for name in list(self._held):
-            job = self._state.jobs.get(name)
-            for held in list(self._held.get(name, ())):
-                if job is None or not job.is_open or len(job.listed) > held.message.after:
-                    self._release(held)
-
-    def _release(self, held: "_HeldRead") -> None:
-        if held.released:
-            return
-        held.released = True
-        name = held.message.job
-        waiting = self._held.get(name, [])
-        if held in waiting:
-            waiting.remove(held)
-        if not waiting:
-            self._held.pop(name, None)
+        return job is None or not job.is_open or len(job.listed) > message.after
+
+    def _read_now(self, message: ReadResults) -> ResultPage | Fault:
         refusal = self._refusal("jobs.read")
         if refusal is not None:
-            held.done.callback(refusal)
-            return
-        job = self._state.jobs.get(name)
+            return refusal
+        job = self._state.jobs.get(message.job)
         if job is None:
-            held.done.callback(Fault(FaultCode.NOT_FOUND, "jobs.read", f"no job {name}"))
-            return
-        held.done.callback(page_of(job, held.message.after))
-
-
-class _HeldRead:
-    """A read that waits for a result."""
-
-    def __init__(self, message: ReadResults, done: "Deferred[Any]") -> None:
-        self.message = message
-        self.done = done
-        self.released = False
+            return Fault(FaultCode.NOT_FOUND, "jobs.read", f"no job {message.job}")
+        return page_of(job, message.after)
 
 
 def page_of(job: RelayedJob, after: int) -> ResultPage:
@@ -206,19 +160,9 @@
     return ResultPage(job.job, len(job.items), after, tuple(entries))
 
 
-def _tokens(message: SubmitRelayedJob) -> int:
-    return sum(item.tokens for item in message.items)
-
-
-def _as_deferred(answer: Any) -> "Deferred[Any]":
-    return answer if isinstance(answer, Deferred) else succeed(answer)
-
-
-def _reply(result: Any, answer: Any) -> Any:
+def _reply(result: Any, answer: RelayedJobAccepted | JobEnded) -> Any:
+    """Return the reply to a proposal: the answer once it is committed and applied, or a fault."""
     if result.is_error():
-        fault = result.error
-        return Error(fault)
+        return Error(result.error)
     outcome = result.ok[1]
-    if isinstance(outcome, Fault):
-        return outcome
-    return answer
+    return outcome if isinstance(outcome, Fault) else answer
