--- a/src/rainsail/jobs/item_runs.py
+++ b/src/rainsail/jobs/item_runs.py
@@ -32,7 +32,7 @@
         state: DispatchState,
         recorder: ItemRecorder,
     ) -> None:
-        self.guard = ItemGuard(ledger.state, node.guard)
+        self._guard = ItemGuard(ledger.state, node.guard)
         self._node = node
         self._routes = state.routes
         self._slots = state.slots
@@ -75,14 +75,14 @@
     def _on_run_ended(self, item: OpenItem, end: RunEnd, reason: str) -> None:
         now = self._node.clock.seconds()
         self._running.remove(item)
-        self.guard.on_run_ended(item, self._node.registry.get(item.runner))
+        self._guard.on_run_ended(item, self._node.registry.get(item.runner))
         if end == RunEnd.BROKEN:
             item.close_run(now)
         item.ran_s = item.running_s(now)
         item.run = None
         item.call = None
         if end != RunEnd.WHOLE:
-            fingerprint_name = self.guard.fingerprint_name(item)
+            fingerprint_name = self._guard.fingerprint_name(item)
             self._recorder.run_ended_early(item, end, reason, fingerprint_name)
         self._list_or_put_back(item, end, now)
 
--- a/src/rainsail/jobs/item_starter.py
+++ b/src/rainsail/jobs/item_starter.py
@@ -4,6 +4,7 @@
 from rainsail.jobs.after_run import ItemOver
 from rainsail.jobs.context import DispatchNode, Ledger
 from rainsail.jobs.dispatch_state import DispatchState
+from rainsail.jobs.item_guard import ItemGuard
 from rainsail.jobs.item_planner import ItemPlanner
 from rainsail.jobs.item_recorder import ItemRecorder
 from rainsail.jobs.item_runs import ItemRuns
@@ -25,6 +26,7 @@
         runs: ItemRuns,
         recorder: ItemRecorder,
     ) -> None:
+        self._guard = ItemGuard(ledger.state, node.guard)
         self._node = node
         self._ledger = ledger
         self._routes = state.routes
@@ -37,7 +39,7 @@
         self._wait_for_reports_until_s = 0.0
 
     def begin_leadership(self) -> None:
-        """Wait for the gateways' reports before the first start."""
+        """Wait for the first report of a gateway before the first start, for a limited time."""
         now = self._node.clock.seconds()
         self._wait_for_reports_until_s = now + self._node.settings.report_wait_s
 
@@ -47,7 +49,7 @@
         if not self._may_start(now):
             return
         for item in self._waiting.by_urgency(self._planner.order):
-            if self._runs.guard.is_held(item):
+            if self._guard.is_held(item):
                 self._keep_waiting(item, now)
             elif item.ready_at_s > now:
                 continue
