--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -7,6 +7,7 @@
 from rainsail.cluster.controller import FleetController
 from rainsail.cluster.messages import ZoneDrainNotice
 from rainsail.errors import Fault, FaultCode
+from rainsail.fleet_api.heartbeats import read_deregistration, read_heartbeat
 from rainsail.fleet_api.json_fields import UNREADABLE, explain
 from rainsail.fleet_api.quarantine import take_quarantine_call
 from rainsail.fleet_api.replies import (
@@ -17,7 +18,6 @@
     reply_fault,
     reply_when_done,
 )
-from rainsail.fleet_api.runner_words import read_leave, read_word
 from rainsail.fleet_api.tables import read_table
 from rainsail.http.exchange import Exchange, Handler
 
@@ -50,9 +50,9 @@
         path = exchange.request.target.decode("latin-1").partition("?")[0]
         name = path.rpartition("/")[2]
         if path.startswith(RUNNERS) and name and method == "PUT":
-            self._take_word(exchange, name)
+            self._take_heartbeat(exchange, name)
         elif path.startswith(RUNNERS) and name and method == "DELETE":
-            self._take_leave(exchange, name)
+            self._take_deregistration(exchange, name)
         elif path == TABLE and method == "PUT":
             self._replace_table(exchange)
         elif path == TABLE and method == "GET":
@@ -76,17 +76,17 @@
             unclear_status=STATUS_UNAVAILABLE,
         )
 
-    def _take_word(self, exchange: Exchange, runner: str) -> None:
+    def _take_heartbeat(self, exchange: Exchange, runner: str) -> None:
         try:
-            record = read_word(runner, json.loads(exchange.request.body))
+            record = read_heartbeat(runner, json.loads(exchange.request.body))
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
         self._answer(exchange, self._controller.runner_word(record))
 
-    def _take_leave(self, exchange: Exchange, runner: str) -> None:
+    def _take_deregistration(self, exchange: Exchange, runner: str) -> None:
         try:
-            born = read_leave(exchange.request.body)
+            born = read_deregistration(exchange.request.body)
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
--- a/src/rainsail/fleet_api/runner_words.py
+++ b/src/rainsail/fleet_api/heartbeats.py
@@ -1,8 +1,8 @@
-"""What a runner says of itself, read strictly.
+"""Heartbeats and deregistrations of runners as JSON, read strictly.
 
-Words may come from other writers than runners: with fields missing, of another type, or out of
-range. Such a word names no runner. A number that the wire between nodes can't carry would end the
-push to every one of them.
+They may come from other writers than runners: with fields missing, of another type, or out of
+range. None of that may reach the registry: a number that the wire between nodes cannot carry would
+end the push to every one of them.
 """
 
 import json
@@ -15,9 +15,13 @@
 from rainsail.wire.address import parse_address
 
 LONGEST_TEXT = 256
+"""Characters of a name. Not measured; chosen far above the names in use."""
 LARGEST_NUMBER = 2**63 - 1
+"""The largest number that the wire between nodes carries (a long of Avro)."""
 MOST_SLOTS = 1_000_000
+"""Slots of a runner. Not measured; chosen far above what an accelerator runs at once."""
 LONGEST_WARM_UP_S = 1e6
+"""Not measured; chosen far above any warm-up, and small enough for sums of times."""
 
 
 def _listening(address: str) -> str:
@@ -30,8 +34,8 @@
 Whole = Annotated[int, Field(ge=0, le=LARGEST_NUMBER)]
 
 
-class RunnerBody(BaseModel):
-    """A runner's word about itself; ``born`` is in milliseconds since 1970, 0 where not told."""
+class HeartbeatBody(BaseModel):
+    """A heartbeat; ``born`` is the runner's start in milliseconds since 1970, 0 if not known."""
 
     model_config = ConfigDict(frozen=True, extra="ignore", strict=True)
 
@@ -45,19 +49,19 @@
     born: Whole = 0
 
 
-class LeaveBody(BaseModel):
-    """A runner's last word; without ``born`` it stands for the life that is known."""
+class DeregistrationBody(BaseModel):
+    """A deregistration; without ``born`` it is of the incarnation that is known."""
 
     model_config = ConfigDict(frozen=True, extra="ignore", strict=True)
 
     born: Whole | None = None
 
 
-def read_word(runner: str, fields: Any) -> RunnerRecord:
-    """Return what a runner says; raises one of ``json_fields.UNREADABLE``."""
+def read_heartbeat(runner: str, fields: Any) -> RunnerRecord:
+    """Return the record of a runner's heartbeat; raises one of ``json_fields.UNREADABLE``."""
     if not runner or len(runner) > LONGEST_TEXT:
         raise ValueError(f"the runner's id: expected 1 to {LONGEST_TEXT} characters")
-    body = RunnerBody.model_validate(fields)
+    body = HeartbeatBody.model_validate(fields)
     return RunnerRecord(
         runner,
         body.service,
@@ -71,11 +75,14 @@
     )
 
 
-def read_leave(content: bytes) -> int | None:
-    """Return when the life that leaves was born, None where it doesn't say; may raise."""
+def read_deregistration(content: bytes) -> int | None:
+    """Return ``born`` of the incarnation that leaves, None if it is not given.
+
+    Raises one of ``json_fields.UNREADABLE``.
+    """
     if not content.strip():
         return None
     fields = json.loads(content)
     if isinstance(fields, dict) and "born" in fields and fields["born"] is None:
         raise FieldError("born", A_WHOLE_NUMBER, "null")
-    return LeaveBody.model_validate(fields).born
+    return DeregistrationBody.model_validate(fields).born
--- a/src/rainsail/jobs/placement_service.py
+++ b/src/rainsail/jobs/placement_service.py
@@ -112,7 +112,7 @@
         )
         self._loads: dict[str, _CountedLoad] = {}
         self._busy_services: dict[str, set[str]] = {}
-        """The services that each gateway was last told to be busy."""
+        """The services of which each gateway knows that they are busy, by its last answer."""
         self._requested_s: deque[float] = deque()
         """When a place was asked for, within ``REQUEST_WINDOW_S``."""
         self._paused_until_s = float("-inf")
