--- /dev/null
+++ b/features/jobs/decisions.feature
@@ -0,0 +1,54 @@
+Feature: What follows a run, where an item runs and how many are preempted are pure decisions
+
+  Scenario Outline: After a run that ended <end> with <failures> of <most> attempts failed
+    When the run of an item ends <end> with <failures> of <most> attempts failed
+    Then the item is <outcome>
+
+    Examples:
+      | end        | failures | most | outcome                                            |
+      | whole      | 0        | 1    | done: whole                                        |
+      | impossible | 0        | 9    | given up: the runner says that it can never be done |
+      | failed     | 1        | 2    | run again, and its runner pauses 0 s               |
+      | failed     | 2        | 2    | given up: failed at every attempt                  |
+      | not_run    | 5        | 1    | run again, and its runner pauses 0.25 s            |
+      | broken     | 5        | 1    | run again, and its runner pauses 1.5 s             |
+
+  Scenario Outline: An item rests longer with each run that brought nothing
+    Then an item waits <pause> s after <runs> runs in a row that brought no event
+
+    Examples:
+      | runs | pause |
+      | 0    | 0     |
+      | 2    | 0     |
+      | 3    | 0.5   |
+      | 4    | 1     |
+      | 7    | 8     |
+      | 99   | 8     |
+
+  Scenario Outline: Items are preempted as far as requests wait for slots
+    Given a runner of 8 slots with <online> online requests, <items> items and <others> of other callers
+    Then <preempted> items are preempted, and <free> slots are free
+
+    Examples:
+      | online | items | others | preempted | free |
+      | 0      | 8     | 0      | 0         | 0    |
+      | 3      | 8     | 0      | 3         | -3   |
+      | 9      | 2     | 0      | 2         | -3   |
+      | 9      | 0     | 0      | 0         | -1   |
+      | 4      | 3     | 2      | 1         | -1   |
+      | 1      | 2     | 1      | 0         | 4    |
+
+  Scenario Outline: An item runs where most slots are free, in the own zone if any is free there
+    Given runners with these free slots
+      | runner | zone | free   |
+      | a-1    | a    | <a-1>  |
+      | a-2    | a    | <a-2>  |
+      | b-1    | b    | <b-1>  |
+    Then an item of zone a runs at "<chosen>"
+
+    Examples:
+      | a-1 | a-2 | b-1 | chosen |
+      | 1   | 2   | 8   | a-2    |
+      | 2   | 2   | 8   | a-1    |
+      | 0   | -1  | 1   | b-1    |
+      | 0   | 0   | 0   |        |
--- /dev/null
+++ b/features/steps/item_decision_steps.py
@@ -0,0 +1,64 @@
+"""Steps on the pure decisions about items."""
+
+from behave import given, then, when
+
+from rainsail.jobs.after_run import ItemOver, decide_after_run, item_pause_s
+from rainsail.jobs.item_run import RunEnd
+from rainsail.jobs.slot_use import SlotUse, choose_runner, items_to_preempt
+
+
+@when("the run of an item ends {end} with {failures:d} of {most:d} attempts failed")
+def run_ends(context, end, failures, most):
+    context.decision = decide_after_run(RunEnd(end), failures, most)
+
+
+@then("the item is done: {reason}")
+def item_done(context, reason):
+    assert context.decision == ItemOver(True, reason), context.decision
+
+
+@then("the item is given up: {reason}")
+def item_given_up(context, reason):
+    assert context.decision == ItemOver(False, reason), context.decision
+
+
+@then("the item is run again, and its runner pauses {pause_s:g} s")
+def item_runs_again(context, pause_s):
+    assert context.decision.runner_pause_s == pause_s, context.decision
+
+
+@then("an item waits {pause_s:g} s after {runs:d} runs in a row that brought no event")
+def item_waits(context, pause_s, runs):
+    assert item_pause_s(runs) == pause_s, item_pause_s(runs)
+
+
+@given(
+    "a runner of {slots:d} slots with {online:d} online requests, {items:d} items"
+    " and {others:d} of other callers"
+)
+def runner_with(context, slots, online, items, others):
+    context.use = SlotUse("r-1", "a", slots, online, items, others)
+
+
+@then("{preempted:d} items are preempted, and {free:d} slots are free")
+def preempted_and_free(context, preempted, free):
+    assert items_to_preempt(context.use) == preempted, items_to_preempt(context.use)
+    assert context.use.free == free, context.use
+
+
+@given("runners with these free slots")
+def runners_with(context):
+    context.uses = [
+        SlotUse(row["runner"], row["zone"], int(row["free"]), 0, 0) for row in context.table
+    ]
+
+
+@then('an item of zone {zone} runs at "{runner}"')
+def runs_at(context, zone, runner):
+    chosen = choose_runner(context.uses, zone)
+    assert chosen is not None and chosen.runner == runner, chosen
+
+
+@then('an item of zone {zone} runs at ""')
+def runs_nowhere(context, zone):
+    assert choose_runner(context.uses, zone) is None, context.uses
