--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -64,26 +64,7 @@
         self._outcomes = OutcomeBatcher(self._propose, base.clock)
         self._warm_ups = WarmUpLimiter(base.settings.warm_up.bound(), base.registry.warm_ups)
         self._regions = RegionMap(base.settings.node.zones)
-        self.dispatcher = Dispatcher(
-            DispatchNode(
-                zone=base.settings.node.zone,
-                clock=base.clock,
-                random=base.random,
-                registry=base.registry,
-                pool=pool,
-                protocol=protocol,
-                regions=self._regions,
-                warm_ups=self._warm_ups,
-                guard=QuarantineAgent(
-                    base.messenger, base.clock, base.follower, pool, base.metrics
-                ),
-                metrics=base.metrics,
-                settings=DispatchSettings(mechanisms=base.settings.mechanisms),
-            ),
-            Ledger(
-                self.state, ledger_time, self._outcomes.add, self._propose, self._may_start_items
-            ),
-        )
+        self.dispatcher = self._make_dispatcher(protocol, ledger_time)
         self.state.observer = self.dispatcher.observer
         # Controllers may tell of a table while this node still opens its disk; it is told once.
         base.follower.on_table = self._take_table
@@ -96,6 +77,31 @@
         self._retention = Retention(self.state, base.settings.bounds.results_kept_s)
         self._stopped = False
 
+    def _make_dispatcher(self, protocol: RelayProtocol, ledger_time: LedgerTime) -> Dispatcher:
+        base = self._base
+        guard = QuarantineAgent(base.messenger, base.clock, base.follower, self._pool, base.metrics)
+        node = DispatchNode(
+            zone=base.settings.node.zone,
+            clock=base.clock,
+            random=base.random,
+            registry=base.registry,
+            pool=self._pool,
+            protocol=protocol,
+            regions=self._regions,
+            warm_ups=self._warm_ups,
+            guard=guard,
+            metrics=base.metrics,
+            settings=DispatchSettings(mechanisms=base.settings.mechanisms),
+        )
+        ledger = Ledger(
+            state=self.state,
+            time=ledger_time,
+            list_outcome=self._outcomes.add,
+            keep_progress=self._propose,
+            may_start=self._may_start_items,
+        )
+        return Dispatcher(node, ledger)
+
     async def start(self) -> Result[None, Fault]:
         """Open the folder, listen and follow the fleet; the group starts once it has members."""
         base = self._base
