--- a/tools/run_features.py
+++ b/tools/run_features.py
@@ -31,6 +31,7 @@
     "scale",
     "benchmarks",
     "cli",
+    "compatibility",
 )
 """Areas whose features run in a process each."""
 SHOWN_SLOWEST = 5
