--- a/bench/against.py
+++ b/bench/against.py
@@ -6,8 +6,7 @@
 
     python bench/against.py COMMIT BENCH [--rounds N] [--seconds=3 ...]
 
-BENCH is a name of ``rainsail bench``, or ``replicas`` (five processes); further arguments are
-given to the bench.
+BENCH is a name of ``rainsail bench``; further arguments are given to the bench.
 """
 
 import argparse
@@ -48,8 +47,6 @@
 def run_bench(tree: Path, bench: str, arguments: list[str]) -> dict[str, Any]:
     """Run a bench on a tree and return its JSON."""
     command = [sys.executable, "-c", PROGRAM, "bench", bench, *arguments]
-    if bench == "replicas":
-        command = [sys.executable, str(tree / "bench" / "replicas.py"), *arguments]
     environment = {**os.environ, "PYTHONPATH": str(tree / "src")}
     finished = subprocess.run(
         command, env=environment, stdout=subprocess.PIPE, text=True, timeout=RUN_TIMEOUT_S
--- a/bench/wire_bench.py
+++ b/bench/wire_bench.py
@@ -17,14 +17,13 @@
 from twisted.internet import reactor
 from twisted.internet.defer import ensureDeferred
 
-from rainsail.benchmarks.report import no_progress, write_report
+from rainsail.benchmarks.report import BenchReport, no_progress, write_report
 from rainsail.benchmarks.wire import (
     RECEIVER,
     SENDER,
     SampleSender,
     codec_costs,
     start_receiver,
-    wire_report,
 )
 from rainsail.wire.keys import create_certificates
 
@@ -58,7 +57,7 @@
         figures["plain"] = await measure("", arguments.seconds)
         figures["tls"] = await measure(folder, arguments.seconds)
     figures["load_average_after"] = os.getloadavg()[0]
-    report = wire_report(figures)
+    report = BenchReport("wire", figures)
     if arguments.output:
         write_report(report, Path(arguments.output))
     print(json.dumps(report.to_json()), flush=True)
--- a/features/steps/benchmarks_command_steps.py
+++ b/features/steps/benchmarks_command_steps.py
@@ -7,8 +7,6 @@
 from behave import then, when
 from features.support.command_line import rainsail
 
-PNG_SIGNATURE = b"\x89PNG"
-
 
 @when('"rainsail bench {arguments}" is run with a folder for the bench\'s output')
 def step_run_bench(context, arguments):
@@ -28,12 +26,11 @@
     assert len(context.bench_json["targets"]) == targets
 
 
-@then("the bench's output folder holds the same JSON and a PNG image")
+@then("the bench's output folder holds the same JSON and nothing else")
 def step_output(context):
-    (written,) = context.bench_output.glob("*.json")
+    (written,) = context.bench_output.iterdir()
+    assert written.suffix == ".json"
     assert json.loads(written.read_text()) == context.bench_json
-    (plot,) = context.bench_output.glob("*.png")
-    assert plot.read_bytes().startswith(PNG_SIGNATURE)
 
 
 @then('the bench command ends with exit code 2 and names "{flag}"')
--- a/features/support/benchmarks.py
+++ b/features/support/benchmarks.py
@@ -6,10 +6,13 @@
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.settings import BatchSettings
 from rainsail.benchmarks.ledger_commands import DEADLINE_UNIX_S, SERVICE, item_body
-from rainsail.benchmarks.restart import tenant_change
 from rainsail.benchmarks.virtual_replicas import VirtualReplicas
+from rainsail.resources.specs import Kind, ResourceKey, TenantSpec
+from rainsail.state.commands import PutResource
 
 AT_ONCE = 100
+TENANTS = 1_000
+"""Different tenants that the changes go to."""
 
 
 class FollowerWatch:
@@ -62,6 +65,12 @@
     return answers[0]
 
 
+def tenant_change(number: int) -> PutResource:
+    """Return the change of a number: another rate for one of the tenants."""
+    key = ResourceKey(Kind.TENANT, f"tenant-{number % TENANTS}")
+    return PutResource(f"change-{number}", key, TenantSpec(1000.0 + number, 5000.0))
+
+
 def commit_changes(replicas: VirtualReplicas, count: int) -> None:
     """Commit changes at the leader."""
     group = group_of(replicas, replicas.leader())
--- a/src/rainsail/benchmarks/catalogue.py
+++ b/src/rainsail/benchmarks/catalogue.py
@@ -39,13 +39,7 @@
         "rainsail.benchmarks.ledger:run_ledger_bench",
         {"sizes": (10_000, 100_000), "jobs": (1_000,)},
     ),
-    "intake": BenchEntry("rainsail.benchmarks.intake:run_intake_bench", {"items": 200_000}),
     "failover": BenchEntry("rainsail.benchmarks.failover:run_failover_bench", {"seeds": 50}),
-    "restart": BenchEntry("rainsail.benchmarks.restart:run_restart_bench"),
-    "config": BenchEntry(
-        "rainsail.benchmarks.config:run_config_bench", {"gateways": (15, 60), "repeats": 1}
-    ),
-    "consensus": BenchEntry("rainsail.benchmarks.consensus:run_consensus_bench", {"seconds": 3.0}),
     "gateway": BenchEntry(
         "rainsail.benchmarks.catalogue:run_gateway",
         {"runs": 1, "seconds": 0.5, "heap_items": 2_000, "memory": False, "fairness": False},
--- a/src/rainsail/benchmarks/failover.py
+++ b/src/rainsail/benchmarks/failover.py
@@ -13,9 +13,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from rainsail.benchmarks.loopback_replicas import ok
-from rainsail.benchmarks.plots import Plot, cumulative
 from rainsail.benchmarks.report import BenchReport, Progress, Target
+from rainsail.benchmarks.results import ok
 from rainsail.benchmarks.samples import latency_of, percentile
 from rainsail.benchmarks.virtual_replicas import VirtualReplicas
 from rainsail.resources.specs import Kind, ResourceKey, TenantSpec
@@ -112,6 +111,4 @@
         Target(f"fail-over p99 in s, leader {loss}", LIMIT_S, round(percentile(each, 99), 3))
         for loss, each in times_s.items()
     )
-    curves = tuple(cumulative(loss, each) for loss, each in times_s.items())
-    plot = Plot("times", "virtual s until a new change commits", "share of seeds", curves)
-    return BenchReport("failover", figures, targets, (plot,))
+    return BenchReport("failover", figures, targets)
--- a/src/rainsail/benchmarks/ledger.py
+++ b/src/rainsail/benchmarks/ledger.py
@@ -21,7 +21,6 @@
     item_body,
     open_job,
 )
-from rainsail.benchmarks.plots import Curve, Plot
 from rainsail.benchmarks.report import BenchReport, Progress
 from rainsail.benchmarks.samples import MICROSECONDS, MILLISECONDS, slope
 from rainsail.state.commands import (
@@ -197,21 +196,8 @@
         "speed": speed,
         "jobs": many_jobs,
     }
-    return BenchReport("ledger", figures, plots=(_plot(memory),))
+    return BenchReport("ledger", figures)
 
 
 def _slope(rows: list[dict[str, float]], field: str) -> float:
     return round(slope([(row["items"], row[field]) for row in rows]), 1)
-
-
-def _plot(memory: list[dict[str, float]]) -> Plot:
-    sizes = tuple(row["items"] for row in memory)
-    curves = tuple(
-        Curve(label, sizes, tuple(row[field] for row in memory))
-        for label, field in (
-            ("pending", "bytes_per_pending_item"),
-            ("completed", "bytes_per_completed_item"),
-            ("encoded body", "encoded_body_bytes"),
-        )
-    )
-    return Plot("memory", "items", "bytes per item", curves, logarithmic_x=True)
--- a/src/rainsail/benchmarks/report.py
+++ b/src/rainsail/benchmarks/report.py
@@ -1,15 +1,13 @@
-"""What every bench returns: figures, targets met or missed, and a plot."""
+"""What every bench returns: its figures, and its targets met or missed."""
 
 import json
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
-from rainsail.benchmarks.plots import Plot, write_plot
-
 Progress = Callable[[str], None]
-"""Hears what a bench does next, in a few words."""
+"""Called with what a bench does next, in a few words."""
 
 
 def no_progress(_: str) -> None:
@@ -38,18 +36,15 @@
     bench: str
     figures: dict[str, Any]
     targets: tuple[Target, ...] = ()
-    plots: tuple[Plot, ...] = field(default=())
 
     def to_json(self) -> dict[str, Any]:
-        """Return the report as one JSON object, without its plots."""
+        """Return the report as one JSON object."""
         targets = [{**asdict(target), "met": target.met} for target in self.targets]
         return {"bench": self.bench, **self.figures, "targets": targets}
 
 
 def write_report(report: BenchReport, folder: Path) -> None:
-    """Write ``BENCH.json`` and one PNG per plot into a folder, which is made when missing."""
+    """Write ``BENCH.json`` into a folder, which is made when missing."""
     folder.mkdir(parents=True, exist_ok=True)
     text = json.dumps(report.to_json(), indent=1)
     (folder / f"{report.bench}.json").write_text(text + "\n")
-    for plot in report.plots:
-        write_plot(plot, folder / f"{report.bench}_{plot.name}.png")
--- a/src/rainsail/benchmarks/storage.py
+++ b/src/rainsail/benchmarks/storage.py
@@ -5,6 +5,7 @@
 """
 
 import gc
+import os
 import random
 import statistics
 import time
@@ -16,11 +17,9 @@
 
 from twisted.internet.defer import Deferred
 
-from rainsail.benchmarks.loopback_replicas import ok
-from rainsail.benchmarks.plots import Curve, Plot
 from rainsail.benchmarks.report import BenchReport, Progress
+from rainsail.benchmarks.results import ok
 from rainsail.benchmarks.samples import MICROSECONDS, Latency, latency_of
-from rainsail.benchmarks.sync_time import PAYLOAD_BYTES, bare_sync_times
 from rainsail.storage.group_storage import DurableGroupStorage, open_group_storage
 from rainsail.storage.interface import LogEntry, SnapshotMeta
 from rainsail.storage.local_files import LocalFileSystem
@@ -36,6 +35,8 @@
 CHUNK_BYTES = 128 * 1024
 UNBOUNDED_BYTES = 1 << 40
 GROUP = 0
+PAYLOAD_BYTES = 300
+"""Not measured; chosen as the size of a small command, such as one item of 200 characters."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,6 +67,24 @@
     )
 
 
+def bare_sync_times(folder: Path) -> list[float]:
+    """Return seconds of write + fsync of one payload, without threads or framing."""
+    path = folder / "bare-sync"
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+    data = random.Random(1).randbytes(PAYLOAD_BYTES)
+    times_s = []
+    try:
+        for _ in range(SYNC_SAMPLES):
+            began_s = time.perf_counter()
+            os.write(descriptor, data)
+            os.fsync(descriptor)
+            times_s.append(time.perf_counter() - began_s)
+    finally:
+        os.close(descriptor)
+        path.unlink()
+    return times_s
+
+
 class StorageBench:
     """Measures logs, each in a folder of its own below ``folder``."""
 
@@ -173,7 +192,7 @@
         return await run(*arguments)
 
     figures: dict[str, Any] = {"payload_bytes": PAYLOAD_BYTES}
-    figures["bare_sync"] = asdict(latency_of(bare_sync_times(folder, SYNC_SAMPLES)))
+    figures["bare_sync"] = asdict(latency_of(bare_sync_times(folder)))
     figures["lone_entry"] = asdict(await step("one entry", bench.lone_entry))
     loads = [
         await step(f"batches of {batch}", bench.throughput, batch, seconds)
@@ -188,10 +207,4 @@
         await step("open a log and snapshot", bench.opening, "snapshot", SNAPSHOT_BYTES),
     ]
     figures["opening"] = [asdict(each) for each in openings]
-    return BenchReport("storage", figures, plots=(_plot(loads),))
-
-
-def _plot(loads: list[Throughput]) -> Plot:
-    sizes = tuple(float(load.batch_entries) for load in loads)
-    curve = Curve("entries/s", sizes, tuple(load.entries_per_s for load in loads))
-    return Plot("throughput", "entries per batch", "entries/s", (curve,), logarithmic_x=True)
+    return BenchReport("storage", figures)
--- a/src/rainsail/benchmarks/wire.py
+++ b/src/rainsail/benchmarks/wire.py
@@ -13,9 +13,8 @@
 
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 
-from rainsail.benchmarks.loopback_replicas import LOOPBACK, ok
-from rainsail.benchmarks.plots import Curve, Plot
 from rainsail.benchmarks.report import BenchReport, Progress
+from rainsail.benchmarks.results import ok
 from rainsail.benchmarks.samples import MICROSECONDS, percentile
 from rainsail.wire.address import PeerAddress
 from rainsail.wire.codec import wire_record
@@ -38,6 +37,7 @@
 MEBIBYTE = 2**20
 SENDER = "sender"
 RECEIVER = "receiver"
+LOOPBACK = "127.0.0.1"
 
 
 @wire_record("Sample")
@@ -230,15 +230,4 @@
     figures: dict[str, Any] = {"processes": 1, "codec": codec_costs()}
     figures["plain"] = yield _measure(reactor, None, progress, seconds)
     figures["tls"] = yield _measure(reactor, folder, progress, seconds)
-    return wire_report(figures)
-
-
-def wire_report(figures: dict[str, Any]) -> BenchReport:
-    """Return the report of runs over plain TCP and TLS."""
-    sizes = tuple(float(size) for size in SIZES_BYTES)
-    curves = tuple(
-        Curve(kind, sizes, tuple(row["one_way_per_s"] for row in figures[kind]))
-        for kind in ("plain", "tls")
-    )
-    plot = Plot("one_way", "payload bytes", "envelopes/s", curves, logarithmic_x=True)
-    return BenchReport("wire", figures, plots=(plot,))
+    return BenchReport("wire", figures)
--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -15,15 +15,22 @@
 from rainsail.cli.exit_codes import bad_input, failed
 
 GATEWAY_BENCH = "rainsail.benchmarks.gateway"
+REMOVED_BENCHES = ("config", "consensus", "intake", "restart")
 
 
 class BenchCommands:
     """Run a bench; the last line on standard output is one JSON object.
 
-    ``--output`` names a folder for the JSON and plots. ``--folder`` lies on the disk to be
+    ``--output`` names a folder for the JSON. ``--folder`` lies on the disk to be
     measured (the system's temporary folder when left out).
     """
 
+    def __getattr__(self, name: str) -> Any:
+        """End the command for a bench that is no more, naming those that there are."""
+        if name in REMOVED_BENCHES:
+            raise bad_input(f"bench {name!r} was removed; there are {', '.join(BENCHES)} and all")
+        raise AttributeError(name)
+
     def storage(self, output: str = "", folder: str = "", seconds: float = 3.0) -> None:
         """Measure the durable log: syncs, entries a second, memory, opening again."""
         _run("storage", output, folder, seconds=float(seconds))
@@ -32,29 +39,10 @@
         """Measure the batch ledger alone: bytes per item, commands a second, snapshots."""
         _run("ledger", output, folder, **_whole_numbers("sizes", sizes))
 
-    def intake(self, output: str = "", folder: str = "", items: int = 530_000) -> None:
-        """Submit one large job and watch the leader's heartbeats (real clock)."""
-        _run("intake", output, folder, items=_whole("items", items))
-
     def failover(self, output: str = "", folder: str = "", seeds: int = 200) -> None:
         """Lose the leader in each way; seconds until a new change commits (virtual clock)."""
         _run("failover", output, folder, seeds=_whole("seeds", seeds))
 
-    def restart(self, output: str = "", folder: str = "", changes: int = 50_000) -> None:
-        """Restart a replica that is many changes behind (real clock)."""
-        _run("restart", output, folder, changes=_whole("changes", changes))
-
-    def config(
-        self, output: str = "", folder: str = "", gateways: Any = (), repeats: int = 3
-    ) -> None:
-        """Measure changes until in force on many gateways (virtual clock) and their cost."""
-        counts = _whole_numbers("gateways", gateways)
-        _run("config", output, folder, repeats=_whole("repeats", repeats), **counts)
-
-    def consensus(self, output: str = "", folder: str = "", seconds: float = 5.0) -> None:
-        """Commit on five replicas in this process; bench/replicas.py takes five processes."""
-        _run("consensus", output, folder, seconds=float(seconds))
-
     def wire(self, output: str = "", folder: str = "", seconds: float = 1.0) -> None:
         """Measure the transport over loopback, with and without TLS, and the codec."""
         _run("wire", output, folder, seconds=float(seconds))
