--- a/features/steps/gateway_socket_steps.py
+++ b/features/steps/gateway_socket_steps.py
@@ -7,7 +7,13 @@
 from behave import given, then, when
 from features.support.reactor_thread import in_reactor, reactor, wait_until
 
-from rainsail.benchmarks.gateway_bed import API_KEY, FAST_ENGINE, SERVICE, EngineBed, GatewayBed
+from rainsail.benchmarks.loopback_gateway import (
+    API_KEY,
+    FAST_ENGINE,
+    SERVICE,
+    LoopbackEngines,
+    LoopbackGateway,
+)
 from rainsail.emulator.answers import expected_answer, natural_length
 
 KERNEL_BUFFER_BYTES = 4096
@@ -25,8 +31,8 @@
 
 @given("a gateway on loopback sockets before a fast engine")
 def make_beds(context):
-    context.engines = in_reactor(EngineBed, reactor, 1, FAST_ENGINE)
-    context.bed = in_reactor(GatewayBed, reactor, context.engines.addresses)
+    context.engines = in_reactor(LoopbackEngines, reactor, 1, FAST_ENGINE)
+    context.bed = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
     context.add_cleanup(in_reactor, lambda: _close(context))
     listening = context.bed._port.socket
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
--- a/src/rainsail/benchmarks/catalogue.py
+++ b/src/rainsail/benchmarks/catalogue.py
@@ -7,7 +7,7 @@
 import importlib
 import os
 import tempfile
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 
 from rainsail.benchmarks.report import BenchReport, Progress
 
-RunBench = Callable[..., "Deferred[BenchReport]"]
+RunBench = Callable[..., Awaitable[BenchReport]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,24 +41,13 @@
     ),
     "failover": BenchEntry("rainsail.benchmarks.failover:run_failover_bench", {"seeds": 50}),
     "gateway": BenchEntry(
-        "rainsail.benchmarks.catalogue:run_gateway",
+        "rainsail.benchmarks.gateway:run_gateway_bench",
         {"runs": 1, "seconds": 0.5, "heap_items": 2_000, "memory": False, "fairness": False},
     ),
     "wire": BenchEntry("rainsail.benchmarks.wire:run_wire_bench", {"seconds": 0.2}),
 }
 
 
-def run_gateway(
-    reactor: Any, folder: Path, progress: Progress, **options: Any
-) -> "Deferred[BenchReport]":
-    """Run the gateway's bench in a session; it uses no folder."""
-    gateway = importlib.import_module("rainsail.benchmarks.gateway")
-    load_before = os.getloadavg()[0]
-    chosen = gateway.GatewayBenchOptions(**options)
-    measured = Deferred.fromCoroutine(gateway.measure(reactor, chosen, progress))
-    return measured.addCallback(gateway.report_of, load_before)
-
-
 @dataclass(slots=True)
 class BenchSession:
     """Benches to run one after the other, and what they returned."""
--- a/src/rainsail/benchmarks/gateway_fairness.py
+++ b/src/rainsail/benchmarks/gateway_fairness.py
@@ -23,16 +23,13 @@
 from rainsail.resources.specs import (
     GatewaySpec,
     Kind,
-    ResourceKey,
     RunnerSpec,
     ServiceSpec,
-    Spec,
     TenantSpec,
 )
 from rainsail.simulation.clock import VirtualClock
 from rainsail.simulation.engine_link import SimulatedEngineClient
 from rainsail.simulation.engine_network import EngineNetwork
-from rainsail.state.commands import PutResource
 from rainsail.state.machine import ReplicatedState
 
 SERVICE = "assistant"
@@ -125,18 +122,15 @@
         self._state = ReplicatedState()
         self._control = LocalControl({0: self._state}, self.clock)
         self._network = EngineNetwork(self.clock)
-        self._put(Kind.SERVICE, SERVICE, ServiceSpec("v1", RUNNERS))
-        self._put(Kind.TENANT, CALM, TenantSpec(WIDE_TOKENS_PER_S, WIDE_TOKENS_PER_S))
-        self._put(Kind.TENANT, FLOODER, TenantSpec(quota_tokens_per_s, quota_tokens_per_s))
-        self._put(Kind.GATEWAY, "gateway", GatewaySpec("region", ZONE, "1"))
+        self._control.put(Kind.SERVICE, SERVICE, ServiceSpec("v1", RUNNERS))
+        self._control.put(Kind.TENANT, CALM, TenantSpec(WIDE_TOKENS_PER_S, WIDE_TOKENS_PER_S))
+        self._control.put(Kind.TENANT, FLOODER, TenantSpec(quota_tokens_per_s, quota_tokens_per_s))
+        self._control.put(Kind.GATEWAY, "gateway", GatewaySpec("region", ZONE, "1"))
         for index in range(RUNNERS):
             self._add_engine(f"runner-{index}", index)
         self._core = self._make_gateway()
         self.clock.run_until(WARM_UP_S)
 
-    def _put(self, kind: Kind, name: str, spec: Spec) -> None:
-        self._control.apply(PutResource(f"{kind}/{name}", ResourceKey(kind, name), spec))
-
     def _add_engine(self, name: str, seed: int) -> None:
         settings = EngineSettings.language_model(
             max_running=2 * SLOTS, tokens_per_chunk=TOKENS_PER_CHUNK
@@ -147,7 +141,7 @@
         self.engines.append(engine)
         self._network.add(name, engine)
         runner = RunnerSpec(name, "region", ZONE, SERVICE, batch_slots=SLOTS)
-        self._put(Kind.RUNNER, name, runner)
+        self._control.put(Kind.RUNNER, name, runner)
 
     def _make_gateway(self) -> GatewayCore:
         clock = self.clock
--- a/src/rainsail/benchmarks/gateway_load.py
+++ b/src/rainsail/benchmarks/gateway_load.py
@@ -17,10 +17,11 @@
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool
 from twisted.web.http_headers import Headers
 
-from rainsail.benchmarks.gateway_bed import API_KEY, SERVICE
+from rainsail.benchmarks.loopback_gateway import API_KEY, SERVICE
 from rainsail.emulator.answers import expected_answer
 from rainsail.engine.sse import SseParser
 
+SHORT_TOKENS = 4
 _OK = 200
 _DONE = b"[DONE]"
 _BOUNDARY = "rainsail-bench-boundary"
@@ -113,9 +114,9 @@
     """Asks over a pool of keep-alive connections."""
 
     def __init__(self, reactor: Any) -> None:
-        self._pool: Any = HTTPConnectionPool(reactor, persistent=True)
-        self._pool.maxPersistentPerHost = _MOST_CONNECTIONS
-        self._agent: Any = Agent(reactor, pool=self._pool)
+        pool: Any = HTTPConnectionPool(reactor, persistent=True)
+        pool.maxPersistentPerHost = _MOST_CONNECTIONS
+        self._agent: Any = Agent(reactor, pool=pool)
         self._headers = Headers(
             {
                 b"content-type": [b"application/json"],
@@ -130,6 +131,12 @@
         body = await reader.done
         return Reply(question, status, body, time.perf_counter() - started_s)
 
+    async def time_short(self, address: str, session: str = "") -> float:
+        """Ask a short question without a stream; return the seconds until its whole answer."""
+        reply = await self.ask(address, fresh_question(SHORT_TOKENS, False, session))
+        assert reply.is_whole(), reply
+        return reply.took_s
+
     async def open_stream(self, address: str, question: Question) -> Any:
         """Ask for a stream and wait for its first bytes; returns the open body."""
         _, reader = await self._open(address, question)
@@ -188,7 +195,3 @@
         reply = await reader.done
         assert response.code == _OK, reply
         return json.loads(reply)
-
-    async def close(self) -> None:
-        """Close the idle connections."""
-        await self._pool.closeCachedConnections()
--- a/src/rainsail/benchmarks/gateway_bed.py
+++ b/src/rainsail/benchmarks/loopback_gateway.py
@@ -4,7 +4,6 @@
 the control group is modelled, as no step of an online request waits for it.
 """
 
-from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
@@ -27,14 +26,12 @@
     GatewaySpec,
     Kind,
     ModelVersionSpec,
-    ResourceKey,
     RunnerSpec,
     ServiceSpec,
     SessionSpec,
     TenantSpec,
 )
 from rainsail.runtime.clock import MonotonicClock
-from rainsail.state.commands import PutResource
 from rainsail.state.machine import ReplicatedState
 
 LOOPBACK = "127.0.0.1"
@@ -65,11 +62,10 @@
 """An engine whose streams stay open: two tokens a second."""
 
 
-class EngineBed:
+class LoopbackEngines:
     """Emulated engines on ports of their own."""
 
     def __init__(self, reactor: Any, count: int, settings: EngineSettings) -> None:
-        self._reactor = reactor
         clock = MonotonicClock(reactor)
         store = WeightStore(clock)
         self.ports: list[Any] = []
@@ -90,20 +86,7 @@
             await port.stopListening()
 
 
-@dataclass(slots=True)
-class _Changes:
-    """Writes resources into a replicated state."""
-
-    control: LocalControl
-    count: int = field(default=0)
-
-    def put(self, kind: Kind, name: str, spec: Any) -> None:
-        """Put one resource."""
-        self.count += 1
-        self.control.apply(PutResource(f"change-{self.count}", ResourceKey(kind, name), spec))
-
-
-class GatewayBed:
+class LoopbackGateway:
     """A gateway and its caller API over given engines."""
 
     def __init__(self, reactor: Any, engine_addresses: list[str]) -> None:
@@ -111,7 +94,7 @@
         random = Random(1)
         state = ReplicatedState()
         control = LocalControl({0: state}, clock)
-        self._changes = _Changes(control)
+        self._control = control
         self._put_resources(engine_addresses)
         self._config = LocalConfig(state)
         settings = GatewaySettings()
@@ -137,7 +120,7 @@
         self._port = api.listen(reactor, LOOPBACK, 0)
 
     def _put_resources(self, engine_addresses: list[str]) -> None:
-        put = self._changes.put
+        put = self._control.put
         put(Kind.SERVICE, SERVICE, ServiceSpec(VERSION, len(engine_addresses)))
         put(Kind.MODEL_VERSION, VERSION, ModelVersionSpec(SERVICE, "weights", VERSION_BYTES))
         key_hashes = (hash_key(API_KEY),)
@@ -153,7 +136,7 @@
         first = len(self._config.list_resources(Kind.SESSION))
         names = [f"session-{index}" for index in range(first, first + count)]
         for name in names:
-            self._changes.put(Kind.SESSION, name, SessionSpec(TENANT, SERVICE))
+            self._control.put(Kind.SESSION, name, SessionSpec(TENANT, SERVICE))
         self._config.publish()
         return names
 
--- a/src/rainsail/benchmarks/wire.py
+++ b/src/rainsail/benchmarks/wire.py
@@ -1,6 +1,6 @@
 """The transport over loopback, with and without TLS, and the codec alone.
 
-Both ends share this process here; ``bench/wire_bench.py`` puts the far end into another one.
+The far end runs in a process of its own, as between machines.
 Envelopes a second one way and calls a second (one at a time and many at a time) by size of the
 message, with the processor time per envelope at each end.
 """
@@ -13,6 +13,7 @@
 
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 
+from rainsail.benchmarks.child import Child
 from rainsail.benchmarks.report import BenchReport, Progress
 from rainsail.benchmarks.results import ok
 from rainsail.benchmarks.samples import MICROSECONDS, percentile
@@ -208,26 +209,27 @@
     return transport, ok(listening)
 
 
-@inlineCallbacks
-def _measure(
+async def _measure(
     reactor: Any, keys: Path | None, progress: Progress, seconds: float
-) -> Generator[Deferred[Any], Any, list[dict[str, float]]]:
-    receiver, port = yield start_receiver(reactor, keys)
-    sender = SampleSender(port, keys, seconds, reactor)
-    rows: list[dict[str, float]] = yield sender.run(progress)
-    for transport in (sender.transport, receiver):
-        yield Deferred.fromCoroutine(transport.stop())
-    return rows
+) -> list[dict[str, float]]:
+    receiver = Child("receiver", f"--keys={keys or ''}")
+    try:
+        port = await receiver.call("start")
+        sender = SampleSender(port, keys, seconds, reactor)
+        rows: list[dict[str, float]] = await sender.run(progress)
+        await sender.transport.stop()
+        return rows
+    finally:
+        receiver.close()
 
 
-@inlineCallbacks
-def run_wire_bench(
+async def run_wire_bench(
     reactor: Any, folder: Path, progress: Progress, seconds: float = 1.0
-) -> Generator[Deferred[Any], Any, BenchReport]:
-    """Measure both ends in this process, ``seconds`` per size and kind."""
+) -> BenchReport:
+    """Measure plain TCP and TLS between two processes, ``seconds`` per size and kind."""
     create_certificates(folder, [SENDER, RECEIVER])
     progress("codec")
-    figures: dict[str, Any] = {"processes": 1, "codec": codec_costs()}
-    figures["plain"] = yield _measure(reactor, None, progress, seconds)
-    figures["tls"] = yield _measure(reactor, folder, progress, seconds)
+    figures: dict[str, Any] = {"processes": 2, "codec": codec_costs()}
+    figures["plain"] = await _measure(reactor, None, progress, seconds)
+    figures["tls"] = await _measure(reactor, folder, progress, seconds)
     return BenchReport("wire", figures)
--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -1,6 +1,5 @@
 """``rainsail bench``: measures the system's own parts on this machine."""
 
-import importlib
 import json
 import sys
 from collections.abc import Iterator, Sequence
@@ -14,7 +13,6 @@
 from rainsail.benchmarks.report import BenchReport, Progress, no_progress, write_report
 from rainsail.cli.exit_codes import bad_input, failed
 
-GATEWAY_BENCH = "rainsail.benchmarks.gateway"
 REMOVED_BENCHES = ("config", "consensus", "intake", "restart")
 
 
@@ -55,21 +53,23 @@
         heap_items: int = 20_000,
         memory: bool = True,
         fairness: bool = True,
+        profile: str = "",
     ) -> None:
         """Measure one gateway: added latency, rates per core, memory, heaps and floods.
 
-        bench/gateway_fleet_bench.py takes a process for each part.
+        ``--profile`` names a file for the profile (cProfile) of the gateway's process.
         """
-        bench = importlib.import_module(GATEWAY_BENCH)
-        report = bench.run_gateway_bench(
+        _run(
+            "gateway",
+            output,
+            folder="",
             runs=_whole("runs", runs),
             seconds=float(seconds),
             heap_items=_whole("heap_items", heap_items),
             memory=bool(memory),
             fairness=bool(fairness),
+            profile=profile,
         )
-        _write((report,), output)
-        print(json.dumps(report.to_json()), flush=True)
 
     def all(self, output: str = "", folder: str = "") -> None:
         """Run every bench with bounded sizes, in under three minutes."""
--- a/src/rainsail/experiment/local_control.py
+++ b/src/rainsail/experiment/local_control.py
@@ -27,9 +27,16 @@
 )
 from rainsail.control.stale_items import items_to_stop
 from rainsail.errors import Fault, FaultCode, Outcome
-from rainsail.resources.specs import Kind
+from rainsail.resources.specs import Kind, ResourceKey, Spec
 from rainsail.runtime.clock import Clock
-from rainsail.state.commands import Command, CommandOutcome, GroupId, RevokeLeases, SessionView
+from rainsail.state.commands import (
+    Command,
+    CommandOutcome,
+    GroupId,
+    PutResource,
+    RevokeLeases,
+    SessionView,
+)
 from rainsail.state.machine import ReplicatedState
 
 
@@ -93,6 +100,10 @@
         self.commands.append(command)
         return self.states[group].apply(self._index, command)
 
+    def put(self, kind: Kind, name: str, spec: Spec) -> None:
+        """Put one resource of the root group now; the change's id is its kind and name."""
+        self.apply(PutResource(f"{kind}/{name}", ResourceKey(kind, name), spec))
+
     def propose(
         self, command: Command, timeout_s: float, group: GroupId = 0
     ) -> "Deferred[Result[CommandOutcome, Fault]]":
--- a/src/rainsail/experiment/site_fleet.py
+++ b/src/rainsail/experiment/site_fleet.py
@@ -21,17 +21,14 @@
 from rainsail.resources.specs import (
     GatewaySpec,
     Kind,
-    ResourceKey,
     RunnerSpec,
     ServiceSpec,
     SessionSpec,
-    Spec,
     TenantSpec,
 )
 from rainsail.simulation.clock import VirtualClock
 from rainsail.simulation.engine_link import SimulatedEngineClient
 from rainsail.simulation.engine_network import EngineNetwork
-from rainsail.state.commands import PutResource
 from rainsail.state.machine import ReplicatedState
 
 REGION = "site"
@@ -76,19 +73,18 @@
 
     # --- resources ------------------------------------------------------------------------
 
-    def _put(self, kind: Kind, name: str, spec: Spec) -> None:
-        self.control.apply(PutResource(f"{kind}/{name}", ResourceKey(kind, name), spec))
-
     def _declare_resources(self, workload: Workload) -> None:
         site = self.site
-        self._put(Kind.SERVICE, site.model_service, ServiceSpec(VERSION, site.model_runners))
-        self._put(Kind.SERVICE, site.ping_service, ServiceSpec(VERSION, site.ping_runners))
+        self.control.put(Kind.SERVICE, site.model_service, ServiceSpec(VERSION, site.model_runners))
+        self.control.put(Kind.SERVICE, site.ping_service, ServiceSpec(VERSION, site.ping_runners))
         for tenant in TENANTS:
-            self._put(Kind.TENANT, tenant, TenantSpec(UNLIMITED_TOKENS, UNLIMITED_TOKENS))
+            self.control.put(Kind.TENANT, tenant, TenantSpec(UNLIMITED_TOKENS, UNLIMITED_TOKENS))
         for name, zone in self._gateway_names():
-            self._put(Kind.GATEWAY, name, GatewaySpec(REGION, _zone_name(zone), f"{name}/1"))
+            self.control.put(Kind.GATEWAY, name, GatewaySpec(REGION, _zone_name(zone), f"{name}/1"))
         for session in workload.sessions:
-            self._put(Kind.SESSION, session.name, SessionSpec(session.tenant, session.service))
+            self.control.put(
+                Kind.SESSION, session.name, SessionSpec(session.tenant, session.service)
+            )
 
     def _gateway_names(self) -> list[tuple[str, int]]:
         return [
@@ -116,7 +112,7 @@
         spec = RunnerSpec(
             runner, REGION, _zone_name(zone), service, batch_slots=settings.max_running
         )
-        self._put(Kind.RUNNER, runner, spec)
+        self.control.put(Kind.RUNNER, runner, spec)
         for gateway, gateway_zone in self._gateway_names():
             if gateway_zone != zone:
                 self.network.set_extra_delay(gateway, runner, self.site.zone_delay_s)
