--- a/src/rainsail/benchmarks/catalogue.py
+++ b/src/rainsail/benchmarks/catalogue.py
@@ -44,6 +44,10 @@
         "rainsail.benchmarks.gateway:run_gateway_bench",
         {"runs": 1, "seconds": 0.5, "heap_items": 2_000, "memory": False, "fairness": False},
     ),
+    "dispatcher": BenchEntry(
+        "rainsail.benchmarks.dispatcher:run_dispatcher_bench",
+        {"runners": (8, 32), "backlogs": (), "others": (), "repeats": 1},
+    ),
     "wire": BenchEntry("rainsail.benchmarks.wire:run_wire_bench", {"seconds": 0.2}),
 }
 
--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -41,6 +41,10 @@
         """Lose the leader in each way; seconds until a new change commits (virtual clock)."""
         _run("failover", output, folder, seeds=_whole("seeds", seeds))
 
+    def dispatcher(self, output: str = "", repeats: int = 3) -> None:
+        """Measure a gateway's dispatcher: processor time per item and per decision."""
+        _run("dispatcher", output, folder="", repeats=_whole("repeats", repeats))
+
     def wire(self, output: str = "", folder: str = "", seconds: float = 1.0) -> None:
         """Measure the transport over loopback, with and without TLS, and the codec."""
         _run("wire", output, folder, seconds=float(seconds))
--- a/bench/against.py
+++ b/tools/bench_against.py
@@ -4,9 +4,11 @@
 are taken from the working tree, so that both sides run the same measurement. Prints one line per
 run and ends in one JSON object: for each figure the medians of both sides and their ratio.
 
-    python bench/against.py COMMIT BENCH [--rounds N] [--seconds=3 ...]
+    python tools/bench_against.py COMMIT BENCH [--rounds N] [--own-benches] [--seconds=3 ...]
 
-BENCH is a name of ``rainsail bench``; further arguments are given to the bench.
+BENCH is a name of ``rainsail bench``; further arguments are given to the bench. With
+``--own-benches`` each side runs the benches of its own commit, for when the earlier source lacks
+what the working tree's benches call.
 """
 
 import argparse
@@ -23,7 +25,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PROGRAM = "from rainsail.cli.main import main; main()"
-SHARED = ("src/rainsail/benchmarks", "src/rainsail/cli/bench.py", "bench")
+SHARED = ("src/rainsail/benchmarks", "src/rainsail/cli/bench.py")
 """What both sides take from the working tree."""
 RUN_TIMEOUT_S = 600
 
@@ -100,7 +102,8 @@
         tree = Path(folder) / "earlier"
         git("worktree", "add", "--detach", str(tree), arguments.commit)
         try:
-            overlay(tree)
+            if not arguments.own_benches:
+                overlay(tree)
             for number in range(arguments.rounds):
                 sides = [("earlier", tree), ("now", ROOT)]
                 for side, path in sides if number % 2 == 0 else reversed(sides):
@@ -119,5 +122,6 @@
     parser.add_argument("commit")
     parser.add_argument("bench")
     parser.add_argument("--rounds", type=int, default=3)
+    parser.add_argument("--own-benches", action="store_true")
     known, others = parser.parse_known_args()
     main(known, others)
