--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -30,7 +30,7 @@
         raise AttributeError(name)
 
     def storage(self, output: str = "", folder: str = "", seconds: float = 3.0) -> None:
-        """Measure the durable log: syncs, entries a second, memory, opening again."""
+        """Measure the durable log: syncs, entries a second, processor time."""
         _run("storage", output, folder, seconds=float(seconds))
 
     def ledger(self, output: str = "", folder: str = "", sizes: Any = ()) -> None:
