--- a/features/support/consensus.py
+++ b/features/support/consensus.py
@@ -1,4 +1,4 @@
-"""A replicated group in a virtual world, for the consensus features and the fail-over bench."""
+"""A replicated group in a virtual world, for the consensus features."""
 
 import random
 from collections.abc import Callable, Iterable, Iterator
--- a/src/rainsail/benchmarks/catalogue.py
+++ b/src/rainsail/benchmarks/catalogue.py
@@ -4,8 +4,8 @@
 the disk to be measured. The brief parameters bound a run of all benches to under three minutes.
 """
 
-import importlib
 import os
+import pkgutil
 import tempfile
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
@@ -28,8 +28,7 @@
 
     def load(self) -> RunBench:
         """Import the bench."""
-        module, _, function = self.target.partition(":")
-        loaded: RunBench = getattr(importlib.import_module(module), function)
+        loaded: RunBench = pkgutil.resolve_name(self.target)
         return loaded
 
 
--- a/src/rainsail/benchmarks/child.py
+++ b/src/rainsail/benchmarks/child.py
@@ -17,6 +17,8 @@
 
 PROGRAM = "rainsail.benchmarks.child_process"
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+LOOPBACK = "127.0.0.1"
+"""Where every server of a bench listens."""
 END_TIMEOUT_S = 30.0
 """Not measured; chosen far above the second or so in which an idle child ends."""
 
--- a/src/rainsail/benchmarks/child_process.py
+++ b/src/rainsail/benchmarks/child_process.py
@@ -22,11 +22,11 @@
 from twisted.internet.threads import deferToThread
 from twisted.protocols.portforward import ProxyFactory
 
+from rainsail.benchmarks.child import LOOPBACK
 from rainsail.benchmarks.gateway_heap import measure_heap
 from rainsail.benchmarks.gateway_load import Callers, fresh_question
 from rainsail.benchmarks.loopback_gateway import (
     FAST_ENGINE,
-    LOOPBACK,
     SLOW_ENGINE,
     LoopbackEngines,
     LoopbackGateway,
--- a/src/rainsail/benchmarks/dispatcher.py
+++ b/src/rainsail/benchmarks/dispatcher.py
@@ -51,20 +51,27 @@
 from rainsail.state.machine import ReplicatedState
 
 SLOTS = 32
+"""Batch slots of a runner."""
 CHUNKS = 10
 CHUNK_S = 0.5
+"""An item is answered in ``CHUNKS`` chunks, one each ``CHUNK_S``: five seconds and a half."""
 REPORT_PERIOD_S = 0.5
+"""Seconds between an engine's load reports."""
 SETTLE_S = 2.0
+"""Virtual seconds before the measurement. Not measured; chosen so that attempts run by then."""
 RUN_S = 20.0
+"""Virtual seconds that are measured: three or four rounds of items in each slot."""
 RANGE_ITEMS = 1000
+"""Items that one command adds to the ledger."""
 ITEMS_PER_RUNNER = 400
 """More than a runner finishes in a run."""
 RUNNERS = (4, 8, 16, 32, 64)
 COMPARED_RUNNERS = 32
-"""Runners of the runs with more waiting items or more runners of another zone."""
+"""Runners of the runs with more waiting items or more runners of another zone: what a node owns at
+the size that CONTRIBUTING.md states."""
 BACKLOGS = (10_000, 100_000, 400_000)
 OTHERS = (0, 3_000, 12_000)
-"""Runners of another zone."""
+"""Runners of another zone; 12,000 are those of the whole stated size."""
 REPEATS = 3
 DECISIONS_PER_RUNNER = RUN_S * (1.0 / BatchSettings().tick_s + 1.0 / REPORT_PERIOD_S)
 
--- a/src/rainsail/benchmarks/failover.py
+++ b/src/rainsail/benchmarks/failover.py
@@ -23,12 +23,15 @@
 REPLICAS = 5
 SEEDS = 200
 LIMIT_S = 3.0
+"""The limit that docs/design/replicated_state.md states."""
 PHASE_S = 0.5
 """The loss comes at a random moment of this span, to meet every phase of the heartbeats."""
 CLIENT_TIMEOUT_S = 30.0
+"""Not measured; chosen at ten times the limit, so that a change that never commits stands out."""
 CHANGES_AFTER = 2
 """Changes made one after the other; a leader whose disk stalls still takes the first."""
 STALLED_SYNC_S = 600.0
+"""Longer than any run: such a sync never ends."""
 
 
 class LeaderLoss(StrEnum):
--- a/src/rainsail/benchmarks/gateway.py
+++ b/src/rainsail/benchmarks/gateway.py
@@ -26,6 +26,7 @@
 ENGINES = 2
 CALLERS = 2
 LATENCY_SAMPLES = 300
+"""Questions at each address. Not measured; chosen so that a run takes some ten seconds of them."""
 STREAM_STEPS = (0, 200, 400, 600, 800)
 """Open streams at which the memory is read."""
 SESSION_STEPS = (0, 1000, 2000, 3000, 4000)
@@ -36,6 +37,7 @@
 LEAST_SHORT_REQUESTS_PER_CORE_S = 500.0
 LEAST_CHUNKS_PER_CORE_S = 20_000.0
 MOST_FLOOD_RATIO = 1.10
+"""The targets are those of docs/design/gateway.md."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/rainsail/benchmarks/gateway_fairness.py
+++ b/src/rainsail/benchmarks/gateway_fairness.py
@@ -38,13 +38,16 @@
 FLOODER = "flooder"
 RUNNERS = 3
 SLOTS = 8
+"""Batch slots of a runner; the engine runs twice as many sequences."""
 TOKENS_PER_CHUNK = 8
 ANSWER_TOKENS = 40
 WARM_UP_S = 2.0
+"""Virtual seconds in which every engine reports to the gateway."""
 TRAFFIC_S = 60.0
 SEEDS = 3
 """Arrivals drawn for each flood; the tails are of all of them together."""
 SETTLE_S = 20.0
+"""Virtual seconds after the last arrival, in which the last answers end."""
 CALM_PER_S = 8.0
 P99 = 0.99
 WIDE_TOKENS_PER_S = 1e9
--- a/src/rainsail/benchmarks/gateway_heap.py
+++ b/src/rainsail/benchmarks/gateway_heap.py
@@ -10,6 +10,7 @@
 from rainsail.benchmarks.samples import Latency, latency_of
 
 HEAP_ITEMS = 20_000
+"""Not measured; chosen so that the intake lasts for some hundred questions."""
 QUIET_SAMPLES = 200
 
 
--- a/src/rainsail/benchmarks/gateway_load.py
+++ b/src/rainsail/benchmarks/gateway_load.py
@@ -24,7 +24,11 @@
 SHORT_TOKENS = 4
 _OK = 200
 _DONE = b"[DONE]"
-_BOUNDARY = "rainsail-bench-boundary"
+_BOUNDARY = b"rainsail-bench-boundary"
+_JSON_HEADERS = {
+    b"content-type": [b"application/json"],
+    b"authorization": [b"Bearer " + API_KEY.encode()],
+}
 _MOST_CONNECTIONS = 4096
 _SESSION_HEADER = b"x-rainsail-session"
 _numbers = itertools.count(1)
@@ -81,12 +85,13 @@
 
 def _form(lines: bytes) -> bytes:
     """Return the form of an uploaded batch file."""
-    head = (
-        f'--{_BOUNDARY}\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
-        f'--{_BOUNDARY}\r\nContent-Disposition: form-data; name="file"; '
-        'filename="items.jsonl"\r\nContent-Type: application/jsonl\r\n\r\n'
+    purpose = b'Content-Disposition: form-data; name="purpose"\r\n\r\nbatch'
+    file_head = (
+        b'Content-Disposition: form-data; name="file"; filename="items.jsonl"\r\n'
+        b"Content-Type: application/jsonl\r\n\r\n"
     )
-    return head.encode() + lines + f"\r\n--{_BOUNDARY}--\r\n".encode()
+    border = b"--" + _BOUNDARY
+    return b"\r\n".join((border, purpose, border, file_head + lines, border + b"--", b""))
 
 
 class _BodyReader(Protocol):
@@ -117,12 +122,6 @@
         pool: Any = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = _MOST_CONNECTIONS
         self._agent: Any = Agent(reactor, pool=pool)
-        self._headers = Headers(
-            {
-                b"content-type": [b"application/json"],
-                b"authorization": [b"Bearer " + API_KEY.encode()],
-            }
-        )
 
     async def ask(self, address: str, question: Question) -> Reply:
         """Ask and wait for the whole answer."""
@@ -144,16 +143,10 @@
         return reader
 
     async def _open(self, address: str, question: Question) -> tuple[int, _BodyReader]:
-        headers = self._headers
+        headers = Headers(_JSON_HEADERS)
         if question.session:
-            headers = headers.copy()
             headers.setRawHeaders(_SESSION_HEADER, [question.session.encode()])
-        url = f"{address}/v1/completions".encode()
-        body = FileBodyProducer(BytesIO(question.body()))
-        response = await self._agent.request(b"POST", url, headers, body)
-        reader = _BodyReader()
-        response.deliverBody(reader)
-        return response.code, reader
+        return await self._post(f"{address}/v1/completions", headers, question.body())
 
     async def ask_for(
         self, addresses: list[str], seconds: float, concurrency: int, tokens: int, stream: bool
@@ -175,23 +168,26 @@
 
     async def submit_batch(self, address: str, lines: bytes) -> None:
         """Upload a batch's input file and submit it; raises ``AssertionError`` when refused."""
-        form = Headers({b"content-type": [f"multipart/form-data; boundary={_BOUNDARY}".encode()]})
-        uploaded = await self._post(f"{address}/v1/files", form, _form(lines))
+        form = Headers(_JSON_HEADERS)
+        form.setRawHeaders(b"content-type", [b"multipart/form-data; boundary=" + _BOUNDARY])
+        uploaded = await self._post_whole(f"{address}/v1/files", form, _form(lines))
         batch = {
             "input_file_id": uploaded["id"],
             "endpoint": "/v1/completions",
             "completion_window": "24h",
         }
-        await self._post(f"{address}/v1/batches", Headers(), json.dumps(batch).encode())
+        body = json.dumps(batch).encode()
+        await self._post_whole(f"{address}/v1/batches", Headers(_JSON_HEADERS), body)
 
-    async def _post(self, url: str, headers: Headers, body: bytes) -> Any:
-        for name, values in self._headers.getAllRawHeaders():
-            if not headers.hasHeader(name):
-                headers.setRawHeaders(name, values)
+    async def _post_whole(self, url: str, headers: Headers, body: bytes) -> Any:
+        status, reader = await self._post(url, headers, body)
+        reply = await reader.done
+        assert status == _OK, reply
+        return json.loads(reply)
+
+    async def _post(self, url: str, headers: Headers, body: bytes) -> tuple[int, _BodyReader]:
         producer = FileBodyProducer(BytesIO(body))
         response = await self._agent.request(b"POST", url.encode(), headers, producer)
         reader = _BodyReader()
         response.deliverBody(reader)
-        reply = await reader.done
-        assert response.code == _OK, reply
-        return json.loads(reply)
+        return response.code, reader
--- a/src/rainsail/benchmarks/ledger.py
+++ b/src/rainsail/benchmarks/ledger.py
@@ -37,12 +37,17 @@
 
 SIZES = (10_000, 100_000, 500_000)
 RANGE_ITEMS = 500
+"""Items that one command adds."""
 LEASE_ITEMS = 50
+"""Items that one lease takes at most, and tokens that each result counts."""
 JOBS = (1_000, 14_000)
 TENANTS = 7_900
+"""The larger number of jobs and the tenants are of the size that CONTRIBUTING.md states."""
 ITEMS_PER_SMALL_JOB = 10
 LEASES = 2_000
+"""Leases that the mean cost of one is taken over."""
 SAMPLED_BODIES = 1_000
+"""Items whose encoded bodies give the mean size."""
 UNLIMITED_TOKENS = 10**9
 
 
--- a/src/rainsail/benchmarks/ledger_commands.py
+++ b/src/rainsail/benchmarks/ledger_commands.py
@@ -6,6 +6,7 @@
 
 PROMPT_CHARACTERS = 200
 RESULT_CHARACTERS = 200
+"""Not measured; the sizes to which the ledger's figures on docs/CAPACITY.md refer."""
 SERVICE = "reports"
 DEADLINE_UNIX_S = 1_800_000_000.0
 DIFFERENT_TEXTS = 1_000
--- a/src/rainsail/benchmarks/loopback_gateway.py
+++ b/src/rainsail/benchmarks/loopback_gateway.py
@@ -9,6 +9,7 @@
 
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.settings import BatchSettings
+from rainsail.benchmarks.child import LOOPBACK
 from rainsail.emulator.engine import EmulatedEngine
 from rainsail.emulator.engine_server import EngineServer
 from rainsail.emulator.settings import EngineSettings
@@ -34,7 +35,6 @@
 from rainsail.runtime.clock import MonotonicClock
 from rainsail.state.machine import ReplicatedState
 
-LOOPBACK = "127.0.0.1"
 SERVICE = "bench"
 VERSION = "bench-1"
 TENANT = "caller"
@@ -46,6 +46,7 @@
 WIDE_TOKENS_PER_S = 1e12
 """A quota that never stands in the way: the limits are benched apart."""
 SLOTS_PER_RUNNER = 4096
+"""Not measured; chosen so that no request of a bench waits for a slot."""
 
 FAST_ENGINE = EngineSettings(
     step_base_s=0.0005,
--- a/src/rainsail/benchmarks/storage.py
+++ b/src/rainsail/benchmarks/storage.py
@@ -23,6 +23,7 @@
 
 BATCH_ENTRIES = (1, 8, 32, 128, 512)
 SYNC_SAMPLES = 500
+"""Not measured; chosen so that a p99 stands on five samples."""
 GROUP = 0
 PAYLOAD_BYTES = 300
 """Not measured; chosen as the size of a small command, such as one item of 200 characters."""
--- a/src/rainsail/benchmarks/virtual_replicas.py
+++ b/src/rainsail/benchmarks/virtual_replicas.py
@@ -19,6 +19,7 @@
 JITTER_S = 0.0002
 ZONES = 3
 RUN_LIMIT_S = 60.0
+"""Virtual seconds; twice what the slowest client call of a bench may take."""
 
 
 class VirtualReplicas:
--- a/src/rainsail/benchmarks/wire.py
+++ b/src/rainsail/benchmarks/wire.py
@@ -13,7 +13,7 @@
 
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 
-from rainsail.benchmarks.child import Child
+from rainsail.benchmarks.child import LOOPBACK, Child
 from rainsail.benchmarks.report import BenchReport, Progress
 from rainsail.benchmarks.results import ok
 from rainsail.benchmarks.samples import MICROSECONDS, percentile
@@ -26,19 +26,22 @@
 from rainsail.wire.tcp import TcpTransport
 
 SIZES_BYTES = (64, 1024, 16 * 1024, 256 * 1024, 4 * 1024 * 1024)
+"""Not measured; chosen from about a heartbeat up, each sixteen times the one before."""
 CONCURRENT_CALLS = 64
+"""Not measured; chosen so that a round trip no longer bounds the rate of small calls."""
 IN_FLIGHT_BYTES = 8 * 1024 * 1024
 """Bytes of calls under way at most; more would meet the bound of the outgoing buffer."""
 CALL_TIMEOUT_S = 30.0
+"""Not measured; chosen so that no call of a busy machine runs into it."""
 BURST_BYTES = 256 * 1024
 """One-way bytes written before the reactor gets a turn."""
 SMALL_MESSAGE_BYTES = 4096
 SMALL_ROUNDS = 20_000
 LARGE_ROUNDS = 2_000
+"""Calls that the codec's mean is taken over, by the size of the message."""
 MEBIBYTE = 2**20
 SENDER = "sender"
 RECEIVER = "receiver"
-LOOPBACK = "127.0.0.1"
 
 
 @wire_record("Sample")
--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -2,7 +2,7 @@
 
 import json
 import sys
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
@@ -10,7 +10,7 @@
 from rich.console import Console
 
 from rainsail.benchmarks.catalogue import BENCHES, BenchSession, run_session
-from rainsail.benchmarks.report import BenchReport, Progress, no_progress, write_report
+from rainsail.benchmarks.report import Progress, no_progress, write_report
 from rainsail.cli.exit_codes import bad_input, failed
 
 REMOVED_BENCHES = ("config", "consensus", "intake", "restart")
@@ -98,14 +98,10 @@
             run_session(session)
         except TimeoutError as error:
             raise failed(str(error)) from error
-    _write(session.reports, output)
-    return session
-
-
-def _write(reports: Sequence[BenchReport], output: str) -> None:
-    for report in reports:
-        if output:
+    if output:
+        for report in session.reports:
             write_report(report, Path(output))
+    return session
 
 
 @contextmanager
