--- a/src/rainsail/benchmarks/child_process.py
+++ b/src/rainsail/benchmarks/child_process.py
@@ -119,15 +119,9 @@
             "heap": self.heap,
         }
 
-    async def load(
-        self, addresses: list[str], seconds: float, concurrency: int, tokens: int, stream: bool
-    ) -> dict[str, Any]:
-        """Ask for a while and count the whole answers."""
-        started_s = time.perf_counter()
-        replies = await self._callers.ask_for(addresses, seconds, concurrency, tokens, stream)
-        wall_s = time.perf_counter() - started_s
-        whole = sum(reply.is_whole() for reply in replies)
-        return {"whole": whole, "not_whole": len(replies) - whole, "wall_s": wall_s}
+    async def load(self, **shape: Any) -> dict[str, Any]:
+        """Ask for a while and count the answers (see ``Callers.load``)."""
+        return asdict(await self._callers.load(**shape))
 
     async def latency(self, addresses: dict[str, str], samples: int) -> dict[str, float]:
         """Ask at each address by turns, one question at a time; return the medians."""
--- a/src/rainsail/benchmarks/gateway.py
+++ b/src/rainsail/benchmarks/gateway.py
@@ -19,7 +19,7 @@
 from rainsail.benchmarks.child import Child
 from rainsail.benchmarks.gateway_fairness import FloodEffect, measure_floods
 from rainsail.benchmarks.gateway_heap import HEAP_ITEMS
-from rainsail.benchmarks.gateway_load import SHORT_TOKENS
+from rainsail.benchmarks.gateway_load import SHORT_TOKENS, LoadAnswers
 from rainsail.benchmarks.report import BenchReport, Progress, Target
 from rainsail.benchmarks.samples import slope
 
@@ -135,11 +135,12 @@
         load = {"addresses": addresses, "seconds": seconds, **asdict(shape)}
         load["concurrency"] = shape.concurrency // len(self.callers)
         before_s = await _processor_s(measured)
-        answers = await gatherResults([each.call("load", **load) for each in self.callers])
+        loads = await gatherResults([each.call("load", **load) for each in self.callers])
         processor_s = await _processor_s(measured) - before_s
-        wall_s = statistics.mean(answer["wall_s"] for answer in answers)
-        units = shape.units * sum(answer["whole"] for answer in answers)
-        not_whole = sum(answer["not_whole"] for answer in answers)
+        answers = [LoadAnswers(**each) for each in loads]
+        wall_s = statistics.mean(each.wall_s for each in answers)
+        units = shape.units * sum(each.whole for each in answers)
+        not_whole = sum(each.not_whole for each in answers)
         return LoadRates(units / wall_s, units / processor_s, processor_s / wall_s, not_whole)
 
     async def open_streams(self, count: int) -> None:
--- a/src/rainsail/benchmarks/gateway_load.py
+++ b/src/rainsail/benchmarks/gateway_load.py
@@ -54,6 +54,15 @@
         return json.dumps(fields).encode()
 
 
+@dataclass(frozen=True, slots=True)
+class LoadAnswers:
+    """How many answers of a load were exactly the model's, how many not, and the load's seconds."""
+
+    whole: int
+    not_whole: int
+    wall_s: float
+
+
 def fresh_question(max_tokens: int, stream: bool, session: str = "") -> Question:
     """Return a question with a prompt of its own."""
     return Question(f"where is container {next(_numbers)}? ", max_tokens, stream, session)
@@ -148,12 +157,13 @@
             headers.setRawHeaders(_SESSION_HEADER, [question.session.encode()])
         return await self._post(f"{address}/v1/completions", headers, question.body())
 
-    async def ask_for(
+    async def load(
         self, addresses: list[str], seconds: float, concurrency: int, tokens: int, stream: bool
-    ) -> list[Reply]:
-        """Keep ``concurrency`` questions open for ``seconds``; return every reply."""
+    ) -> LoadAnswers:
+        """Keep ``concurrency`` questions open for ``seconds`` and count the answers."""
         replies: list[Reply] = []
-        end_s = time.perf_counter() + seconds
+        started_s = time.perf_counter()
+        end_s = started_s + seconds
 
         async def keep_asking(address: str) -> None:
             while time.perf_counter() < end_s:
@@ -164,7 +174,9 @@
             for index in range(concurrency)
         ]
         await DeferredList(workers, fireOnOneErrback=True, consumeErrors=True)
-        return replies
+        wall_s = time.perf_counter() - started_s
+        whole = sum(reply.is_whole() for reply in replies)
+        return LoadAnswers(whole, len(replies) - whole, wall_s)
 
     async def submit_batch(self, address: str, lines: bytes) -> None:
         """Upload a batch's input file and submit it; raises ``AssertionError`` when refused."""
