--- a/features/steps/scale_shared_pages_steps.py
+++ b/features/steps/control_list_pages_steps.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from behave import given, then, when
-from features.support.hollow.workload import FleetSize, declarations, runner_name, tenant_spec
+from features.support.declared_fleet import FleetSize, declarations, runner_name, tenant_spec
 
 from rainsail.control import list_pages
 from rainsail.control.listing import next_page
@@ -11,10 +11,10 @@
 from rainsail.resources.specs import Kind, ResourceKey
 from rainsail.state.commands import ROOT_GROUP, DeleteResource, PutResource
 from rainsail.state.machine import ReplicatedState
-from rainsail.wire.codec import decode
+from rainsail.wire.codec import decode, encode
 
 
-class PagesBed:
+class CountedPages:
     """A state, its shared pages, and a count of encodings."""
 
     def __init__(self, size: FleetSize) -> None:
@@ -44,8 +44,6 @@
             request = next_page(request, found[-1].key)
 
     def _encode(self, message) -> bytes:
-        from rainsail.wire.codec import encode
-
         self.encoded += 1
         return encode(message)
 
@@ -54,45 +52,47 @@
     "the shared pages of a fleet of {nodes:d} nodes, {runners:d} runners and {tenants:d} tenants"
 )
 def make_pages(context, nodes, runners, tenants):
-    context.bed = PagesBed(FleetSize(nodes, runners, 1, 1, tenants, 1))
+    context.counted_pages = CountedPages(FleetSize(nodes, runners, 1, tenants, 1))
 
 
 @when("{nodes:d} nodes read the shared pages of {limit:d} resources")
 def read_pages(context, nodes, limit):
-    context.bed.read = [context.bed.read_all(limit) for _ in range(nodes)]
+    context.counted_pages.read = [context.counted_pages.read_all(limit) for _ in range(nodes)]
 
 
 @when("nodes read the shared pages in pages of {least:d} to {most:d} resources")
 def read_odd_pages(context, least, most):
-    context.bed.read = [context.bed.read_all(limit) for limit in range(least, most + 1)]
+    context.counted_pages.read = [
+        context.counted_pages.read_all(limit) for limit in range(least, most + 1)
+    ]
 
 
 @when("the state behind the shared pages takes a change of a tenant")
 def change_tenant(context):
     key = ResourceKey(Kind.TENANT, "tenant-0003")
-    context.bed.apply(PutResource("changed", key, tenant_spec(5.0)))
+    context.counted_pages.apply(PutResource("changed", key, tenant_spec(5.0)))
 
 
 @when("the state behind the shared pages takes a new tenant and loses a runner")
 def add_and_remove(context):
     key = ResourceKey(Kind.TENANT, "tenant-0003-new")
-    context.bed.apply(PutResource("added", key, tenant_spec(5.0)))
-    context.bed.apply(DeleteResource("removed", ResourceKey(Kind.RUNNER, runner_name(7))))
+    context.counted_pages.apply(PutResource("added", key, tenant_spec(5.0)))
+    context.counted_pages.apply(DeleteResource("removed", ResourceKey(Kind.RUNNER, runner_name(7))))
 
 
 @then("the shared pages were encoded {times:d} times")
 def encoded_times(context, times):
-    assert context.bed.encoded == times, context.bed.encoded
+    assert context.counted_pages.encoded == times, context.counted_pages.encoded
 
 
 @then("each node read exactly the resources of the state")
 def read_exactly(context):
-    expected = context.bed.state.list_resources()
-    assert context.bed.read
-    assert all(found == expected for found in context.bed.read)
+    expected = context.counted_pages.state.list_resources()
+    assert context.counted_pages.read
+    assert all(found == expected for found in context.counted_pages.read)
 
 
 @then("at most {most:d} encoded pages are kept")
 def pages_kept(context, most):
-    assert context.bed.encoded > most
-    assert len(context.bed.pages._pages) == most
+    assert context.counted_pages.encoded > most
+    assert len(context.counted_pages.pages._pages) == most
--- a/features/steps/scale_planning_steps.py
+++ b/features/steps/controllers_planning_steps.py
@@ -2,8 +2,8 @@
 
 from unittest import mock
 
-from behave import then, when
-from features.support.hollow.workload import runner_name, tenant_name, tenant_spec
+from behave import given, then, when
+from features.support.declared_fleet import FleetSize, runner_name, tenant_name, tenant_spec
 
 from rainsail.control.controllers.placement import PlacementPlanner
 from rainsail.resources.specs import (
@@ -15,10 +15,20 @@
 )
 from rainsail.state.commands import ANY_REVISION, PutResource, PutStatus
 
+SETTLE_S = 12.0
+
+
+@given(
+    "{runners:d} runners, {services:d} services and {tenants:d} tenants"
+    " are declared to the real control replicas"
+)
+def declare(context, runners, services, tenants):
+    context.fleet.declare(FleetSize(0, runners, 2, tenants, services))
+    context.fleet.clock.advance(SETTLE_S)
+
 
 def _propose(fleet, command) -> None:
-    leader = fleet.leader
-    leader.group.propose(command)
+    fleet.replicas[fleet.leader()].node.group.propose(command)
 
 
 def _change(number: int) -> PutResource:
@@ -32,12 +42,11 @@
 
 
 @when(
-    "the scale run's group takes {count:d} changes of tenants, sessions and gateways"
-    " in {seconds:g} virtual seconds"
+    "the real control replicas take {count:d} changes of tenants, sessions and gateways"
+    " in {seconds:g} seconds"
 )
 def take_changes(context, count, seconds):
-    run = context.scale_run
-    run.start()
+    fleet = context.fleet
     looks = []
     plain = PlacementPlanner.plan
 
@@ -45,12 +54,12 @@
         looks.append(now_s)
         return plain(planner, state, now_s)
 
-    before = run.fleet.revision
+    before = fleet.state(fleet.leader()).revision
     with mock.patch.object(PlacementPlanner, "plan", counted):
         for number in range(count):
-            _propose(run.fleet, _change(number))
-            run.fleet.clock.advance(seconds / count)
-    assert run.fleet.revision >= before + count
+            _propose(fleet, _change(number))
+            fleet.clock.advance(seconds / count)
+    assert fleet.state(fleet.leader()).revision >= before + count
     context.planning_looks = looks
 
 
@@ -60,22 +69,21 @@
 
 
 def _ready(fleet) -> int:
-    return fleet.leader.state.get(ResourceKey(Kind.SERVICE, "model-0")).status.ready_runners
+    state = fleet.state(fleet.leader())
+    return state.get(ResourceKey(Kind.SERVICE, "model-0")).status.ready_runners
 
 
-@when("a runner of the scale run stops serving its version")
+@when("a declared runner stops serving its version")
 def stop_serving(context):
-    run = context.scale_run
-    run.start()
-    fleet = run.fleet
+    fleet = context.fleet
     context.planning_ready = _ready(fleet)
     key = ResourceKey(Kind.RUNNER, runner_name(0))
     status = RunnerStatus(loaded_version="model-0-v1", fence=1, ready=False, reachable=False)
     _propose(fleet, PutStatus(key, status, (), ANY_REVISION))
 
 
-@then("the service of the scale run counts one runner less within {seconds:g} virtual seconds")
+@then("its service counts one runner less within {seconds:g} virtual seconds")
 def counts_less(context, seconds):
-    fleet = context.scale_run.fleet
+    fleet = context.fleet
     wanted = context.planning_ready - 1
-    assert fleet.wait_until(lambda: _ready(fleet) == wanted, seconds), _ready(fleet)
+    fleet.wait_until(lambda: _ready(fleet) == wanted, seconds)
--- a/features/steps/scale_followed_steps.py
+++ b/features/steps/gateway_followed_runners_steps.py
@@ -1,8 +1,8 @@
 """Steps on which runners a gateway of a large fleet follows."""
 
 from behave import given, then, when
-from features.support.hollow.workload import node_name, runner_name
-from features.support.scale import LargeFleetGateway
+from features.support.declared_fleet import node_name, runner_name
+from features.support.following_gateway import FollowingGateway
 
 from rainsail.gateway.followed_runners import FollowedRunners
 from rainsail.gateway.settings import FleetSettings
@@ -12,20 +12,20 @@
 
 @given("a lone gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners")
 def make_lone_gateway(context, zones, nodes, runners):
-    context.lone = LargeFleetGateway(zones, nodes, runners)
+    context.lone = FollowingGateway(zones, nodes, runners)
 
 
 @given(
     "another lone gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners"
 )
 def make_other_gateway(context, zones, nodes, runners):
-    context.other_lone = LargeFleetGateway(zones, nodes, runners)
+    context.other_lone = FollowingGateway(zones, nodes, runners)
 
 
 @then("the lone gateway follows {count:d} runners")
 def follows_count(context, count):
     assert len(context.lone.followed()) == count
-    assert context.lone.engine.subscriptions == count
+    assert context.lone.engines.subscriptions == count
 
 
 @then("the lone gateway follows every runner of its zone")
@@ -44,9 +44,9 @@
 def few_more_reports(context, percent):
     counts = []
     for gateway in (context.lone, context.other_lone):
-        before = gateway.reports()
-        gateway.virtual.advance(REPORTS_S)
-        counts.append(gateway.reports() - before)
+        before = gateway.engines.reports_sent
+        gateway.clock.advance(REPORTS_S)
+        counts.append(gateway.engines.reports_sent - before)
     assert 0 < counts[1] <= (1 + percent / 100) * counts[0], counts
 
 
@@ -54,7 +54,7 @@
 def sample_differs(context, number):
     lone = context.lone
     size = lone.size
-    assert LargeFleetGateway(size.zones, size.nodes, size.runners).sample() == lone.sample()
+    assert FollowingGateway(size.zones, size.nodes, size.runners).sample() == lone.sample()
     settings = FleetSettings()
     other = FollowedRunners(
         node_name(number), size.zone(0), settings.other_zone_runners, settings.asked_runners
@@ -74,7 +74,7 @@
 
 @when("{seconds:g} second of the lone gateway's time passes")
 def time_passes(context, seconds):
-    context.lone.virtual.advance(seconds)
+    context.lone.clock.advance(seconds)
 
 
 @then("the lone gateway follows {count:d} runners and owns all of them")
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Steps on tenants' quotas over hollow gateways."""
+"""Steps on tenants' quotas over gateways of which only the quota client runs."""
 
 import random
 
--- a/features/steps/scale_quota_steps.py
+++ b/features/steps/tenancy_lent_shares_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the book of lent shares of one tenant's rate."""
+"""Steps on the lent shares of one tenant's rate."""
 
 import random
 from unittest import mock
@@ -16,11 +16,11 @@
 CLOSE = 1e-6
 
 
-class CheckedBook:
-    """A book beside plain shares that are added up anew at every step."""
+class CheckedShares:
+    """A tenant's lent shares beside plain shares that are added up anew at every step."""
 
     def __init__(self) -> None:
-        self.book = TenantBook()
+        self.lent = TenantBook()
         self.shares: dict[str, GatewayShare] = {}
         self.now_s = 0.0
         self.errors: list[float] = []
@@ -28,61 +28,63 @@
 
     def report(self, gateway: str, demand: float) -> None:
         """Let a gateway report and get its fair part of what is free."""
-        self.book.drop_expired(self.now_s)
+        self.lent.drop_expired(self.now_s)
         for name in list(self.shares):
             self.shares[name].drop_expired(self.now_s)
             if not self.shares[name].grants:
                 del self.shares[name]
-        self.book.note_demand(gateway, demand)
+        self.lent.note_demand(gateway, demand)
         share = self.shares.setdefault(gateway, GatewayShare([], 0.0))
         share.demand = demand
         others = [each for name, each in self.shares.items() if name != gateway]
         hold = sum(each.outstanding() for each in others)
         wanted = sum(each.demand for each in others)
-        self.errors.append(abs(self.book.others_hold(gateway) - hold))
-        self.errors.append(abs(self.book.others_demand(gateway) - wanted))
+        self.errors.append(abs(self.lent.others_hold(gateway) - hold))
+        self.errors.append(abs(self.lent.others_demand(gateway) - wanted))
         fair = LENDABLE * demand / (demand + wanted) if demand + wanted else 0.0
-        free = LENDABLE - self.book.others_hold(gateway)
+        free = LENDABLE - self.lent.others_hold(gateway)
         grant = Grant(max(0.0, min(fair, free)), self.now_s + SHARE_S)
-        self.book.add(gateway, grant)
+        self.lent.add(gateway, grant)
         share.add(grant)
         lent = sum(each.outstanding() for each in self.shares.values())
         self.most_lent = max(self.most_lent, lent)
 
 
-@given("a quota book of {gateways:d} gateways under {reports:d} random reports with lost answers")
+@given(
+    "the lent shares of {gateways:d} gateways under {reports:d} random reports with lost answers"
+)
 def make_book(context, gateways, reports):
     draw = random.Random(7)
-    context.checked = CheckedBook()
+    context.checked = CheckedShares()
     for _ in range(reports):
         context.checked.now_s += draw.expovariate(20.0)
         demand = draw.choice((0.0, 1.0, 10.0, 1000.0)) * draw.random()
         context.checked.report(f"gateway-{draw.randrange(gateways)}", demand)
 
 
-@then("at every step the quota book's sums were those of adding up anew")
+@then("at every step the sums of the lent shares were those of adding up anew")
 def sums_agree(context):
     assert len(context.checked.errors) == 6000
     assert max(context.checked.errors) < CLOSE, max(context.checked.errors)
 
 
-@then("the quota book never lent beyond what may be lent")
+@then("the lent shares never passed what may be lent")
 def never_beyond(context):
     assert 0.9 * LENDABLE < context.checked.most_lent <= LENDABLE + CLOSE
 
 
-@when("all grants of the quota book have run out")
+@when("all grants of the lent shares have run out")
 def run_out(context):
-    context.checked.book.drop_expired(context.checked.now_s + SHARE_S)
+    context.checked.lent.drop_expired(context.checked.now_s + SHARE_S)
 
 
-@then("the quota book is empty and its sums are 0")
-def book_empty(context):
-    book = context.checked.book
-    assert book.demand_of("gateway-1") is None
-    book.note_demand("gateway-1", 0.0)
-    assert book.others_hold("gateway-1") < CLOSE
-    assert book.others_demand("gateway-1") < CLOSE
+@then("the lent shares are empty and their sums are 0")
+def shares_empty(context):
+    lent = context.checked.lent
+    assert lent.demand_of("gateway-1") is None
+    lent.note_demand("gateway-1", 0.0)
+    assert lent.others_hold("gateway-1") < CLOSE
+    assert lent.others_demand("gateway-1") < CLOSE
 
 
 def _looks_per_lend(gateways: int) -> float:
--- a/features/support/control_group.py
+++ b/features/support/control_group.py
@@ -2,6 +2,9 @@
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
+
+from features.support.declared_fleet import FleetSize, declarations
 
 from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.consensus.settings import ConsensusSettings
@@ -11,11 +14,21 @@
 from rainsail.resources.specs import GatewaySpec
 from rainsail.simulation.clock import SkewedClock, VirtualClock
 from rainsail.simulation.engine_link import EngineNetwork
-from rainsail.simulation.network import LinkConditions, SimulatedNetwork
+from rainsail.simulation.network import LinkConditions, SimulatedNetwork, SimulatedTransport
 from rainsail.simulation.processes import ReplicaProcess, World
 from rainsail.state.settings import StateSettings
 from rainsail.wire.messenger import Messenger
 
+DECLARATION_LIMIT_S = 60.0
+
+
+@dataclass(frozen=True, slots=True)
+class ViewTraffic:
+    """Messages and bytes of all gateways' views, both ways."""
+
+    messages: int
+    bytes: int
+
 
 class RealGroupFleet:
     """Replicas r1 to rN as assembled in daemons, on the virtual clock."""
@@ -27,15 +40,19 @@
         loss: float = 0.0,
         snapshot_entries: int = 0,
         remembered_changes: int = 0,
+        delay_s: float = 0.0005,
+        jitter_s: float = 0.0002,
+        count_bytes: bool = False,
     ) -> None:
         self.clock = VirtualClock()
-        conditions = LinkConditions(delay_s=0.0005, jitter_s=0.0002, loss=loss)
-        self.network = SimulatedNetwork(self.clock, random.Random(seed), conditions)
+        conditions = LinkConditions(delay_s, jitter_s, loss=loss)
+        self.network = SimulatedNetwork(self.clock, random.Random(seed), conditions, count_bytes)
         self.world = World(seed, self.clock, self.network, EngineNetwork(self.clock))
         self.settings = ControlSettings()
         self.names = tuple(f"r{number + 1}" for number in range(replicas))
         self.views: dict[str, ConfigView] = {}
         self.clocks: dict[str, SkewedClock] = {}
+        self.transports: dict[str, SimulatedTransport] = {}
         self.seen: dict[str, list[int]] = {}
         self.replicas = {
             name: ReplicaProcess(
@@ -84,7 +101,8 @@
         if name in self.clocks:
             self.clocks[name].stop()
         clock = self.clocks[name] = SkewedClock(self.clock)
-        messenger = Messenger(self.network.transport(name, "z1"), clock)
+        transport = self.transports[name] = self.network.transport(name, "z1")
+        messenger = Messenger(transport, clock)
         view = ConfigView(
             name,
             incarnation,
@@ -101,6 +119,37 @@
         view.start()
         return view
 
+    def kill_view(self, name: str) -> None:
+        """End a gateway's process without notice."""
+        del self.views[name]
+        self.clocks[name].stop()
+        self.transports.pop(name).close()
+
+    def cut_off(self, name: str) -> None:
+        """Cut a process off from the replicas and the gateways' views in silence."""
+        for other in [*self.names, *self.views]:
+            if other != name:
+                self.network.cut(name, other)
+                self.network.cut(other, name)
+
+    def declare(self, size: FleetSize) -> None:
+        """Commit the resources of a fleet through the leader."""
+        group = self.replicas[self.leader()].node.group
+        answers: list = []
+        commands = list(declarations(size))
+        for command in commands:
+            group.propose(command).addCallback(answers.append)
+        self.wait_until(lambda: len(answers) == len(commands), DECLARATION_LIMIT_S)
+        assert all(answer.is_ok() for answer in answers)
+
+    def view_traffic(self) -> ViewTraffic:
+        """Return what the gateways' views have sent and received so far."""
+        counts = [transport.traffic for transport in self.transports.values()]
+        return ViewTraffic(
+            sum(each.messages_sent + each.messages_received for each in counts),
+            sum(each.bytes_sent + each.bytes_received for each in counts),
+        )
+
     def finish(self, deferred, limit_s: float = 40.0):
         """Run virtual time until a Deferred has fired; return its result."""
         fired: list = []
--- a/features/support/quota_world.py
+++ b/features/support/quota_world.py
@@ -1,4 +1,4 @@
-"""Hollow gateways that admit requests of one limited tenant, in virtual time, over two keepers."""
+"""Gateways that admit requests of one limited tenant, in virtual time, over two keepers."""
 
 import random
 from collections import deque
@@ -34,7 +34,7 @@
         self.admitted_s = []
 
 
-class HollowGateway:
+class QuotaGateway:
     """A gateway's process, of which only the quota client is there."""
 
     def __init__(self, world: "QuotaWorld", name: str) -> None:
@@ -70,7 +70,7 @@
         self.services: dict[str, QuotaService] = {}
         for name in KEEPERS:
             self._start_keeper(name)
-        self.gateways = [HollowGateway(self, f"gateway-{i}") for i in range(1, gateways + 1)]
+        self.gateways = [QuotaGateway(self, f"gateway-{i}") for i in range(1, gateways + 1)]
         self._ideal = TokenBucket(limit.rate_per_s, limit.burst, 0.0)
 
     def _start_keeper(self, name: str) -> None:
@@ -97,7 +97,7 @@
         """Have a gateway's process end and another begin; it knows the keeper at once."""
         self.gateways[number].stop()
         name = self.gateways[number].name
-        self.gateways[number] = HollowGateway(self, name)
+        self.gateways[number] = QuotaGateway(self, name)
         self.gateways[number].client.set_keeper(self.leading)
 
     def set_limit(self, limit: RateLimit) -> None:
@@ -111,7 +111,7 @@
 
     # --- requests ------------------------------------------------------------------------
 
-    def request(self, gateway: HollowGateway) -> None:
+    def request(self, gateway: QuotaGateway) -> None:
         """Have a client ask; count what comes of it."""
         now = self.clock.seconds()
         within = self._ideal.wait_s(1.0, now) <= 0
@@ -128,9 +128,7 @@
         self.admissions.refused += 1
         self.admissions.refused_within += within
 
-    def press(
-        self, per_s: float, for_s: float, gateways: list[HollowGateway] | None = None
-    ) -> None:
+    def press(self, per_s: float, for_s: float, gateways: list[QuotaGateway] | None = None) -> None:
         """Have requests come at random at a rate, at random ones of some gateways."""
         now = self.clock.seconds()
         at_s = now + self.random.expovariate(per_s)
@@ -138,7 +136,7 @@
             self.clock.callLater(at_s - now, self._ask_one, gateways)
             at_s += self.random.expovariate(per_s)
 
-    def _ask_one(self, gateways: list[HollowGateway] | None) -> None:
+    def _ask_one(self, gateways: list[QuotaGateway] | None) -> None:
         self.request(self.random.choice(gateways or self.gateways))
 
     # --- judging -------------------------------------------------------------------------
--- a/tools/run_features.py
+++ b/tools/run_features.py
@@ -28,7 +28,6 @@
     "demo",
     "simulation",
     "experiment",
-    "scale",
     "benchmarks",
     "cli",
 )
