--- a/features/support/quota_world.py
+++ b/features/support/quota_world.py
@@ -57,9 +57,7 @@
     def __init__(self, seed: int, gateways: int, limit: RateLimit) -> None:
         self.random = random.Random(seed)
         self.clock = VirtualClock()
-        self.network = SimulatedNetwork(
-            self.clock, random.Random(seed + 1), GATEWAY_LINK, count_bytes=True
-        )
+        self.network = SimulatedNetwork(self.clock, random.Random(seed + 1), GATEWAY_LINK)
         self.terms = QuotaTerms()
         self.version = 1
         self.limit = limit
@@ -155,7 +153,3 @@
                 window.popleft()
             most = max(most, len(window))
         return most - allowed
-
-    def messages_sent(self) -> int:
-        """Return how many messages all gateways have sent."""
-        return sum(gateway.transport.traffic.messages_sent for gateway in self.gateways)
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -206,7 +206,7 @@
     def __init__(self, seed: int, gateways: int, runners: int) -> None:
         self.random = random.Random(seed)
         self.clock = VirtualClock()
-        self.network = SimulatedNetwork(self.clock, random.Random(seed + 1), LINK, count_bytes=True)
+        self.network = SimulatedNetwork(self.clock, random.Random(seed + 1), LINK)
         self.leading = ""
         self.answered: list[StandInExchange] = []
         self.keepers = [Keeper(self, name) for name in KEEPERS]
@@ -330,12 +330,3 @@
         """Return by how much the fullest second of a cold runner passes the bound."""
         most = max(runner.most_while_cold() for runner in self.runners)
         return most - BOUND.in_window(RATE_PER_S)
-
-    def served(self) -> float:
-        """Return the share of requests that were answered well."""
-        good = sum(1 for exchange in self.answered if exchange.status == 200)
-        return good / max(1, len(self.answered))
-
-    def messages_sent(self) -> int:
-        """Return how many messages all gateways have sent."""
-        return sum(gateway.transport.traffic.messages_sent for gateway in self.gateways)
