--- a/features/steps/experiment_policy_steps.py
+++ b/features/steps/experiment_policy_steps.py
@@ -26,7 +26,14 @@
 def step_decide(context, waiting, weight):
     """Ask the policy; the lagged report lies, and must not matter."""
     online, batch = context.policy_counts
-    view = RunnerView("r", 5.0, SLOTS, online, 0, batch, 99, 0, 99, 0, 0, 9.0, 50.0, waiting)
+    view = RunnerView(
+        slots=SLOTS,
+        online_running=online,
+        batch_running=batch,
+        reported_running=99,
+        reported_waiting=99,
+        online_prefill_tokens=waiting,
+    )
     context.policy_allows = PreemptivePolicy(weight).allowance(view).items
 
 
--- a/features/steps/large_start_steps.py
+++ b/features/steps/large_start_steps.py
@@ -10,7 +10,6 @@
 
 SEED = 29
 SEEDS = 3
-WORDS_OVER_S = 1.2
 
 
 @given(
--- a/features/support/batch.py
+++ b/features/support/batch.py
@@ -216,7 +216,7 @@
         """Send online requests to a runner as the gateway's core would."""
         for index in range(count):
             attempt_id = f"online-{self.clock.seconds():.3f}-{index}"
-            gateway.fleet.attempt_started(runner, attempt_id, False, 400)
+            gateway.fleet.attempt_started(runner, attempt_id, False)
             prompt = f"alarm {index}".ljust(prompt_tokens * CHARACTERS_PER_TOKEN, "?")
             request = GenerateRequest(
                 attempt_id, attempt_id, SERVICE, "", prompt, 200, Priority.HIGH
--- a/rig/daemon.py
+++ b/rig/daemon.py
@@ -54,11 +54,6 @@
         """How the last process ended; None while it runs."""
         return None if self._process is None else self._process.poll()
 
-    @property
-    def process_id(self) -> int:
-        """The id of the last process."""
-        return 0 if self._process is None else self._process.pid
-
     def start(self) -> None:
         """Start ``rainsail run``; what it prints goes to its log file."""
         command = [sys.executable, "-c", PROGRAM, "run", str(self.plan.settings_file)]
--- a/src/rainsail/batch/content.py
+++ b/src/rainsail/batch/content.py
@@ -29,13 +29,6 @@
         return self._digest.hexdigest()
 
 
-def content_digest(service: str, adapter: str, items: tuple[ItemBody, ...]) -> str:
-    """Return the SHA-256 (hex) of what the job runs; the deadline is no part of it."""
-    digest = ContentDigest(service, adapter)
-    digest.add(items)
-    return digest.hexdigest()
-
-
 def _add_text(digest: "hashlib._Hash", text: str) -> None:
     encoded = text.encode()
     digest.update(len(encoded).to_bytes(8, "big"))
--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -252,7 +252,7 @@
         )
         self._runs.setdefault(runner, {})[attempt_id] = run
         self.counts.started += 1
-        self._fleet.attempt_started(runner, attempt_id, True, run.kv_tokens)
+        self._fleet.attempt_started(runner, attempt_id, True)
         run.start(Priority.LOW if self._policy.low_priority else Priority.HIGH)
 
     def _run_ended(self, run: ItemRun, end: RunEnd, detail: str, retry_after_s: float) -> None:
--- a/src/rainsail/batch/fleet_view.py
+++ b/src/rainsail/batch/fleet_view.py
@@ -49,7 +49,7 @@
         """Call ``listener`` with a runner's name whenever its view has changed."""
         ...
 
-    def attempt_started(self, runner: str, attempt_id: str, batch: bool, tokens: int) -> None:
+    def attempt_started(self, runner: str, attempt_id: str, batch: bool) -> None:
         """Count an attempt that is sent to a runner."""
         ...
 
--- a/src/rainsail/batch/interface.py
+++ b/src/rainsail/batch/interface.py
@@ -11,28 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerView:
-    """One owned runner as the dispatcher knows it at ``now_s`` (gateway clock).
+    """One owned runner as the dispatcher knows it now.
 
     ``online_running`` counts this gateway's own online requests on it at this moment,
-    ``reported_running`` and ``reported_waiting`` the last load report, ``report_age_s`` old.
-    ``online_arrivals_per_s`` is the estimated rate of online requests to this runner;
+    ``reported_running`` and ``reported_waiting`` are those of the last load report, and
     ``online_prefill_tokens`` the prompt tokens of this gateway's online requests on it that have
     no first token yet.
     """
 
-    runner: str
-    now_s: float
     slots: int
     online_running: int
-    online_waiting: int
     batch_running: int
     reported_running: int
-    reported_running_low: int
     reported_waiting: int
-    kv_tokens_used: int
-    kv_tokens_total: int
-    report_age_s: float
-    online_arrivals_per_s: float
     online_prefill_tokens: int = 0
 
 
--- a/src/rainsail/batch/lease_pool.py
+++ b/src/rainsail/batch/lease_pool.py
@@ -126,10 +126,6 @@
         self._stopped = True
         return self._take_where(lambda held: True)
 
-    def leasing(self) -> bool:
-        """Tell whether a lease command is without an answer."""
-        return any(state.request is not None for state in self._groups.values())
-
     def _take_where(self, chosen: Callable[[HeldItem], bool]) -> list[HeldItem]:
         taken = [held for held in self._items if chosen(held)]
         self._items = deque(held for held in self._items if not chosen(held))
--- a/src/rainsail/batch/result_committer.py
+++ b/src/rainsail/batch/result_committer.py
@@ -26,10 +26,9 @@
 
 @dataclass(slots=True)
 class CommitCounts:
-    """Results and tokens by verdict since the start."""
+    """Results by verdict since the start."""
 
     committed: int = 0
-    committed_tokens: int = 0
     dropped: int = 0
     refused: int = 0
 
@@ -78,7 +77,6 @@
     def _count(self, result: ItemResult, verdict: CommitVerdict) -> None:
         if verdict is CommitVerdict.COMMITTED:
             self.counts.committed += 1
-            self.counts.committed_tokens += result.generated_tokens
         else:
             self.counts.dropped += 1
 
--- a/src/rainsail/cluster/follower.py
+++ b/src/rainsail/cluster/follower.py
@@ -84,7 +84,6 @@
         self.on_view: Callable[[FleetView], None] = lambda view: None
         messenger.serve(RunnerUpdate, self._take_update)
         self.on_ledger_leader: Callable[[str], None] = lambda address: None
-        self.on_reading: Callable[[RunnerReads], None] = lambda message: None
         messenger.serve(TableNotice, self._take_notice)
         messenger.serve(ZoneDrainNotice, self._take_drain_notice)
         messenger.serve(QuarantineNotice, self._take_quarantine_notice)
--- a/src/rainsail/cluster/leader_calls.py
+++ b/src/rainsail/cluster/leader_calls.py
@@ -53,11 +53,6 @@
         if leader:
             self._hint = leader
 
-    @property
-    def hint(self) -> str:
-        """The node that was last said to lead, empty when none is known."""
-        return self._hint
-
     def call(
         self,
         message: Any,
--- a/src/rainsail/consensus/interface.py
+++ b/src/rainsail/consensus/interface.py
@@ -28,10 +28,6 @@
         """Return the name of the leader as last heard of, or an empty string."""
         ...
 
-    def term(self) -> int:
-        """Return the current term."""
-        ...
-
     def propose(self, command: Any) -> "Deferred[Result[tuple[int, Any], Fault]]":
         """Commit and apply; fires with (index, outcome). Fault NOT_LEADER: not appended.
 
@@ -58,10 +54,6 @@
         """Return this replica's view of the group."""
         ...
 
-    def transfer_leadership(self) -> "Deferred[Result[None, Fault]]":
-        """Hand leadership to the most advanced voter (before a planned stop)."""
-        ...
-
     def stop(self) -> None:
         """Stop timers and refuse further calls; durable state stays as synced."""
         ...
--- a/src/rainsail/consensus/settings.py
+++ b/src/rainsail/consensus/settings.py
@@ -51,7 +51,9 @@
         description="A snapshot is taken when the log since the last one holds this many entries.",
     )
     snapshot_chunk_bytes: int = Field(
-        128 * 1024, gt=0, description="Bytes of a snapshot in one message at most."
+        128 * 1024,
+        gt=0,
+        description="Accepted and not used: `state.snapshot_chunk_bytes` bounds a chunk.",
     )
     retained_entries: int = Field(
         5_000,
--- a/src/rainsail/control/settings.py
+++ b/src/rainsail/control/settings.py
@@ -37,7 +37,7 @@
         10.0, gt=0, description="How long a holder keeps its batch items without a renewal."
     )
     item_lease_renewal_period_s: float = Field(
-        2.5, gt=0, description="How often a holder renews its batch items."
+        2.5, gt=0, description="Accepted and not used: `batch.lease_renewal_period_s` is."
     )
     item_lease_check_period_s: float = Field(
         0.5, gt=0, description="How often the leader looks for lapsed holders of batch items."
--- a/src/rainsail/demo/http_calls.py
+++ b/src/rainsail/demo/http_calls.py
@@ -30,7 +30,6 @@
 CALL_TIMEOUT_S = 15.0
 MOST_CONNECTIONS_PER_HOST = 64
 JSON_TYPE = "application/json"
-EVENT_STREAM_TYPE = "text/event-stream"
 
 _STEP = "demo.http"
 _OK_STATUSES = range(200, 300)
--- a/src/rainsail/experiment/history.py
+++ b/src/rainsail/experiment/history.py
@@ -7,7 +7,6 @@
 
 import hashlib
 from dataclasses import dataclass
-from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
@@ -297,13 +296,6 @@
     event: Event
 
 
-class HistoryKind(StrEnum):
-    """Where a history comes from."""
-
-    SIMULATED = "simulated"
-    REAL = "real"
-
-
 class History:
     """Events in the order in which they were recorded, with a running hash."""
 
--- a/src/rainsail/experiment/workload.py
+++ b/src/rainsail/experiment/workload.py
@@ -69,12 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """All that arrives at a site; ``burst_starts_s`` says when bursts began."""
+    """All that arrives at a site."""
 
     arrivals: tuple[OnlineArrival, ...]
     sessions: tuple[SessionScript, ...]
     jobs: tuple[JobArrival, ...]
-    burst_starts_s: tuple[float, ...]
 
 
 def make_workload(site: SitePreset, seed: int, duration_s: float) -> Workload:
@@ -83,7 +82,7 @@
     bursts = maker.burst_starts()
     arrivals = maker.questions() + maker.documents() + maker.pings() + maker.bursts(bursts)
     arrivals.sort(key=lambda arrival: arrival.at_s)
-    return Workload(tuple(arrivals), tuple(maker.sessions()), tuple(maker.jobs()), tuple(bursts))
+    return Workload(tuple(arrivals), tuple(maker.sessions()), tuple(maker.jobs()))
 
 
 def prompt_text(template: str, template_tokens: int, own: str, own_tokens: int) -> str:
--- a/src/rainsail/gateway/attempt_sender.py
+++ b/src/rainsail/gateway/attempt_sender.py
@@ -79,9 +79,7 @@
             patient=self._class == RequestClass.NON_REPEATABLE,
         )
         self.sent += 1
-        context.fleet.attempt_started(
-            runner, attempt.attempt_id, self._batch, self._caller.max_tokens
-        )
+        context.fleet.attempt_started(runner, attempt.attempt_id, self._batch)
         return attempt
 
     def decide_retry(self, repeatable: bool) -> RetryDecision:
--- a/src/rainsail/gateway/current_attempt.py
+++ b/src/rainsail/gateway/current_attempt.py
@@ -30,11 +30,11 @@
             attempt.pause()
         attempt.start()
 
-    def end(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd, session: bool) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd) -> None:
         """Note the end; what broke off is cancelled at its engine."""
         self._attempt = None
         context = self._context
-        context.fleet.attempt_ended(attempt.runner, attempt.attempt_id, end.reason, session)
+        context.fleet.attempt_ended(attempt.runner, attempt.attempt_id, end.reason)
         if result == AttemptResult.WHOLE:
             return
         if result == AttemptResult.REFUSED:
--- a/src/rainsail/gateway/fleet.py
+++ b/src/rainsail/gateway/fleet.py
@@ -135,22 +135,12 @@
         state = self._runners.get(runner)
         return state is None or runner_state.is_leaving(state, self._clock.seconds())
 
-    def online_arrival_rate(self, runner: str) -> float:
-        """Return the estimated online requests per second sent to a runner from here."""
-        state = self._runners.get(runner)
-        return state.arrivals_per_s(self._clock.seconds()) if state else 0.0
-
-    def last_online_session_end(self, runner: str) -> float | None:
-        """Return when the last turn of a session ended on a runner (gateway clock)."""
-        state = self._runners.get(runner)
-        return state.last_online_session_end_s if state else None
-
     def view(self, runner: str) -> RunnerView:
         """Return what the batch policies see of a runner; KeyError when it does not exist."""
         state = self._runners.get(runner)
         if state is None:
             raise KeyError(runner)
-        return batch_view(state, self._clock.seconds())
+        return batch_view(state)
 
     def on_change(self, listener: ChangeListener) -> None:
         """Call ``listener`` with a runner's name at each change of its view."""
@@ -162,12 +152,12 @@
 
     # --- own work -----------------------------------------------------------------------------
 
-    def attempt_started(self, runner: str, attempt_id: str, batch: bool, tokens: int) -> None:
-        """Count an attempt that is sent to a runner; ``tokens`` is the most it may generate."""
+    def attempt_started(self, runner: str, attempt_id: str, batch: bool) -> None:
+        """Count an attempt that is sent to a runner."""
         state = self._runners.get(runner)
         if state is None:
             return
-        state.attempt_started(attempt_id, batch, tokens, self._clock.seconds())
+        state.attempt_started(attempt_id, batch, self._clock.seconds())
         self._changed(runner)
 
     def attempt_ended(
@@ -175,7 +165,6 @@
         runner: str,
         attempt_id: str,
         reason: EndReason | None = None,
-        session: bool = False,
     ) -> None:
         """Count an attempt's end; LOST counts against the runner, STOP and LENGTH for it."""
         state = self._runners.get(runner)
@@ -184,8 +173,6 @@
         now_s = self._clock.seconds()
         if state.attempt_ended(attempt_id, now_s) is None:
             return
-        if session:
-            state.last_online_session_end_s = now_s
         if reason in (EndReason.STOP, EndReason.LENGTH):
             state.ejection.succeeded()
         elif reason == EndReason.LOST:
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -190,7 +190,7 @@
         """Answer, or decide whether another attempt follows."""
         if not self._attempt.is_current(attempt):
             return
-        self._attempt.end(attempt, result, end, bool(self.caller.session))
+        self._attempt.end(attempt, result, end)
         if result == AttemptResult.WHOLE:
             self._delivery.prompt_tokens = end.prompt_tokens or self._delivery.prompt_tokens
             self._record_answer(end.reason.value, attempt.runner)
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -3,7 +3,6 @@
 from collections import deque
 from dataclasses import dataclass
 from enum import StrEnum
-from math import exp
 
 from rainsail.control.controllers.conditions import DRAINING
 from rainsail.engine.interface import LoadReport
@@ -30,7 +29,6 @@
     """One attempt of this gateway on a runner."""
 
     batch: bool
-    tokens: int
     started_s: float
 
 
@@ -59,11 +57,8 @@
         self.attempts: dict[str, OwnAttempt] = {}
         self.online_running = 0
         self.batch_running = 0
-        self.last_online_session_end_s: float | None = None
         self._foreign = 0.0
         self._ended: deque[tuple[float, float]] = deque()
-        self._arrival_rate = 0.0
-        self._arrival_updated_s = now_s
         self.update_resource(resource)
 
     # --- what the runner is told to be -----------------------------------------------------
@@ -122,16 +117,13 @@
 
     # --- own work --------------------------------------------------------------------------
 
-    def attempt_started(self, attempt_id: str, batch: bool, tokens: int, now_s: float) -> None:
+    def attempt_started(self, attempt_id: str, batch: bool, now_s: float) -> None:
         """Count an attempt that is sent."""
-        self.attempts[attempt_id] = OwnAttempt(batch, tokens, now_s)
+        self.attempts[attempt_id] = OwnAttempt(batch, now_s)
         if batch:
             self.batch_running += 1
-            return
-        self.online_running += 1
-        rate = self.arrivals_per_s(now_s)
-        self._arrival_rate = rate + 1.0 / self._settings.arrival_window_s
-        self._arrival_updated_s = now_s
+        else:
+            self.online_running += 1
 
     def attempt_ended(self, attempt_id: str, now_s: float) -> OwnAttempt | None:
         """Count the end of an attempt; None when it was not counted as running."""
@@ -147,11 +139,6 @@
             self._ended.popleft()
         return attempt
 
-    def arrivals_per_s(self, now_s: float) -> float:
-        """Return the estimated rate of online arrivals at this runner from this gateway."""
-        age_s = now_s - self._arrival_updated_s
-        return self._arrival_rate * exp(-age_s / self._settings.arrival_window_s)
-
     def foreign_online(self, now_s: float) -> float:
         """Return the estimated online requests of others on this runner."""
         age_s = now_s - self.report_received_s
--- a/src/rainsail/gateway/settings.py
+++ b/src/rainsail/gateway/settings.py
@@ -28,7 +28,7 @@
         description="Seconds after which half of the load reported for others has lost its weight.",
     )
     arrival_window_s: float = Field(
-        default=2.0, gt=0, description="Time constant of the estimate of online arrivals, seconds."
+        default=2.0, gt=0, description="Accepted and not used: nothing estimates arrivals."
     )
     cache_blocks_per_runner: int = Field(
         default=65_536, gt=0, description="Most prefix blocks remembered per runner."
--- a/src/rainsail/http/pool.py
+++ b/src/rainsail/http/pool.py
@@ -122,11 +122,6 @@
         for each in idle:
             each.connection.abort()
 
-    def connections_to(self, address: str) -> int:
-        """Return how many connections to a server are open or being opened."""
-        server = self._servers.get(address)
-        return 0 if server is None else server.open_count
-
     def close_stale(self) -> None:
         """Close the connections that have rested for too long; called now and then."""
         now = self._clock.seconds()
--- a/src/rainsail/settings/model.py
+++ b/src/rainsail/settings/model.py
@@ -33,7 +33,7 @@
 )
 from rainsail.state.settings import StateSettings
 from rainsail.storage.settings import StorageSettings
-from rainsail.wire.address import PeerAddress, parse_address
+from rainsail.wire.address import parse_address
 from rainsail.wire.settings import TlsSettings, WireSettings
 
 ENVIRONMENT_PREFIX = "RAINSAIL_"
@@ -131,20 +131,6 @@
         self._check_replica_role()
         return self
 
-    def peer_addresses(self) -> dict[str, PeerAddress]:
-        """Return the internal address of every peer: the other replicas and ``peers``."""
-        found = {entry.name: entry.address for entry in self.replicas}
-        found.update({name: entry.address for name, entry in self.peers.items()})
-        found.pop(self.process.name, None)
-        return {name: parse_address(text) for name, text in found.items()}
-
-    def internal_address(self) -> PeerAddress:
-        """Return where the internal protocol listens: the replica's own entry, else `addresses`."""
-        for entry in self.replicas:
-            if entry.name == self.process.name:
-                return parse_address(entry.address)
-        return parse_address(self.addresses.internal)
-
     def engine_settings(self, entry: EngineEntry) -> EngineSettings:
         """Return the rates of one emulated engine."""
         if entry.preset == EnginePreset.POSITION:
--- a/src/rainsail/simulation/engine_network.py
+++ b/src/rainsail/simulation/engine_network.py
@@ -99,19 +99,11 @@
         self._engines[address] = engine
         engine.on_crash(lambda: self._engine_died(engine.runner))
 
-    def engine(self, address: str) -> EmulatedEngine | None:
-        """Return the engine at an address, alive or not."""
-        return self._engines.get(address)
-
     def live_engine(self, address: str) -> EmulatedEngine | None:
         """Return the engine at an address when its process lives."""
         engine = self._engines.get(address)
         return engine if engine is not None and engine.alive else None
 
-    def engines(self) -> list[EmulatedEngine]:
-        """Return all engines in the order of their addition."""
-        return list(self._engines.values())
-
     def runner_at(self, address: str) -> str:
         """Return the name of the runner at an address, or the address when there is none."""
         engine = self._engines.get(address)
--- a/src/rainsail/simulation/network.py
+++ b/src/rainsail/simulation/network.py
@@ -105,7 +105,7 @@
         self._link_conditions: dict[tuple[ProcessName, ProcessName], LinkConditions] = {}
         self._transports: dict[ProcessName, SimulatedTransport] = {}
         self._cuts: dict[tuple[ProcessName, ProcessName], None] = {}
-        self._zone_cuts: dict[tuple[str, str], None] = {}
+        self._zone_cuts: dict[str, None] = {}
         self._refused: dict[ProcessName, None] = {}
         self._last_arrival_s: dict[tuple[ProcessName, ProcessName], float] = {}
 
@@ -173,19 +173,11 @@
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone off from all others, both ways, in silence."""
-        self._zone_cuts[(zone, "")] = None
+        self._zone_cuts[zone] = None
 
     def mend_zone(self, zone: str) -> None:
         """End a zone's cut."""
-        self._zone_cuts.pop((zone, ""), None)
-
-    def cut_zones(self, source: str, target: str) -> None:
-        """Lose everything from one zone to another in silence, this way only."""
-        self._zone_cuts[(source, target)] = None
-
-    def mend_zones(self, source: str, target: str) -> None:
-        """End a one-way cut between zones."""
-        self._zone_cuts.pop((source, target), None)
+        self._zone_cuts.pop(zone, None)
 
     def mend_all(self) -> None:
         """End every cut and refusal."""
@@ -236,9 +228,7 @@
             return True
         if target is None or source.zone == target.zone:
             return False
-        zones = (source.zone, target.zone)
-        away = ((zones[0], ""), (zones[1], ""))
-        return zones in self._zone_cuts or any(cut in self._zone_cuts for cut in away)
+        return source.zone in self._zone_cuts or target.zone in self._zone_cuts
 
     def _conditions_of(
         self, source: SimulatedTransport, target: SimulatedTransport
--- a/src/rainsail/state/interface.py
+++ b/src/rainsail/state/interface.py
@@ -74,10 +74,6 @@
         """Tell whether an item is still leased to the holder under exactly this fence."""
         ...
 
-    def backlog(self, service: str) -> int:
-        """Return the number of pending items of a service's sealed jobs."""
-        ...
-
     def backlogs(self) -> dict[str, int]:
         """Return the number of pending items of each service that has some, in name order."""
         ...
