--- a/features/steps/ablation_steps.py
+++ b/features/steps/ablation_steps.py
@@ -1,12 +1,12 @@
 """Steps on policies that can be turned off, and on the tool that measures them."""
 
-import importlib.util
 import json
 import tempfile
 from pathlib import Path
 
 from behave import given, then, when
 from features.support.relaying import RelayWorld
+from features.support.tool_module import load_tool
 
 from rainsail.mechanisms import DEFAULTS, Mechanisms
 from rainsail.relay.context import make_context
@@ -29,15 +29,7 @@
 RUNNER = "runner-1"
 
 
-def _tool():
-    path = Path(__file__).parent.parent.parent / "tools" / "ablation.py"
-    spec = importlib.util.spec_from_file_location("ablation", path)
-    module = importlib.util.module_from_spec(spec)
-    spec.loader.exec_module(module)
-    return module
-
-
-TOOL = _tool()
+TOOL = load_tool("ablation")
 
 
 def _load(context, text):
--- a/features/steps/capacity_page_steps.py
+++ b/features/steps/capacity_page_steps.py
@@ -1,11 +1,11 @@
 """Steps on the tool that fills the capacity page from a sweep."""
 
-import importlib.util
 import json
 import tempfile
 from pathlib import Path
 
 from behave import given, then, when
+from features.support.tool_module import load_tool
 
 REPORT = """sweep-30              32/302   0.83  0.826  0.992   0.000  0.009  nines 0.68
 
@@ -18,15 +18,7 @@
 HEAD = "10              30  power  at 422"
 
 
-def _tool():
-    path = Path(__file__).parent.parent.parent / "tools" / "capacity_page.py"
-    spec = importlib.util.spec_from_file_location("capacity_page", path)
-    module = importlib.util.module_from_spec(spec)
-    spec.loader.exec_module(module)
-    return module
-
-
-TOOL = _tool()
+TOOL = load_tool("capacity_page")
 
 
 @then("the committed capacity page agrees with its entry")
--- a/features/steps/queue_limit_steps.py
+++ b/features/steps/queue_limit_steps.py
@@ -3,6 +3,7 @@
 from behave import given, step, then, when
 from expression import Error
 from features.steps.relayed_job_steps import end_all, report_use
+from features.support.relaying import StandInExchange
 from twisted.internet.defer import succeed
 
 from rainsail.cluster.leader_calls import LeaderCaller
@@ -92,14 +93,6 @@
         return succeed(Error(self._faults.pop(0)))
 
 
-class _Exchange:
-    """Keeps what is answered."""
-
-    def answer(self, status, fields, body):
-        self.status = status
-        self.fields = dict(fields)
-
-
 FIRST_FAULTS = {
     "is refused as not leading": Fault(FaultCode.NOT_LEADER, "jobs.submit", "another node leads"),
     "gets no answer": Fault(FaultCode.TIMEOUT, "call", "no answer", outcome=Outcome.UNKNOWN),
@@ -115,11 +108,11 @@
     results = []
     caller.call("a job", None, WITHIN_S, repeatable=True).addCallback(results.append)
     clock.advance(WITHIN_S)
-    context.exchange = _Exchange()
+    context.exchange = StandInExchange(None, clock)
     reply_fault(context.exchange, results[0].error)
 
 
 @then("the client is answered {status:d} and {told}")
 def client_told(context, status, told):
     assert context.exchange.status == status, context.exchange.status
-    assert (b"Retry-After" in context.exchange.fields) == (told == "when to come back")
+    assert (b"Retry-After" in dict(context.exchange.headers)) == (told == "when to come back")
--- a/features/support/command_line.py
+++ b/features/support/command_line.py
@@ -11,6 +11,8 @@
 from rainsail.cli.main import main
 
 ROOT = Path(__file__).parent.parent.parent
+PROGRAM = (sys.executable, "-c", "from rainsail.cli.main import main; main()")
+"""Starts ``rainsail`` in a process of its own; its arguments follow."""
 LIMIT_S = 60.0
 
 
@@ -26,9 +28,8 @@
 def rainsail(arguments: list[str], folder: Path = ROOT, **environment: str) -> Finished:
     """Run ``rainsail`` in ``folder`` and return how it ended."""
     kept = {key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")}
-    program = "from rainsail.cli.main import main; main()"
     run = subprocess.run(
-        [sys.executable, "-c", program, *arguments],
+        [*PROGRAM, *arguments],
         cwd=folder,
         env={**kept, **environment, "PAGER": "cat"},
         capture_output=True,
--- a/features/support/consensus_groups.py
+++ b/features/support/consensus_groups.py
@@ -6,6 +6,7 @@
 
 from features.support.consensus import FLEET, RecordingState
 from features.support.storage import SCHEMAS
+from features.support.virtual_time import wait_until
 
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.member_seams import GroupMember, MemberSeams
@@ -109,6 +110,4 @@
 
     def run_until(self, condition: Callable[[], bool]) -> None:
         """Run virtual time until a condition holds."""
-        limit_s = self.clock.seconds() + LIMIT_S
-        while not condition():
-            assert self.clock.run_next(limit_s), "not reached"
+        wait_until(self.clock, condition, LIMIT_S)
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from expression import Error, Ok
+from features.support.virtual_time import result_of, wait_until
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.testing import StringTransportWithDisconnection
 
@@ -286,21 +287,11 @@
 
     def finish(self, deferred, limit_s: float = 30.0):
         """Run virtual time until a Deferred has fired; return its result."""
-        fired: list = []
-        deferred.addCallback(fired.append)
-        end_s = self.clock.seconds() + limit_s
-        while not fired and self.clock.run_next(end_s):
-            pass
-        assert fired, f"nothing came within {limit_s} virtual seconds"
-        return fired[0]
+        return result_of(self.clock, deferred, limit_s)
 
     def wait_until(self, condition: Callable[[], bool], limit_s: float = 30.0) -> float:
         """Run virtual time until a condition holds; return the seconds that took."""
-        start_s = self.clock.seconds()
-        while not condition() and self.clock.run_next(start_s + limit_s):
-            pass
-        assert condition(), f"not reached within {limit_s} virtual seconds"
-        return self.clock.seconds() - start_s
+        return wait_until(self.clock, condition, limit_s)
 
     def change(self, name: str = "assistant", runners: int = 1, expected: int = ANY_REVISION):
         """Return a change of a service with its own change id."""
--- a/features/support/control_group.py
+++ b/features/support/control_group.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from features.support.declared_fleet import FleetSize, declarations
+from features.support.virtual_time import result_of, wait_until
 
 from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.consensus.settings import ConsensusSettings
@@ -152,15 +153,8 @@
 
     def finish(self, deferred, limit_s: float = 40.0):
         """Run virtual time until a Deferred has fired; return its result."""
-        fired: list = []
-        deferred.addCallback(fired.append)
-        self.wait_until(lambda: bool(fired), limit_s)
-        return fired[0]
+        return result_of(self.clock, deferred, limit_s)
 
     def wait_until(self, condition: Callable[[], bool], limit_s: float = 30.0) -> float:
         """Run virtual time until a condition holds; return the seconds that took."""
-        start_s = self.clock.seconds()
-        while not condition() and self.clock.run_next(start_s + limit_s):
-            pass
-        assert condition(), f"not reached within {limit_s} virtual seconds"
-        return self.clock.seconds() - start_s
+        return wait_until(self.clock, condition, limit_s)
--- a/features/support/demo.py
+++ b/features/support/demo.py
@@ -4,13 +4,12 @@
 import os
 import signal
 import subprocess
-import sys
 import time
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
 
-from features.support.command_line import ROOT
+from features.support.command_line import PROGRAM, ROOT
 
 from rainsail.demo.journal import JOURNAL_NAME, AcceptedJournal, NotedItem, NotedJob
 from rainsail.errors import Outcome
@@ -28,7 +27,6 @@
 )
 from rainsail.resources.specs import RequestClass
 
-PROGRAM = "from rainsail.cli.main import main; main()"
 LIMIT_S = 90.0
 POLL_S = 0.02
 LATE = "reports-2"
@@ -39,7 +37,7 @@
 
     def __init__(self, folder: Path, seconds: float) -> None:
         self.journal = folder / JOURNAL_NAME
-        command = [sys.executable, "-c", PROGRAM, "demo", f"--data={folder}"]
+        command = [*PROGRAM, "demo", f"--data={folder}"]
         self._process = subprocess.Popen(
             [*command, f"--seconds={seconds}"],
             cwd=ROOT,
--- a/features/support/embedded_fleet.py
+++ b/features/support/embedded_fleet.py
@@ -5,7 +5,6 @@
 import random
 import signal
 import subprocess
-import sys
 import tempfile
 import time
 import urllib.error
@@ -13,12 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from features.support.command_line import Finished, rainsail
+from features.support.command_line import PROGRAM, Finished, rainsail
 
 from rainsail.control.operator_auth import key_hash
 from rainsail.demo.site import free_ports
 
-PROGRAM = "from rainsail.cli.main import main; main()"
 OPERATOR_KEY = "operator-of-the-test"
 TENANT_KEYS = {"exporter": "key-of-the-exporter", "broker": "key-of-the-broker"}
 SERVICE = "reports"
@@ -88,7 +86,7 @@
         settings.write_text(text)
         kept = {key: value for key, value in os.environ.items() if "RAINSAIL" not in key}
         self.process = subprocess.Popen(
-            [sys.executable, "-c", PROGRAM, "up", str(settings)],
+            [*PROGRAM, "up", str(settings)],
             env=kept,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
--- a/features/support/emulator.py
+++ b/features/support/emulator.py
@@ -3,6 +3,8 @@
 from random import Random
 from typing import Any
 
+from features.support.virtual_time import wait_until
+
 from rainsail.emulator.answers import expected_answer
 from rainsail.emulator.engine import EmulatedEngine
 from rainsail.emulator.settings import EngineSettings, WeightStoreSettings
@@ -101,10 +103,7 @@
     def run_until_ended(self, attempt: str, limit_s: float = 600.0) -> RecordingListener:
         """Run virtual time until an attempt has ended."""
         listener = self.listeners[attempt]
-        until_s = self.clock.seconds() + limit_s
-        while listener.end is None and self.clock.run_next(until_s):
-            pass
-        assert listener.end is not None, f"{attempt} did not end within {limit_s} s"
+        wait_until(self.clock, lambda: listener.end is not None, limit_s, f"{attempt} ends")
         return listener
 
     def run_until_chunks(self, attempt: str, count: int) -> RecordingListener:
--- a/features/support/own_fleet.py
+++ b/features/support/own_fleet.py
@@ -3,17 +3,15 @@
 import json
 import os
 import subprocess
-import sys
 import tempfile
 from pathlib import Path
 from typing import Any
 
-from features.support.command_line import ROOT
+from features.support.command_line import PROGRAM, ROOT
 from features.support.platform_stand_in import StandInPlatform, wait_until
 from rig.daemon import die_with_parent
 
 EXAMPLES = ROOT / "examples" / "relaying"
-PROGRAM = "from rainsail.cli.main import main; main()"
 
 
 class OwnFleet:
@@ -30,7 +28,7 @@
         log = Path(self._folder.name) / "log"
         with log.open("wb") as output:
             self.process = subprocess.Popen(
-                [sys.executable, "-c", PROGRAM, "node", *files],
+                [*PROGRAM, "node", *files],
                 cwd=self._folder.name,
                 stdout=output,
                 stderr=subprocess.STDOUT,
--- a/features/support/relayed_fleet.py
+++ b/features/support/relayed_fleet.py
@@ -7,6 +7,7 @@
 
 from expression import Ok
 from features.support.relaying import HOST, PlainProtocol, StandInPool
+from features.support.virtual_time import wait_until
 from twisted.internet.defer import Deferred
 
 from rainsail.cluster.leader_calls import LeaderCaller
@@ -207,10 +208,7 @@
 
     def run_until(self, condition: Callable[[], bool], what: str, limit_s: float = LIMIT_S) -> None:
         """Run the virtual world until something holds."""
-        until_s = self.clock.seconds() + limit_s
-        while not condition():
-            if not self.clock.run_next(until_s):
-                raise AssertionError(f"not reached within {limit_s:g} virtual seconds: {what}")
+        wait_until(self.clock, condition, limit_s, what)
 
     def run_for(self, seconds: float) -> None:
         """Run the virtual world for a while."""
--- a/features/support/rig.py
+++ b/features/support/rig.py
@@ -14,13 +14,12 @@
 from pathlib import Path
 from typing import Any
 
-from features.support.command_line import ROOT
+from features.support.command_line import PROGRAM, ROOT
 from rig.daemon import die_with_parent
 
 LIMIT_S = 60.0
 RUN_LIMIT_S = 240.0
 LOOK_PERIOD_S = 0.05
-PROGRAM = "from rainsail.cli.main import main; main()"
 SETTINGS = """
 [process]
 name = "solo"
@@ -102,7 +101,7 @@
     def start(self) -> None:
         """Start the process."""
         with self._errors.open("ab") as log:
-            command = [sys.executable, "-c", PROGRAM, "run", str(self._settings)]
+            command = [*PROGRAM, "run", str(self._settings)]
             self.process = subprocess.Popen(
                 command, stdout=log, stderr=log, preexec_fn=die_with_parent
             )
--- a/features/support/storage.py
+++ b/features/support/storage.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from expression import Ok, Result
+from features.support.virtual_time import result_of
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 from twisted.internet.defer import Deferred, succeed
@@ -44,13 +45,7 @@
 
     def wait(self, deferred: "Deferred[Any]") -> Any:
         """Run the clock until a Deferred fires and return its value."""
-        fired: list[Any] = []
-        deferred.addCallback(fired.append)
-        limit = self.clock.seconds() + PATIENCE_S
-        while not fired and self.clock.run_next(limit):
-            pass
-        assert fired, "the Deferred never fired"
-        return fired[0]
+        return result_of(self.clock, deferred, PATIENCE_S)
 
     def try_open(self) -> Result[Any, Any]:
         """Open the storage and return the result."""
