--- a/features/support/demo.py
+++ b/features/support/demo.py
@@ -24,6 +24,7 @@
     RequestSent,
     ResultRead,
     RunEnded,
+    history_in_order,
 )
 from rainsail.resources.specs import RequestClass
 
@@ -92,10 +93,7 @@
 
     def history(self) -> History:
         """Return the events as a history in time order."""
-        history = History()
-        for event in sorted(self.events, key=lambda each: each.time_s):
-            history.record(event)
-        return history
+        return history_in_order(self.events)
 
     def spoil(self, breach: str) -> None:
         """Bring about a breach by its words in the feature."""
--- a/features/support/replay.py
+++ b/features/support/replay.py
@@ -14,6 +14,7 @@
     RequestAnswered,
     RequestSent,
     ResultRead,
+    history_in_order,
 )
 from rainsail.experiment.replay.judge import Judgement, judge
 from rainsail.experiment.replay.observations import observe
@@ -127,12 +128,8 @@
 
 def history_with(flaw: str) -> History:
     """Return a replay's history with one flaw."""
-    history = History()
     parts = {**faultless(), **flaws()[flaw]}
-    events = [event for part in parts.values() for event in part]
-    for event in sorted(events, key=lambda each: each.time_s):
-        history.record(event)
-    return history
+    return history_in_order(event for part in parts.values() for event in part)
 
 
 def outcomes_from(text: str) -> OutcomesFile:
--- a/rig/jobs.py
+++ b/rig/jobs.py
@@ -3,7 +3,6 @@
 import hashlib
 import json
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from twisted.internet.defer import Deferred
@@ -16,7 +15,13 @@
     ResultRead,
 )
 from rainsail.runtime.clock import sleep
-from rainsail.simulation.actors.job_clients import JobMix
+from rainsail.simulation.actors.job_clients import (
+    LATEST_CANCEL_S,
+    READS_AFTER_CANCEL,
+    RESUBMIT_PROBABILITY,
+    JobMix,
+)
+from rainsail.state.commands import ItemBody
 from rig.callers import KEY_HEADER, Users
 from rig.http import AnswerLost, Reply
 from rig.layout import CALLER_PORT
@@ -24,28 +29,16 @@
 CALL_TIMEOUT_S = 20.0
 RESEND_DELAY_S = 0.5
 READ_PERIOD_S = 1.0
-READS_AFTER_CANCEL = 3
-LATEST_CANCEL_S = 2.0
-RESUBMIT_PROBABILITY = 0.25
-"""Share of jobs that a client sends again although they were accepted."""
 ENDPOINT = "/v1/completions"
 PHASES = {"completed": "completed", "cancelled": "cancelled"}
 DEADLINE_HEADER = "X-Rainsail-Deadline"
 
 
-@dataclass(frozen=True, slots=True)
-class PlannedItem:
-    """One line of a job's input."""
-
-    prompt: str
-    max_tokens: int
-
-
 class JobClient:
     """One job: submitted until accepted, perhaps cancelled, read until finished."""
 
     def __init__(
-        self, users: Users, mix: JobMix, job_key: str, items: tuple[PlannedItem, ...], cancels: bool
+        self, users: Users, mix: JobMix, job_key: str, items: tuple[ItemBody, ...], cancels: bool
     ) -> None:
         self._users = users
         self._mix = mix
@@ -140,7 +133,7 @@
         lines = [self._line(index, item) for index, item in enumerate(self._items)]
         return b"\n".join(lines) + b"\n"
 
-    def _line(self, index: int, item: PlannedItem) -> bytes:
+    def _line(self, index: int, item: ItemBody) -> bytes:
         body = {"model": self._mix.service, "prompt": item.prompt, "max_tokens": item.max_tokens}
         line = {"custom_id": str(index), "method": "POST", "url": ENDPOINT, "body": body}
         return json.dumps(line).encode()
@@ -212,14 +205,10 @@
     def _submit(self) -> None:
         number = len(self.clients)
         draw = self._users.draw
-        items = tuple(self._item(number, index) for index in range(self._mix.items_per_job))
+        items = tuple(
+            self._mix.draw_item(number, index, draw) for index in range(self._mix.items_per_job)
+        )
         cancels = draw.random() < self._mix.cancel_probability
         client = JobClient(self._users, self._mix, f"job-{number}", items, cancels)
         self.clients.append(client)
         self._run(client.run())
-
-    def _item(self, job: int, index: int) -> PlannedItem:
-        draw = self._users.draw
-        text = f"Summarise record {index} of list {job}, reference {draw.randrange(10**6)}. "
-        tokens = max(1, int(self._mix.max_tokens * draw.uniform(0.5, 1.5)))
-        return PlannedItem((text * 20)[: self._mix.prompt_characters], tokens)
--- a/rig/run.py
+++ b/rig/run.py
@@ -21,14 +21,13 @@
     FaultInjected,
     FaultsEnded,
     History,
-    JobAccepted,
-    JobCancelAccepted,
-    JobRead,
     RequestAnswered,
     RequestSent,
     RunEnded,
+    history_in_order,
     write_history,
 )
+from rainsail.experiment.item_counts import count_items
 from rainsail.resources.specs import RequestClass
 from rainsail.runtime.clock import MonotonicClock, sleep
 from rainsail.simulation.site_plan import SITES
@@ -240,18 +239,13 @@
                 events.append(EngineStarted(each.started_s, *place, batch))
             else:
                 events.append(EngineFinished(each.ended_s, *place))
-        merged = History()
-        for event in sorted(events, key=lambda each: each.time_s):
-            merged.record(event)
-        return merged
+        return history_in_order(events)
 
     def _result(self, took_s: float) -> RigResult:
         if self._failures:
             raise RuntimeError(self._failures[0])
         self.history = history = self._merge()
-        accepted = {event.job_id: event.item_count for event in history.of_type(JobAccepted)}
-        completed = {event.job_id: event.completed for event in history.of_type(JobRead)}
-        cancelled = {event.job_id for event in history.of_type(JobCancelAccepted)}
+        items = count_items(history)
         answers = history.of_type(RequestAnswered)
         outcomes = Counter(event.outcome for event in answers)
         classes = Counter(event.class_ for event in history.of_type(RequestSent))
@@ -263,11 +257,9 @@
             violations=(*self._injector.violations, *check_history(history)),
             faults=dict(sorted(self._injector.counts.items())),
             starts=sum(daemon.starts for daemon in daemons),
-            accepted_items=sum(accepted.values()),
-            completed_items=sum(completed.values()),
-            cancelled_items=sum(
-                count - completed.get(job, 0) for job, count in accepted.items() if job in cancelled
-            ),
+            accepted_items=items.accepted,
+            completed_items=items.completed,
+            cancelled_items=items.cancelled,
             online_requests=classes[RequestClass.ONLINE],
             non_repeatable_requests=classes[RequestClass.NON_REPEATABLE],
             session_turns=self._sessions.turns_completed,
--- a/src/rainsail/demo/course.py
+++ b/src/rainsail/demo/course.py
@@ -37,8 +37,8 @@
     TrafficPlan,
 )
 from rainsail.errors import Fault
-from rainsail.experiment.engine_events import engine_events
-from rainsail.experiment.history import DrainDeclared, Event, FaultsEnded, History, RunEnded
+from rainsail.experiment.engine_events import with_executions
+from rainsail.experiment.history import DrainDeclared, FaultsEnded, History, RunEnded
 from rainsail.runtime.clock import MonotonicClock, sleep
 
 DRAINED_RUNNER = f"{REPORTS}-2"
@@ -265,13 +265,7 @@
 
     def merged_history(self) -> History:
         """Return what users saw with the engines' executions put in at their times."""
-        events: list[Event] = list(self.history.events)
-        for engine in self.fleet.emulator.engines.values():
-            events += engine_events(engine)
-        merged = History()
-        for event in sorted(events, key=lambda each: each.time_s):
-            merged.record(event)
-        return merged
+        return with_executions(self.history, self.fleet.emulator.engines.values())
 
     def outcome(self, history: History) -> DemoOutcome:
         """Judge the run by its merged history."""
--- a/src/rainsail/experiment/engine_events.py
+++ b/src/rainsail/experiment/engine_events.py
@@ -1,7 +1,23 @@
 """The executions of emulated engines as events of a history."""
 
+from collections.abc import Iterable
+
 from rainsail.emulator.engine import EmulatedEngine
-from rainsail.experiment.history import EngineFinished, EngineStarted, Event
+from rainsail.experiment.history import (
+    EngineFinished,
+    EngineStarted,
+    Event,
+    History,
+    history_in_order,
+)
+
+
+def with_executions(history: History, engines: Iterable[EmulatedEngine]) -> History:
+    """Return a history with the engines' executions put in at their times."""
+    events: list[Event] = list(history.events)
+    for engine in engines:
+        events += engine_events(engine)
+    return history_in_order(events)
 
 
 def engine_events(engine: EmulatedEngine) -> list[Event]:
--- a/src/rainsail/experiment/history.py
+++ b/src/rainsail/experiment/history.py
@@ -6,6 +6,7 @@
 """
 
 import hashlib
+from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -317,6 +318,14 @@
         return [event for event in self.events if type(event) is event_type]
 
 
+def history_in_order(events: Iterable[Event]) -> History:
+    """Return a history of events in the order of their times; equal times keep their order."""
+    history = History()
+    for event in sorted(events, key=lambda each: each.time_s):
+        history.record(event)
+    return history
+
+
 def write_history(path: Path, history: History) -> None:
     """Write a history as an Avro container file."""
     write_container(path, HistoryRecord, (HistoryRecord(event) for event in history.events))
--- a/src/rainsail/experiment/replay/traced_users.py
+++ b/src/rainsail/experiment/replay/traced_users.py
@@ -17,14 +17,18 @@
 from rainsail.runtime.clock import sleep
 from rainsail.simulation.actors import job_clients
 from rainsail.simulation.actors.callers import Caller, CallerTraffic, PlannedRequest
-from rainsail.simulation.actors.job_clients import READ_PERIOD_S, JobClient, JobMix, JobTraffic
+from rainsail.simulation.actors.job_clients import (
+    READ_PERIOD_S,
+    READS_AFTER_CANCEL,
+    JobClient,
+    JobMix,
+    JobTraffic,
+)
 from rainsail.simulation.actors.links import UserLink
 from rainsail.simulation.actors.operators import POLL_PERIOD_S, Operator, OperatorTraffic
 from rainsail.simulation.clock import VirtualClock
 from rainsail.state.commands import MUST_NOT_EXIST, ItemBody
 
-READS_AFTER_CANCEL = 3
-
 
 def home_gateway(origin: str, name: str, gateways: tuple[str, ...]) -> str:
     """Return the gateway of the zone that an arrival came in at, else one chosen by its name."""
--- a/src/rainsail/simulation/actors/job_clients.py
+++ b/src/rainsail/simulation/actors/job_clients.py
@@ -42,6 +42,13 @@
     cancel_probability: float
     deadline_s: float
 
+    def draw_item(self, job: int, index: int, draw: random.Random) -> ItemBody:
+        """Draw item ``index`` of the job ``job``; no two prompts are the same."""
+        text = f"Summarise record {index} of list {job}, reference {draw.randrange(10**6)}. "
+        prompt = (text * 20)[: self.prompt_characters]
+        tokens = max(1, int(self.max_tokens * draw.uniform(0.5, 1.5)))
+        return ItemBody(f"item-{index}", prompt, tokens)
+
 
 class JobClient:
     """One job: submitted until accepted, perhaps cancelled, read until finished."""
@@ -257,7 +264,10 @@
 
     def _submit_job(self) -> None:
         number = len(self.clients)
-        items = tuple(self._item(number, index) for index in range(self._mix.items_per_job))
+        items = tuple(
+            self._mix.draw_item(number, index, self._draw)
+            for index in range(self._mix.items_per_job)
+        )
         home = self._draw.randrange(len(self._gateways))
         client = JobClient(
             f"job-{number}",
@@ -271,12 +281,6 @@
         self.clients.append(client)
         client.run().addErrback(_raise)
 
-    def _item(self, job: int, index: int) -> ItemBody:
-        text = f"Summarise record {index} of list {job}, reference {self._draw.randrange(10**6)}. "
-        prompt = (text * 20)[: self._mix.prompt_characters]
-        tokens = max(1, int(self._mix.max_tokens * self._draw.uniform(0.5, 1.5)))
-        return ItemBody(f"item-{index}", prompt, tokens)
-
 
 class ActorFailed(RuntimeError):
     """A simulated user's own code failed; the run is not worth anything."""
--- a/src/rainsail/simulation/run.py
+++ b/src/rainsail/simulation/run.py
@@ -7,18 +7,15 @@
 from rainsail.errors import Outcome
 from rainsail.experiment.checkers.interface import Violation
 from rainsail.experiment.checkers.suite import check_history
-from rainsail.experiment.engine_events import engine_events
+from rainsail.experiment.engine_events import with_executions
 from rainsail.experiment.history import (
-    Event,
     FaultsEnded,
     History,
-    JobAccepted,
-    JobCancelAccepted,
-    JobRead,
     RequestAnswered,
     RequestSent,
     RunEnded,
 )
+from rainsail.experiment.item_counts import count_items
 from rainsail.resources.specs import (
     Kind,
     ModelVersionSpec,
@@ -170,20 +167,12 @@
 
     def merged_history(self) -> History:
         """Return the history with the engines' executions put in at their times."""
-        events: list[Event] = list(self.history.events)
-        for engine in self.fleet.engines.values():
-            events += engine_events(engine)
-        merged = History()
-        for event in sorted(events, key=lambda each: each.time_s):
-            merged.record(event)
-        return merged
+        return with_executions(self.history, self.fleet.engines.values())
 
     def _result(self, injector: FaultInjector) -> RunResult:
         history = self.merged_history()
         self.history = history
-        cancelled_jobs = {event.job_id for event in history.of_type(JobCancelAccepted)}
-        accepted = {event.job_id: event.item_count for event in history.of_type(JobAccepted)}
-        completed = {event.job_id: event.completed for event in history.of_type(JobRead)}
+        items = count_items(history)
         answers = history.of_type(RequestAnswered)
         return RunResult(
             seed=self._seed,
@@ -191,13 +180,9 @@
             history_sha256=history.sha256(),
             violations=tuple(check_history(history)),
             faults=dict(sorted(injector.counts.items())),
-            accepted_items=sum(accepted.values()),
-            completed_items=sum(completed.values()),
-            cancelled_items=sum(
-                count - completed.get(job_id, 0)
-                for job_id, count in accepted.items()
-                if job_id in cancelled_jobs
-            ),
+            accepted_items=items.accepted,
+            completed_items=items.completed,
+            cancelled_items=items.cancelled,
             online_requests=len(history.of_type(RequestSent)),
             not_run=sum(1 for event in answers if event.outcome == Outcome.NOT_RUN),
             unknown=sum(1 for event in answers if event.outcome == Outcome.UNKNOWN),
