--- a/features/control/configuration.feature
+++ b/features/control/configuration.feature
@@ -66,7 +66,7 @@
     Then gateway g1 of the control fleet is registered under its new incarnation, still drained
 
   Scenario: A list read in pages misses nothing that changes between them
-    Given a control fleet of 3 replicas with gateways g1, whose lists have 3 resources a page
+    Given a control fleet of 3 replicas that lists 3 resources a page with gateways g1
     When 20 services are put in the control fleet
     And gateway g2 of the control fleet starts while services change, come and go
     Then gateway g2 of the control fleet has every lasting service once it may serve
--- a/features/steps/control_configuration_steps.py
+++ b/features/steps/control_configuration_steps.py
@@ -46,10 +46,10 @@
 
 
 @given(
-    "a control fleet of {count:d} replicas with gateways {names}, "
-    "whose lists have {page:d} resources a page"
+    "a control fleet of {count:d} replicas that lists {page:d} resources a page "
+    "with gateways {names}"
 )
-def step_paged_fleet(context, count, names, page):
+def step_paged_fleet(context, count, page, names):
     settings = ControlSettings(list_page_resources=page)
     start_fleet(context, names, replicas=count, settings=settings)
 
