--- a/features/steps/relayed_job_steps.py
+++ b/features/steps/relayed_job_steps.py
@@ -478,11 +478,6 @@
     assert len(_open_calls(context)) == count, len(_open_calls(context))
 
 
-@then("the new leader has started more than {count:d} items")
-def started_more(context, count):
-    assert len(_open_calls(context)) > count, len(_open_calls(context))
-
-
 @when("a gateway reports {count:d} online requests at the runner and {seconds:g} seconds pass")
 def report_use_and_wait(context, count, seconds):
     context.runs_before = len(context.fleet.calls())
--- a/features/steps/storage_crash_steps.py
+++ b/features/steps/storage_crash_steps.py
@@ -3,15 +3,14 @@
 from unittest import mock
 
 from behave import then, when
-from hypothesis import HealthCheck, Phase, settings
-from hypothesis.stateful import run_state_machine_as_test
-
-from support.storage import (
+from features.support.storage import (
     CrashMachine,
     EagerAnswerMachine,
     LyingFolderSyncMachine,
     LyingSyncMachine,
 )
+from hypothesis import HealthCheck, Phase, settings
+from hypothesis.stateful import run_state_machine_as_test
 
 STEPS_PER_SCHEDULE = 25
 SCHEDULES_TO_FIND_A_DEFECT = 100
--- a/features/steps/storage_damage_steps.py
+++ b/features/steps/storage_damage_steps.py
@@ -1,6 +1,7 @@
 """Steps on torn, damaged, full and failing disks."""
 
 from behave import then, when
+from features.support.storage import FIRST_SEGMENT, FOLDER, GROUP, make_entries
 
 from rainsail.errors import FaultCode, RainsailError
 from rainsail.storage.group_storage import open_group_storage
@@ -8,7 +9,6 @@
 from rainsail.storage.records import RecordKind, encode_record, scan
 from rainsail.storage.settings import StorageSettings
 from rainsail.wire.codec import encode_body
-from support.storage import FIRST_SEGMENT, FOLDER, GROUP, make_entries
 
 PART_OFFSETS = {"magic": 0, "checksum": 5, "length": 9, "payload": 30}
 OTHER_GROUP = 9
--- a/features/steps/storage_fuzz_steps.py
+++ b/features/steps/storage_fuzz_steps.py
@@ -3,13 +3,13 @@
 import random
 
 from behave import then, when
+from features.support.storage import FIRST_SEGMENT, GROUP, SCHEMAS, StorageRig
+from features.support.storage_bytes import altered, sound_files
 from hypothesis import HealthCheck, Phase, given, settings, strategies
 
 from rainsail.errors import FaultCode
 from rainsail.storage.identity import load_or_create_identity
 from rainsail.storage.records import RecordKind, encode_record, scan
-from support.storage import FIRST_SEGMENT, GROUP, SCHEMAS, StorageRig
-from support.storage_bytes import altered, sound_files
 
 SNAPSHOT = f"group-{GROUP}/{4:020d}.snapshot"
 PATHS = {"segment": FIRST_SEGMENT, "snapshot": SNAPSHOT, "identity": "identity"}
--- a/features/steps/storage_identity_steps.py
+++ b/features/steps/storage_identity_steps.py
@@ -3,13 +3,13 @@
 import random
 
 from behave import given, then, when
+from features.support.storage import SCHEMAS, StorageRig
 
 from rainsail.errors import FaultCode
 from rainsail.storage.identity import FormatRecord, load_or_create_identity
 from rainsail.storage.log_records import FORMAT_VERSION
 from rainsail.storage.records import RecordKind, encode_record
 from rainsail.wire.codec import encode_body
-from support.storage import SCHEMAS, StorageRig
 
 IDENTITY_DIGITS = 32
 
--- a/features/steps/storage_local_steps.py
+++ b/features/steps/storage_local_steps.py
@@ -10,6 +10,8 @@
 from unittest import mock
 
 from behave import given, then, when
+from features.support.local_storage import RealFolder
+from features.support.storage import GROUP, SCHEMAS, make_entries, snapshot_chunks
 
 from rainsail.cli.main import main
 from rainsail.errors import FaultCode
@@ -19,8 +21,6 @@
 from rainsail.storage.local_files import LocalFileSystem
 from rainsail.storage.settings import StorageSettings
 from rainsail.storage.snapshot_sum import whole_chunks
-from support.local_storage import RealFolder
-from support.storage import GROUP, SCHEMAS, make_entries, snapshot_chunks
 
 SEGMENT = f"group-{GROUP}/0000000001.log"
 REAL_FILES = {
--- a/features/steps/storage_log_steps.py
+++ b/features/steps/storage_log_steps.py
@@ -1,10 +1,10 @@
 """Steps on a group's log on a simulated disk."""
 
 from behave import given, then, when
+from features.support.storage import SYNC_LATENCY_S, StorageRig, make_entries
 
 from rainsail.storage.interface import HardState, LogEntry
 from rainsail.storage.settings import StorageSettings
-from support.storage import SYNC_LATENCY_S, StorageRig, make_entries
 
 
 @given("a group's storage on a simulated disk")
--- a/features/steps/storage_snapshot_steps.py
+++ b/features/steps/storage_snapshot_steps.py
@@ -1,12 +1,12 @@
 """Steps on snapshots of a group, saved, installed, interrupted and damaged."""
 
 from behave import given, then, when
+from features.support.storage import FOLDER, GROUP, SYNC_LATENCY_S, snapshot_chunks
 
 from rainsail.errors import FaultCode
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.records import RecordKind, record_bytes, scan
 from rainsail.storage.snapshot_sum import whole_chunks
-from support.storage import FOLDER, GROUP, SYNC_LATENCY_S, snapshot_chunks
 
 MEMBERS = b"members"
 MOMENTS_S = {
--- a/features/support/gateway.py
+++ b/features/support/gateway.py
@@ -212,7 +212,7 @@
         fleet = RunnerFleet(name, zone, config, engine, clock, random, settings)
         control = self.control
         core = GatewayCore(name, "1", zone, config, control, engine, fleet, clock, random, settings)
-        keeper = RunnerKeeper(name, fleet, config, control, engine, clock, random, settings)
+        keeper = RunnerKeeper(fleet, config, control, engine, clock, random, settings)
         fleet.start()
         core.start()
         keeper.start()
--- a/features/support/storage_bytes.py
+++ b/features/support/storage_bytes.py
@@ -2,10 +2,10 @@
 
 from functools import cache
 
+from features.support.storage import FIRST_SEGMENT, FOLDER, StorageRig, snapshot_chunks
 from hypothesis import strategies
 
 from rainsail.storage.interface import HardState, SnapshotMeta
-from support.storage import FIRST_SEGMENT, FOLDER, StorageRig, snapshot_chunks
 
 SNAPSHOT_INDEX = 4
 
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -80,7 +80,6 @@
             config.gateway,
         )
         self.keeper = RunnerKeeper(
-            config.name,
             self.fleet,
             self.view,
             self.client,
--- a/src/rainsail/demo/course.py
+++ b/src/rainsail/demo/course.py
@@ -98,7 +98,6 @@
         self._batch = BatchApi(self._seams)
         self._open: list[Deferred[Any]] = []
         self._traffic_on = False
-        self._settled = False
 
     # --- a role of the process ------------------------------------------------------------
 
--- a/src/rainsail/gateway/runner_keeper.py
+++ b/src/rainsail/gateway/runner_keeper.py
@@ -83,7 +83,6 @@
 
     def __init__(
         self,
-        gateway: str,
         fleet: RunnerFleet,
         config: ConfigReader,
         control: ControlClient,
@@ -92,7 +91,6 @@
         random: Random,
         settings: GatewaySettings,
     ) -> None:
-        self._gateway = gateway
         self._fleet = fleet
         self._config = config
         self._control = control
--- a/src/rainsail/node_metrics.py
+++ b/src/rainsail/node_metrics.py
@@ -53,10 +53,6 @@
         """Have a value read whenever the figures are asked for."""
         self._gauges[name] = read
 
-    def value(self, name: str, **labels: str) -> float:
-        """Return a counter's value."""
-        return self._counters.get(name, {}).get(tuple(sorted(labels.items())), 0.0)
-
     def exposition(self) -> bytes:
         """Return every figure in the text format."""
         from prometheus_client import CollectorRegistry, ProcessCollector
--- a/src/rainsail/storage/interface.py
+++ b/src/rainsail/storage/interface.py
@@ -115,11 +115,6 @@
     hard_state: HardState
     snapshot_meta: SnapshotMeta | None
 
-    @property
-    def first_index(self) -> int:
-        """The index of the first entry that is kept."""
-        ...
-
     @property
     def last_index(self) -> int:
         """The index of the last entry, queued ones too."""
@@ -145,10 +140,6 @@
         """Return entries ``first..last`` inclusive, at least one, up to ``max_bytes``."""
         ...
 
-    def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, of the snapshot's last entry, or None."""
-        ...
-
     def save_snapshot(
         self, meta: SnapshotMeta, chunks: Iterator[bytes]
     ) -> "Deferred[Result[None, Fault]]":
--- a/src/rainsail/storage/segment_log.py
+++ b/src/rainsail/storage/segment_log.py
@@ -75,11 +75,6 @@
         """The sequence number of the segment that is written to (0 when there is none)."""
         return self._segments[-1].sequence if self._segments else 0
 
-    @property
-    def segments(self) -> int:
-        """How many segment files there are."""
-        return len(self._segments)
-
     async def write(
         self,
         batch: list[PendingRecord],
