--- a/features/support/demo.py
+++ b/features/support/demo.py
@@ -4,13 +4,12 @@
 import os
 import signal
 import subprocess
-import sys
 import time
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
 
-from features.support.command_line import ROOT
+from features.support.command_line import PROGRAM, ROOT
 
 from rainsail.demo.journal import JOURNAL_NAME, AcceptedJournal, NotedItem, NotedJob
 from rainsail.errors import Outcome
@@ -25,10 +24,10 @@
     RequestSent,
     ResultRead,
     RunEnded,
+    history_in_order,
 )
 from rainsail.resources.specs import RequestClass
 
-PROGRAM = "from rainsail.cli.main import main; main()"
 LIMIT_S = 90.0
 POLL_S = 0.02
 LATE = "reports-2"
@@ -39,7 +38,7 @@
 
     def __init__(self, folder: Path, seconds: float) -> None:
         self.journal = folder / JOURNAL_NAME
-        command = [sys.executable, "-c", PROGRAM, "demo", f"--data={folder}"]
+        command = [*PROGRAM, "demo", f"--data={folder}"]
         self._process = subprocess.Popen(
             [*command, f"--seconds={seconds}"],
             cwd=ROOT,
@@ -94,10 +93,7 @@
 
     def history(self) -> History:
         """Return the events as a history in time order."""
-        history = History()
-        for event in sorted(self.events, key=lambda each: each.time_s):
-            history.record(event)
-        return history
+        return history_in_order(self.events)
 
     def spoil(self, breach: str) -> None:
         """Bring about a breach by its words in the feature."""
--- a/src/rainsail/experiment/history.py
+++ b/src/rainsail/experiment/history.py
@@ -6,8 +6,8 @@
 """
 
 import hashlib
+from collections.abc import Iterable
 from dataclasses import dataclass
-from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
@@ -297,13 +297,6 @@
     event: Event
 
 
-class HistoryKind(StrEnum):
-    """Where a history comes from."""
-
-    SIMULATED = "simulated"
-    REAL = "real"
-
-
 class History:
     """Events in the order in which they were recorded, with a running hash."""
 
@@ -325,6 +318,14 @@
         return [event for event in self.events if type(event) is event_type]
 
 
+def history_in_order(events: Iterable[Event]) -> History:
+    """Return a history of events in the order of their times; equal times keep their order."""
+    history = History()
+    for event in sorted(events, key=lambda each: each.time_s):
+        history.record(event)
+    return history
+
+
 def write_history(path: Path, history: History) -> None:
     """Write a history as an Avro container file."""
     write_container(path, HistoryRecord, (HistoryRecord(event) for event in history.events))
