--- a/features/steps/rig_job_reads_steps.py
+++ b/features/steps/rig_job_reads_steps.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from rig.callers import Users
 from rig.http import Reply
 from rig.jobs import JobTraffic
+from rig.traffic import Users
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -1,21 +1,19 @@
 """Callers: send requests to gateways, put answers together, send again after a lost answer."""
 
 import json
-import random
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from rainsail.emulator.answers import expected_answer
 from rainsail.errors import Outcome
-from rainsail.experiment.history import History, RequestAnswered, RequestSent
+from rainsail.experiment.history import RequestAnswered, RequestSent
 from rainsail.resources.specs import RequestClass
 from rainsail.runtime.clock import Clock, sleep
 from rainsail.simulation.actors.callers import CallerMix
-from rig.http import AnswerLost, HttpUser, Reply
-from rig.layout import CALLER_PORT, ProcessPlan, SiteLayout
+from rig.http import AnswerLost, Reply
+from rig.layout import CALLER_PORT
+from rig.traffic import Traffic, Users
 
 ANSWER_TIMEOUT_S = 30.0
 RESEND_DELAY_S = 0.5
@@ -27,21 +25,6 @@
 DONE = b"[DONE]"
 
 
-@dataclass(frozen=True, slots=True)
-class Users:
-    """What every user of the site needs."""
-
-    layout: SiteLayout
-    http: HttpUser
-    clock: Clock
-    history: History
-    draw: random.Random
-
-    def gateway(self, turn: int) -> ProcessPlan:
-        """Return a gateway by turn."""
-        return self.layout.gateways[turn % len(self.layout.gateways)]
-
-
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
     """A request as its caller plans it."""
@@ -208,7 +191,7 @@
         )
 
 
-class CallerTraffic:
+class CallerTraffic(Traffic):
     """Starts callers at random times until it is stopped."""
 
     def __init__(
@@ -217,11 +200,8 @@
         mixes: tuple[CallerMix, ...],
         failed: Callable[[Any], None],
     ) -> None:
-        self._users = users
+        super().__init__(users, failed)
         self._mixes = mixes
-        self._failed = failed
-        self._stopped = False
-        self._open = 0
         self.started = 0
         self.completed = 0
 
@@ -230,29 +210,11 @@
         for mix in self._mixes:
             self._run(self._follow(mix))
 
-    def stop(self) -> None:
-        """Start no further callers."""
-        self._stopped = True
-
-    def settled(self) -> bool:
-        """Tell whether every caller has its last answer."""
-        return self._open == 0
-
-    def _run(self, work: Any) -> None:
-        Deferred.fromCoroutine(work).addErrback(self._failed)
-
     async def _follow(self, mix: CallerMix) -> None:
         while not self._stopped:
             await sleep(self._users.clock, self._users.draw.expovariate(1 / mix.mean_gap_s))
             if not self._stopped:
-                self._run(self._call(self.plan(mix)))
-
-    async def _call(self, planned: PlannedRequest) -> None:
-        self._open += 1
-        try:
-            await self.call(planned)
-        finally:
-            self._open -= 1
+                self._run_counted(self.call(self.plan(mix)))
 
     async def call(self, planned: PlannedRequest, gateway: int | None = None) -> Outcome:
         """Take one request to its end, from a gateway that is drawn or given."""
--- a/rig/daemon.py
+++ b/rig/daemon.py
@@ -21,11 +21,19 @@
 PR_SET_PDEATHSIG = 1
 
 _libc = ctypes.CDLL(None)
+_starter_process_id = os.getpid()
+"""The process that loaded this module; a child that it forks finds it here as its parent."""
 
 
 def die_with_parent() -> None:
-    """Let the kernel end this process when the rig is gone, however it went."""
+    """Let the kernel end this process when the rig is gone, however it went.
+
+    Runs in the child. A rig that was killed before the child had asked for this sends no signal
+    any more; the child then has another parent, so it ends itself.
+    """
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+    if os.getppid() != _starter_process_id:
+        os.kill(os.getpid(), signal.SIGKILL)
 
 
 class Daemon:
--- a/rig/jobs.py
+++ b/rig/jobs.py
@@ -5,8 +5,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from rainsail.emulator.answers import expected_answer
 from rainsail.experiment.history import (
     JobAccepted,
@@ -22,9 +20,10 @@
     JobMix,
 )
 from rainsail.state.commands import ItemBody
-from rig.callers import KEY_HEADER, Users
+from rig.callers import KEY_HEADER
 from rig.http import AnswerLost, Reply
 from rig.layout import CALLER_PORT
+from rig.traffic import Traffic, Users
 
 CALL_TIMEOUT_S = 20.0
 RESEND_DELAY_S = 0.5
@@ -166,24 +165,18 @@
         self._users.history.record(ResultRead(now_s, self.job_id, index, phase, text, expected))
 
 
-class JobTraffic:
+class JobTraffic(Traffic):
     """Submits heaps of jobs until it is stopped."""
 
     def __init__(self, users: Users, mix: JobMix, failed: Callable[[Any], None]) -> None:
-        self._users = users
+        super().__init__(users, failed)
         self._mix = mix
-        self._failed = failed
-        self._stopped = False
         self.clients: list[JobClient] = []
 
     def start(self) -> None:
         """Submit a heap now and one every period."""
         self._run(self._follow())
 
-    def stop(self) -> None:
-        """Submit no further jobs."""
-        self._stopped = True
-
     def settled(self) -> bool:
         """Tell whether every job is finished and its results are read."""
         return all(client.settled for client in self.clients)
@@ -193,9 +186,6 @@
         for client in self.clients:
             self._run(client.read_again())
 
-    def _run(self, work: Any) -> None:
-        Deferred.fromCoroutine(work).addErrback(self._failed)
-
     async def _follow(self) -> None:
         while not self._stopped:
             for _ in range(self._mix.jobs_per_heap):
--- a/rig/operators.py
+++ b/rig/operators.py
@@ -4,8 +4,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from rainsail.experiment.history import (
     ChangeAnswered,
     ChangeSent,
@@ -15,9 +13,9 @@
 from rainsail.resources.specs import Kind
 from rainsail.runtime.clock import sleep
 from rainsail.state.commands import ANY_REVISION, MUST_NOT_EXIST
-from rig.callers import Users
 from rig.http import AnswerLost, Reply
 from rig.layout import OPERATOR_PORT, ProcessPlan
+from rig.traffic import Traffic, Users
 
 CALL_TIMEOUT_S = 25.0
 RESEND_DELAY_S = 0.3
@@ -103,23 +101,20 @@
         return revision if accepted else REFUSED
 
 
-class OperatorTraffic:
+class OperatorTraffic(Traffic):
     """Two operators race over the tenants; readers ask every replica what holds."""
 
     def __init__(self, users: Users, failed: Callable[[Any], None]) -> None:
-        self._users = users
-        self._failed = failed
+        super().__init__(users, failed)
         self.first = Operator(users, "operator-1")
         self._second = Operator(users, "operator-2")
         self._watcher = Operator(users, "operator-watch")
-        self._stopped = False
         self._ended = False
         self._value = 0
         self._open_reads = 0
-        self._open_changes = 0
 
     def start(self) -> None:
-        """Start racing."""
+        """Start racing; a stop ends this, and not the watching."""
         self._run(self._race())
 
     def watch(self) -> None:
@@ -127,21 +122,10 @@
         self._run(self._watch())
         self._run(self._read_everywhere())
 
-    def stop(self) -> None:
-        """Make no further changes (watching goes on)."""
-        self._stopped = True
-
     def end(self) -> None:
         """Stop watching too."""
         self._ended = True
 
-    def settled(self) -> bool:
-        """Tell whether every change is answered."""
-        return self._open_changes == 0
-
-    def _run(self, work: Any) -> None:
-        Deferred.fromCoroutine(work).addErrback(self._failed)
-
     async def _watch(self) -> None:
         """Read what is in force, one read after the other."""
         while not self._ended:
@@ -178,16 +162,12 @@
         while not self._stopped:
             body = await self.first.read("/v1/resources/Tenant")
             resource = self._users.draw.choice(body["resources"])
-            self._run(self._change(self.first, resource))
+            self._run_counted(self._change(self.first, resource))
             if self._users.draw.random() < 0.5:
-                self._run(self._change(self._second, resource))
+                self._run_counted(self._change(self._second, resource))
             await sleep(self._users.clock, self._users.draw.expovariate(1 / RACE_PERIOD_S))
 
     async def _change(self, operator: Operator, resource: Any) -> None:
         self._value += 1
         spec = {**resource["spec"], "weight": 1.0 + self._value / 1000}
-        self._open_changes += 1
-        try:
-            await operator.put(Kind.TENANT, resource["name"], spec, resource["revision"])
-        finally:
-            self._open_changes -= 1
+        await operator.put(Kind.TENANT, resource["name"], spec, resource["revision"])
--- a/rig/rotation.py
+++ b/rig/rotation.py
@@ -9,17 +9,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from rainsail.experiment.history import GatewayAdmitted, GatewayApplied
 from rainsail.resources.specs import Kind
 from rainsail.runtime.clock import sleep
 from rainsail.state.commands import ANY_REVISION, MUST_NOT_EXIST
 from rainsail.wire.keys import api_key_hash
-from rig.callers import Users
 from rig.http import AnswerLost
 from rig.layout import CALLER_PORT, ProcessPlan
 from rig.operators import Operator
+from rig.traffic import Traffic, Users
 
 TENANT = "rotating"
 TOKENS_PER_S = 10_000.0
@@ -39,43 +37,25 @@
     revision: int
 
 
-class KeyRotation:
+class KeyRotation(Traffic):
     """Exchanges the key, and asks every gateway for work under the newest and older keys."""
 
     def __init__(
         self, users: Users, operator: Operator, model: str, failed: Callable[[Any], None]
     ) -> None:
-        self._users = users
+        super().__init__(users, failed)
         self._operator = operator
         self._model = model
-        self._failed = failed
         self._keys: list[RotatedKey] = []
         self._known: dict[str, int] = {}
-        self._stopped = False
-        self._open = 0
         self.probes = 0
         self.taken = 0
 
     def start(self) -> None:
         """Start exchanging keys and probing."""
-        self._run(self._rotate())
+        self._run_counted(self._rotate())
         for gateway in self._users.layout.gateways:
-            self._run(self._probe_on(gateway))
-
-    def stop(self) -> None:
-        """Exchange and probe no more."""
-        self._stopped = True
-
-    def settled(self) -> bool:
-        """Tell whether every change and probe has its answer."""
-        return self._open == 0
-
-    def _run(self, work: Any) -> None:
-        self._open += 1
-        Deferred.fromCoroutine(work).addErrback(self._failed).addBoth(self._over)
-
-    def _over(self, _: Any) -> None:
-        self._open -= 1
+            self._run_counted(self._probe_on(gateway))
 
     async def _rotate(self) -> None:
         expected = MUST_NOT_EXIST
@@ -100,7 +80,7 @@
             await sleep(self._users.clock, PROBE_PERIOD_S)
             if self._keys and self._open < MOST_OPEN:
                 back = min(turn % (OLD_KEYS_PROBED + 1), len(self._keys) - 1)
-                self._run(self._probe(gateway, len(self._keys) - 1 - back))
+                self._run_counted(self._probe(gateway, len(self._keys) - 1 - back))
                 turn += 1
 
     async def _probe(self, gateway: ProcessPlan, number: int) -> None:
--- a/rig/run.py
+++ b/rig/run.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass, replace
 from functools import partial
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Any
 
 from twisted.internet.defer import Deferred, FirstError, gatherResults
 
@@ -31,7 +31,7 @@
 from rainsail.resources.specs import RequestClass
 from rainsail.runtime.clock import MonotonicClock, sleep
 from rainsail.simulation.site_plan import SITES
-from rig.callers import CallerTraffic, Users
+from rig.callers import CallerTraffic
 from rig.fleet import NotReached, RigFleet
 from rig.http import HttpUser
 from rig.injector import Injector
@@ -41,27 +41,12 @@
 from rig.plan import Lane, RunPlan, lanes
 from rig.rotation import KeyRotation
 from rig.sessions import SessionTraffic
+from rig.traffic import Traffic, Users
 
 COLD_START = "cold_start"
 """The start of every process counts as a failure: a new leader waits out earlier leases."""
 
 
-class Traffic(Protocol):
-    """One kind of the site's users."""
-
-    def start(self) -> None:
-        """Begin."""
-        ...
-
-    def stop(self) -> None:
-        """Begin nothing further."""
-        ...
-
-    def settled(self) -> bool:
-        """Tell whether everything begun has its end."""
-        ...
-
-
 @dataclass(frozen=True, slots=True)
 class RigResult:
     """What a run came to; the last line of the command."""
--- a/rig/sessions.py
+++ b/rig/sessions.py
@@ -3,14 +3,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from rainsail.emulator.answers import expected_answer
 from rainsail.errors import Outcome
 from rainsail.resources.specs import Kind, RequestClass
 from rainsail.runtime.clock import sleep
-from rig.callers import Caller, PlannedRequest, Users
+from rig.callers import Caller, PlannedRequest
 from rig.operators import Operator
+from rig.traffic import Traffic, Users
 
 TURN_PERIOD_S = 1.5
 TURN_TOKENS = 24
@@ -18,7 +17,7 @@
 DECLARED_PAUSE_S = 0.5
 
 
-class SessionTraffic:
+class SessionTraffic(Traffic):
     """Keeps a few sessions talking; one whose turn has no known end is left for a new one."""
 
     def __init__(
@@ -29,35 +28,22 @@
         count: int,
         failed: Callable[[Any], None],
     ) -> None:
-        self._users = users
+        super().__init__(users, failed)
         self._operator = operator
         self._model = model
         self._count = count
-        self._failed = failed
-        self._stopped = False
         self._sessions = 0
-        self._open = 0
         self.turns_completed = 0
 
     def start(self) -> None:
         """Start every session."""
         for _ in range(self._count):
-            self._open += 1
-            Deferred.fromCoroutine(self._follow()).addErrback(self._failed)
-
-    def stop(self) -> None:
-        """Take no further turns."""
-        self._stopped = True
-
-    def settled(self) -> bool:
-        """Tell whether every turn has its answer."""
-        return self._open == 0
+            self._run_counted(self._follow())
 
     async def _follow(self) -> None:
         while not self._stopped:
             self._sessions += 1
             await self._run_session(f"talk-{self._sessions}")
-        self._open -= 1
 
     async def _run_session(self, session: str) -> None:
         tenant = self._users.draw.choice(self._users.layout.tenants)
