--- a/features/steps/fuzz_caller_steps.py
+++ b/features/steps/fuzz_caller_steps.py
@@ -14,7 +14,7 @@
 from rainsail.engine.protocol import chunk_frame, decode_frame, end_frame
 from rainsail.engine.sse import SseError, SseParser
 from rainsail.errors import FaultCode, Outcome
-from rainsail.experiment.replay.answer_stream import AnswerStream, StreamEnd, fault_of
+from rainsail.experiment.answer_stream import AnswerStream, StreamEnd, fault_of
 from rainsail.gateway.openai.headers import MAX_DEADLINE_S
 
 COMPLETION = {
--- a/src/rainsail/demo/callers.py
+++ b/src/rainsail/demo/callers.py
@@ -1,19 +1,18 @@
 """Online callers: send over HTTP, put answers together, note what they saw."""
 
-import json
 from collections.abc import Generator
 from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from rainsail.demo.http_calls import Call, HttpCaller, fault_from_json
 from rainsail.demo.traffic_plan import SESSION_THINK_S, SESSION_TURNS, PlannedRequest, TrafficPlan
 from rainsail.emulator.answers import expected_answer
-from rainsail.errors import Fault, Outcome
+from rainsail.errors import Outcome
+from rainsail.experiment.answer_stream import StreamEnd
 from rainsail.experiment.history import History, RequestAnswered, RequestSent
+from rainsail.experiment.http_calls import HttpCaller
 from rainsail.gateway.openai.headers import (
     CLASS_HEADER,
     IDEMPOTENCY_HEADER,
@@ -22,9 +21,11 @@
 from rainsail.runtime.clock import Clock, sleep
 
 ANSWER_TIMEOUT_S = 30.0
+"""Not measured; chosen to be above the longest drawn answer."""
+CALL_TIMEOUT_S = 15.0
+"""Not measured; chosen to be above a change of leader and below the limit of settling."""
 MOST_SENDS = 6
 RESEND_DELAY_S = 0.5
-NO_PART_S = -1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,15 +40,6 @@
     tenant_keys: dict[str, str]
 
 
-@dataclass(frozen=True, slots=True)
-class SendEnd:
-    """How one send ended, as its caller saw it."""
-
-    result: Result[None, Fault]
-    text: str
-    first_part_s: float
-
-
 class OnlineCaller:
     """One request through all its sends; a refused one is sent again when told to."""
 
@@ -63,49 +55,49 @@
         """Send until answered or given up; fires with whether the answer was whole."""
         for number in range(1, MOST_SENDS + 1):
             end = yield Deferred.fromCoroutine(self._send(number))
-            if end.result.is_ok():
+            fault = end.fault
+            if fault is None:
                 return True
-            fault = end.result.error
             if fault.outcome != Outcome.NOT_RUN:
                 return False
             yield sleep(self._seams.clock, fault.retry_after_s or RESEND_DELAY_S)
         return False
 
-    async def _send(self, number: int) -> SendEnd:
+    async def _send(self, number: int) -> StreamEnd:
         names = list(self._seams.caller_apis)
         gateway = names[(self._home + number - 1) % len(names)]
         send_id = f"{self._request.request_id}#{number}"
         self._note_sent(send_id, gateway)
-        call = self._call(self._seams.caller_apis[gateway])
-        end = await (self._stream(call) if self._request.streamed else self._whole(call))
+        url = self._seams.caller_apis[gateway] + self._request.path
+        end = await (self._stream(url) if self._request.streamed else self._whole(url))
         self._note_answered(send_id, end)
         return end
 
-    def _call(self, base: str) -> Call:
-        request = self._request
-        headers = [
-            (CLASS_HEADER, request.class_.value),
-            (IDEMPOTENCY_HEADER, request.request_id),
-        ]
-        if request.session:
-            headers.append((SESSION_HEADER, request.session))
-        key = self._seams.tenant_keys[request.tenant]
-        body = json.dumps(request.body()).encode()
-        return Call("POST", base + request.path, key, body, headers=tuple(headers))
-
-    async def _whole(self, call: Call) -> SendEnd:
-        reply = await self._seams.http.call(call, ANSWER_TIMEOUT_S)
+    def _headers(self) -> dict[str, str]:
+        return {
+            CLASS_HEADER: self._request.class_.value,
+            IDEMPOTENCY_HEADER: self._request.request_id,
+            SESSION_HEADER: self._request.session,
+        }
+
+    async def _whole(self, url: str) -> StreamEnd:
+        key = self._seams.tenant_keys[self._request.tenant]
+        reply = await self._seams.http.call(
+            "POST", url, key, ANSWER_TIMEOUT_S, self._headers(), json=self._request.body()
+        )
         if reply.is_error():
-            return SendEnd(Error(reply.error), "", NO_PART_S)
-        choice = reply.ok.json()["choices"][0]
-        return SendEnd(Ok(None), choice["text"], self._seams.clock.seconds())
-
-    async def _stream(self, call: Call) -> SendEnd:
-        parts = _Parts(self._seams.clock)
-        ended = await self._seams.http.stream(call, parts.take, ANSWER_TIMEOUT_S)
-        if parts.fault is not None:
-            ended = Error(parts.fault)
-        return SendEnd(ended, "".join(parts.texts), parts.first_part_s)
+            return StreamEnd(fault=reply.error)
+        return StreamEnd(reply.ok["choices"][0]["text"], self._seams.clock.seconds())
+
+    async def _stream(self, url: str) -> StreamEnd:
+        return await self._seams.http.stream(
+            url,
+            self._seams.tenant_keys[self._request.tenant],
+            ANSWER_TIMEOUT_S,
+            self._headers(),
+            self._request.body(),
+            self._seams.clock.seconds,
+        )
 
     def _note_sent(self, send_id: str, gateway: str) -> None:
         request = self._request
@@ -121,8 +113,8 @@
             )
         )
 
-    def _note_answered(self, send_id: str, end: SendEnd) -> None:
-        fault = end.result.error if end.result.is_error() else None
+    def _note_answered(self, send_id: str, end: StreamEnd) -> None:
+        fault = end.fault
         self._seams.history.record(
             RequestAnswered(
                 self._seams.clock.seconds(),
@@ -137,31 +129,6 @@
         )
 
 
-class _Parts:
-    """Collects the events of a streamed answer."""
-
-    def __init__(self, clock: Clock) -> None:
-        self._clock = clock
-        self.texts: list[str] = []
-        self.first_part_s = NO_PART_S
-        self.fault: Fault | None = None
-
-    def take(self, event: Any) -> None:
-        """Take one event."""
-        if "error" in event:
-            self.fault = fault_from_json(event["error"])
-            return
-        for choice in event["choices"]:
-            text = choice.get("text") or choice.get("delta", {}).get("content") or ""
-            if text:
-                self._add(text)
-
-    def _add(self, text: str) -> None:
-        if self.first_part_s == NO_PART_S:
-            self.first_part_s = self._clock.seconds()
-        self.texts.append(text)
-
-
 class SessionCaller:
     """One long-lived session: turns one after the other, with pauses for thought."""
 
--- a/src/rainsail/demo/course.py
+++ b/src/rainsail/demo/course.py
@@ -10,9 +10,8 @@
 
 from rainsail.assembly.embedded import EmbeddedFleet
 from rainsail.assembly.process import Process
-from rainsail.demo.batch_clients import BatchApi, JobClient
+from rainsail.demo.batch_clients import DemoJobClient, GatewaysInTurn
 from rainsail.demo.callers import CallerSeams, OnlineCaller, SessionCaller
-from rainsail.demo.http_calls import HttpCaller
 from rainsail.demo.journal import AcceptedJournal
 from rainsail.demo.operator import Operator
 from rainsail.demo.outcome import DemoOutcome, judge
@@ -39,6 +38,7 @@
 from rainsail.errors import Fault
 from rainsail.experiment.engine_events import with_executions
 from rainsail.experiment.history import DrainDeclared, FaultsEnded, History, RunEnded
+from rainsail.experiment.http_calls import HttpCaller
 from rainsail.runtime.clock import MonotonicClock, sleep
 
 DRAINED_RUNNER = f"{REPORTS}-2"
@@ -79,7 +79,7 @@
         self.clock = MonotonicClock(reactor)
         self.fleet = fleet
         self.journal = journal
-        self.clients: list[JobClient] = []
+        self.clients: list[DemoJobClient] = []
         self.phase = STARTING
         self.stopped_replica = ""
         self.replica_down = False
@@ -95,7 +95,7 @@
         self._site = site
         self._plan = TrafficPlan(journal.run, draw)
         self._operator = Operator(site, self._seams)
-        self._batch = BatchApi(self._seams)
+        self._gateways = GatewaysInTurn(self._seams)
         self._open: list[Deferred[Any]] = []
         self._traffic_on = False
 
@@ -197,14 +197,14 @@
         if not self._traffic_on:
             return
         for planned in self._plan.heap():
-            client = JobClient(self._seams, self._batch)
+            client = DemoJobClient(self._seams, self._gateways)
             self.clients.append(client)
             self._watch(client.run(planned, self.journal))
         self.clock.callLater(HEAP_PERIOD_S, self._heap)
 
     def _follow_earlier_jobs(self) -> None:
         for noted in self.journal.earlier_jobs:
-            client = JobClient(self._seams, self._batch)
+            client = DemoJobClient(self._seams, self._gateways)
             client.count(noted)
             self.clients.append(client)
             self._watch(client.follow())
--- a/src/rainsail/demo/operator.py
+++ b/src/rainsail/demo/operator.py
@@ -1,14 +1,12 @@
 """The operator of the demonstration: declares resources over the HTTP operator API."""
 
-import json
 from collections.abc import Generator
 from typing import Any
 
 from expression import Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from rainsail.demo.callers import CallerSeams
-from rainsail.demo.http_calls import Call, Reply
+from rainsail.demo.callers import CALL_TIMEOUT_S, CallerSeams
 from rainsail.demo.site import POSITIONS, REPORTS, DeclaredResource, DemoSite
 from rainsail.demo.traffic_plan import COMPLETION_PATH
 from rainsail.errors import Fault
@@ -61,11 +59,12 @@
     def _wait_for_answer(self, base: str, service: str) -> Generator[Deferred[Any], Any, None]:
         """Ask for one token until it comes: a status of an earlier start may still say ready."""
         key = list(self._site.tenant_keys.values())[-1]
-        body = json.dumps({"model": service, "prompt": "ready?", "max_tokens": 1}).encode()
-        headers = ((CLASS_HEADER, RequestClass.ONLINE.value),)
-        call = Call("POST", f"{base}{COMPLETION_PATH}", key, body, headers=headers)
+        url = f"{base}{COMPLETION_PATH}"
+        body = {"model": service, "prompt": "ready?", "max_tokens": 1}
+        headers = {CLASS_HEADER: RequestClass.ONLINE.value}
         while True:
-            answer = yield Deferred.fromCoroutine(self._seams.http.call(call))
+            asked = self._seams.http.call("POST", url, key, CALL_TIMEOUT_S, headers, json=body)
+            answer = yield Deferred.fromCoroutine(asked)
             if answer.is_ok():
                 return
             yield sleep(self._seams.clock, READY_POLL_S)
@@ -95,15 +94,16 @@
         while True:
             result = yield Deferred.fromCoroutine(self._call(method, path, body))
             if result.is_ok():
-                return result.ok.json()
+                return result.ok
             self._next += 1
             yield sleep(self._seams.clock, result.error.retry_after_s or RETRY_DELAY_S)
 
-    async def _call(self, method: str, path: str, body: Any) -> Result[Reply, Fault]:
+    async def _call(self, method: str, path: str, body: Any) -> Result[Any, Fault]:
         bases = self._site.operator_apis
-        data = b"" if body is None else json.dumps(body).encode()
         url = bases[self._next % len(bases)] + path
-        return await self._seams.http.call(Call(method, url, self._site.operator_key, data))
+        key = self._site.operator_key
+        sent = {} if body is None else {"json": body}
+        return await self._seams.http.call(method, url, key, CALL_TIMEOUT_S, **sent)
 
 
 def _not_ready(listed: Any) -> str:
--- a/src/rainsail/experiment/replay/answer_stream.py
+++ b/src/rainsail/experiment/answer_stream.py
@@ -1,15 +1,16 @@
-"""A streamed answer of the caller API, put together from its events."""
+"""Answers of the caller API as their callers read them: streams put together, and faults."""
 
 import json
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from typing import Any
 
 from pydantic import TypeAdapter
 
 from rainsail.engine.sse import SseParser
 from rainsail.errors import Fault, FaultCode, Outcome
 
-STEP = "replay.http"
+STEP = "caller.http"
 MAX_ANSWER_CHARACTERS = 16 * 1024 * 1024
 LONGEST_PAUSE_S = 3600.0
 
@@ -25,6 +26,12 @@
     fault: Fault | None = None
     lost: bool = False
 
+    def lose(self, fault: Fault) -> None:
+        """Note that no end came; a fault that the server stated before goes first."""
+        if self.fault is None:
+            self.fault = fault
+            self.lost = fault.outcome != Outcome.NOT_RUN
+
 
 class AnswerStream:
     """Puts a stream's parts together and notes its end."""
@@ -45,14 +52,19 @@
                 continue
             self._take_frame(event)
 
+    def finish(self) -> None:
+        """Take the end of the bytes; raises ``ValueError`` when the answer's end is missing."""
+        if not self.done and self._end.fault is None:
+            raise ValueError("the stream broke off before its end")
+
     def _take_frame(self, event: bytes) -> None:
         try:
             frame = json.loads(event)
             if "error" in frame:
                 self._end.fault = fault_of(500, event)
                 return
-            texts = [choice["text"] for choice in frame["choices"]]
-        except (KeyError, TypeError, RecursionError) as error:
+            texts = [_text_of(choice) for choice in frame["choices"]]
+        except (AttributeError, KeyError, TypeError, RecursionError) as error:
             raise ValueError(f"no frame of an answer: {error!r}") from error
         for text in texts:
             self._take(text)
@@ -70,11 +82,20 @@
         self.texts.append(text)
 
 
+def _text_of(choice: Any) -> Any:
+    """Return the text of a choice of a completion or of a chat, whose first part has none."""
+    return choice["delta"].get("content", "") if "delta" in choice else choice["text"]
+
+
 def fault_of(status: int, content: bytes) -> Fault:
-    """Return the typed fault of an error answer; one without is of unknown outcome."""
+    """Return the typed fault of an error answer; one without is of unknown outcome.
+
+    The operator API's error object is the fault itself, the caller API's holds it.
+    """
     try:
-        fault = _FAULT.validate_python(json.loads(content)["error"]["rainsail"], strict=False)
-    except (ValueError, KeyError, TypeError, RecursionError):
+        error = json.loads(content)["error"]
+        fault = _FAULT.validate_python(error.get("rainsail", error), strict=False)
+    except (AttributeError, ValueError, KeyError, TypeError, RecursionError):
         detail = f"HTTP status {status}: {content[:200]!r}"
         return Fault(FaultCode.INTERNAL, STEP, detail, outcome=Outcome.UNKNOWN)
     return replace(fault, step=fault.step or STEP, retry_after_s=_pause_s(fault.retry_after_s))
--- a/src/rainsail/experiment/replay/live.py
+++ b/src/rainsail/experiment/replay/live.py
@@ -16,6 +16,8 @@
 
 from rainsail.emulator.answers import expected_answer
 from rainsail.errors import Fault, FaultCode, Outcome
+from rainsail.experiment.answer_stream import StreamEnd
+from rainsail.experiment.caller_client import BatchView, CallerClient
 from rainsail.experiment.history import (
     History,
     JobAccepted,
@@ -26,8 +28,7 @@
     ResultRead,
     RunEnded,
 )
-from rainsail.experiment.replay.answer_stream import StreamEnd
-from rainsail.experiment.replay.caller_client import BatchView, CallerClient
+from rainsail.experiment.http_calls import HttpCaller
 from rainsail.experiment.replay.judge import judge_all
 from rainsail.experiment.replay.observations import observe
 from rainsail.experiment.replay.outcomes import OutcomesFile
@@ -82,7 +83,8 @@
         self._target = target
         self._arrived = arrived
         self._started_s = reactor.seconds()
-        self._client = CallerClient(reactor, target.url, target.tenant_keys, self._now_s)
+        self._http = HttpCaller(reactor)
+        self._client = CallerClient(self._http, target.url, target.tenant_keys, self._now_s)
 
     async def run(self) -> Result[History, Fault]:
         """Send everything at its time; return the history once all is answered or given up."""
@@ -94,7 +96,7 @@
         work += [self._at(each.at_s, self._job, each) for each in self._trace.jobs]
         done: Deferred[Any] = DeferredList(work, fireOnOneErrback=True, consumeErrors=True)
         await done
-        await self._client.close()
+        await self._http.close()
         self.history.record(RunEnded(self._now_s(), True))
         return Ok(self.history)
 
