--- a/features/steps/rig_job_reads_steps.py
+++ b/features/steps/rig_job_reads_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 from rig.http import Reply
-from rig.jobs import JobTraffic
+from rig.jobs import RigJobTraffic
 from rig.traffic import Users
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
@@ -104,7 +104,7 @@
         deadline_s=3600.0,
     )
     context.rig_failures = []
-    context.rig_jobs = JobTraffic(users, mix, context.rig_failures.append)
+    context.rig_jobs = RigJobTraffic(users, mix, context.rig_failures.append)
     context.rig_jobs.start()
 
 
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedRequest:
+class RigRequest:
     """A request as its caller plans it."""
 
     request_id: str
@@ -108,10 +108,10 @@
             self.outcome = Outcome(reply.outcome)
 
 
-class Caller:
+class RigCaller:
     """One request through all its sends."""
 
-    def __init__(self, users: Users, planned: PlannedRequest, first_gateway: int) -> None:
+    def __init__(self, users: Users, planned: RigRequest, first_gateway: int) -> None:
         self._users = users
         self._planned = planned
         self._turn = first_gateway
@@ -191,7 +191,7 @@
         )
 
 
-class CallerTraffic(Traffic):
+class RigCallerTraffic(Traffic):
     """Starts callers at random times until it is stopped."""
 
     def __init__(
@@ -216,15 +216,15 @@
             if not self._stopped:
                 self._run_counted(self.call(self.plan(mix)))
 
-    async def call(self, planned: PlannedRequest, gateway: int | None = None) -> Outcome:
+    async def call(self, planned: RigRequest, gateway: int | None = None) -> Outcome:
         """Take one request to its end, from a gateway that is drawn or given."""
         draw = self._users.draw
         first = draw.randrange(len(self._users.layout.gateways)) if gateway is None else gateway
-        outcome = await Caller(self._users, planned, first).run()
+        outcome = await RigCaller(self._users, planned, first).run()
         self.completed += outcome == Outcome.COMPLETED
         return outcome
 
-    def plan(self, mix: CallerMix) -> PlannedRequest:
+    def plan(self, mix: CallerMix) -> RigRequest:
         """Make the next request of a kind."""
         self.started += 1
         draw = self._users.draw
@@ -232,7 +232,7 @@
         subject = f"{mix.name} {self.started} asks about unit {draw.randrange(10_000)}. "
         prompt = (shared + subject * 40)[: mix.prompt_characters]
         tokens = max(1, int(mix.max_tokens * draw.uniform(0.5, 1.5)))
-        return PlannedRequest(
+        return RigRequest(
             request_id=f"{mix.name}-{self.started}",
             tenant=draw.choice(self._users.layout.tenants),
             model=mix.model,
--- a/rig/injector.py
+++ b/rig/injector.py
@@ -18,7 +18,7 @@
 from rainsail.state.commands import ANY_REVISION
 from rig.daemon import Daemon
 from rig.fleet import STOP_LIMIT_S, GroupState, RigFleet
-from rig.operators import Operator
+from rig.operators import RigOperator
 
 HEALTHY = "Healthy"
 DEGRADED = "Degraded"
@@ -41,7 +41,7 @@
     def __init__(
         self,
         fleet: RigFleet,
-        operator: Operator,
+        operator: RigOperator,
         history: History,
         draw: random.Random,
         hold: HoldTimes,
--- a/rig/jobs.py
+++ b/rig/jobs.py
@@ -33,7 +33,7 @@
 DEADLINE_HEADER = "X-Rainsail-Deadline"
 
 
-class JobClient:
+class RigJobClient:
     """One job: submitted until accepted, perhaps cancelled, read until finished."""
 
     def __init__(
@@ -165,13 +165,13 @@
         self._users.history.record(ResultRead(now_s, self.job_id, index, phase, text, expected))
 
 
-class JobTraffic(Traffic):
+class RigJobTraffic(Traffic):
     """Submits heaps of jobs until it is stopped."""
 
     def __init__(self, users: Users, mix: JobMix, failed: Callable[[Any], None]) -> None:
         super().__init__(users, failed)
         self._mix = mix
-        self.clients: list[JobClient] = []
+        self.clients: list[RigJobClient] = []
 
     def start(self) -> None:
         """Submit a heap now and one every period."""
@@ -199,6 +199,6 @@
             self._mix.draw_item(number, index, draw) for index in range(self._mix.items_per_job)
         )
         cancels = draw.random() < self._mix.cancel_probability
-        client = JobClient(self._users, self._mix, f"job-{number}", items, cancels)
+        client = RigJobClient(self._users, self._mix, f"job-{number}", items, cancels)
         self.clients.append(client)
         self._run(client.run())
--- a/rig/operators.py
+++ b/rig/operators.py
@@ -28,7 +28,7 @@
 """In the place of the revision of a change that another one came before."""
 
 
-class Operator:
+class RigOperator:
     """One operator: every change is sent again unchanged until it is answered."""
 
     def __init__(self, users: Users, name: str) -> None:
@@ -101,14 +101,14 @@
         return revision if accepted else REFUSED
 
 
-class OperatorTraffic(Traffic):
+class RigOperatorTraffic(Traffic):
     """Two operators race over the tenants; readers ask every replica what holds."""
 
     def __init__(self, users: Users, failed: Callable[[Any], None]) -> None:
         super().__init__(users, failed)
-        self.first = Operator(users, "operator-1")
-        self._second = Operator(users, "operator-2")
-        self._watcher = Operator(users, "operator-watch")
+        self.first = RigOperator(users, "operator-1")
+        self._second = RigOperator(users, "operator-2")
+        self._watcher = RigOperator(users, "operator-watch")
         self._ended = False
         self._value = 0
         self._open_reads = 0
@@ -167,7 +167,7 @@
                 self._run_counted(self._change(self._second, resource))
             await sleep(self._users.clock, self._users.draw.expovariate(1 / RACE_PERIOD_S))
 
-    async def _change(self, operator: Operator, resource: Any) -> None:
+    async def _change(self, operator: RigOperator, resource: Any) -> None:
         self._value += 1
         spec = {**resource["spec"], "weight": 1.0 + self._value / 1000}
         await operator.put(Kind.TENANT, resource["name"], spec, resource["revision"])
--- a/rig/rotation.py
+++ b/rig/rotation.py
@@ -16,7 +16,7 @@
 from rainsail.wire.keys import api_key_hash
 from rig.http import AnswerLost
 from rig.layout import CALLER_PORT, ProcessPlan
-from rig.operators import Operator
+from rig.operators import RigOperator
 from rig.traffic import Traffic, Users
 
 TENANT = "rotating"
@@ -41,7 +41,7 @@
     """Exchanges the key, and asks every gateway for work under the newest and older keys."""
 
     def __init__(
-        self, users: Users, operator: Operator, model: str, failed: Callable[[Any], None]
+        self, users: Users, operator: RigOperator, model: str, failed: Callable[[Any], None]
     ) -> None:
         super().__init__(users, failed)
         self._operator = operator
--- a/rig/run.py
+++ b/rig/run.py
@@ -31,13 +31,13 @@
 from rainsail.resources.specs import RequestClass
 from rainsail.runtime.clock import MonotonicClock, sleep
 from rainsail.simulation.site_plan import SITES
-from rig.callers import CallerTraffic
+from rig.callers import RigCallerTraffic
 from rig.fleet import NotReached, RigFleet
 from rig.http import HttpUser
 from rig.injector import Injector
-from rig.jobs import JobTraffic
+from rig.jobs import RigJobTraffic
 from rig.layout import SiteLayout
-from rig.operators import OperatorTraffic
+from rig.operators import RigOperatorTraffic
 from rig.plan import Lane, RunPlan, lanes
 from rig.rotation import KeyRotation
 from rig.sessions import SessionTraffic
@@ -102,9 +102,9 @@
         )
         jobs = replace(site.jobs, heap_period_s=self._plan.heap_period_s)
         self._mixes = mixes
-        self._callers = CallerTraffic(self._users, mixes, self._failed)
-        self._jobs = JobTraffic(self._users, jobs, self._failed)
-        self._operators = OperatorTraffic(self._users, self._failed)
+        self._callers = RigCallerTraffic(self._users, mixes, self._failed)
+        self._jobs = RigJobTraffic(self._users, jobs, self._failed)
+        self._operators = RigOperatorTraffic(self._users, self._failed)
         self._rotation = KeyRotation(self._users, self._operators.first, jobs.service, self._failed)
         self._sessions = SessionTraffic(
             self._users, self._operators.first, jobs.service, self._plan.sessions, self._failed
--- a/rig/sessions.py
+++ b/rig/sessions.py
@@ -7,8 +7,8 @@
 from rainsail.errors import Outcome
 from rainsail.resources.specs import Kind, RequestClass
 from rainsail.runtime.clock import sleep
-from rig.callers import Caller, PlannedRequest
-from rig.operators import Operator
+from rig.callers import RigCaller, RigRequest
+from rig.operators import RigOperator
 from rig.traffic import Traffic, Users
 
 TURN_PERIOD_S = 1.5
@@ -23,7 +23,7 @@
     def __init__(
         self,
         users: Users,
-        operator: Operator,
+        operator: RigOperator,
         model: str,
         count: int,
         failed: Callable[[Any], None],
@@ -55,16 +55,16 @@
             if self._stopped:
                 return
             planned = self._turn(session, tenant, turn, transcript)
-            caller = Caller(self._users, planned, self._users.draw.randrange(100))
+            caller = RigCaller(self._users, planned, self._users.draw.randrange(100))
             if await caller.run() != Outcome.COMPLETED:
                 return
             self.turns_completed += 1
             transcript += planned.prompt + planned.expected_text
             await sleep(self._users.clock, self._users.draw.uniform(0.1, TURN_PERIOD_S))
 
-    def _turn(self, session: str, tenant: str, turn: int, transcript: str) -> PlannedRequest:
+    def _turn(self, session: str, tenant: str, turn: int, transcript: str) -> RigRequest:
         prompt = f"Turn {turn} of {session}: where is the next one now? "
-        return PlannedRequest(
+        return RigRequest(
             request_id=f"{session}-turn-{turn}",
             tenant=tenant,
             model=self._model,
--- a/src/rainsail/demo/callers.py
+++ b/src/rainsail/demo/callers.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from rainsail.demo.traffic_plan import SESSION_THINK_S, SESSION_TURNS, PlannedRequest, TrafficPlan
+from rainsail.demo.traffic_plan import SESSION_THINK_S, SESSION_TURNS, DemoRequest, TrafficPlan
 from rainsail.emulator.answers import expected_answer
 from rainsail.errors import Outcome
 from rainsail.experiment.answer_stream import StreamEnd
@@ -43,7 +43,7 @@
 class OnlineCaller:
     """One request through all its sends; a refused one is sent again when told to."""
 
-    def __init__(self, seams: CallerSeams, request: PlannedRequest, transcript: str = "") -> None:
+    def __init__(self, seams: CallerSeams, request: DemoRequest, transcript: str = "") -> None:
         self._seams = seams
         self._request = request
         self._home = seams.draw.randrange(len(seams.caller_apis))
--- a/src/rainsail/demo/course.py
+++ b/src/rainsail/demo/course.py
@@ -13,7 +13,7 @@
 from rainsail.demo.batch_clients import DemoJobClient, GatewaysInTurn
 from rainsail.demo.callers import CallerSeams, OnlineCaller, SessionCaller
 from rainsail.demo.journal import AcceptedJournal
-from rainsail.demo.operator import Operator
+from rainsail.demo.operator import DemoOperator
 from rainsail.demo.outcome import DemoOutcome, judge
 from rainsail.demo.site import (
     REPORTS,
@@ -32,7 +32,7 @@
     PING_GAP_S,
     QUESTION_GAP_S,
     SESSION_GAP_S,
-    PlannedRequest,
+    DemoRequest,
     TrafficPlan,
 )
 from rainsail.errors import Fault
@@ -94,7 +94,7 @@
         )
         self._site = site
         self._plan = TrafficPlan(journal.run, draw)
-        self._operator = Operator(site, self._seams)
+        self._operator = DemoOperator(site, self._seams)
         self._gateways = GatewaysInTurn(self._seams)
         self._open: list[Deferred[Any]] = []
         self._traffic_on = False
@@ -179,7 +179,7 @@
         self._ask(plan())
         self._keep_asking(mean_gap_s, plan)
 
-    def _ask(self, request: PlannedRequest) -> None:
+    def _ask(self, request: DemoRequest) -> None:
         self._watch(OnlineCaller(self._seams, request).run())
 
     def _session(self, name: str, tenant: str) -> None:
--- a/src/rainsail/demo/operator.py
+++ b/src/rainsail/demo/operator.py
@@ -18,7 +18,7 @@
 READY_POLL_S = 0.2
 
 
-class Operator:
+class DemoOperator:
     """Speaks to the replicas in turn; every change is re-sent under its own id until answered."""
 
     def __init__(self, site: DemoSite, seams: CallerSeams) -> None:
--- a/src/rainsail/demo/traffic_plan.py
+++ b/src/rainsail/demo/traffic_plan.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedRequest:
+class DemoRequest:
     """One online request. ``prompt`` is the text of a completion; a chat has ``messages``."""
 
     request_id: str
@@ -103,13 +103,13 @@
     draw: Random
     _counts: dict[str, int] = field(default_factory=dict)
 
-    def question(self) -> PlannedRequest:
+    def question(self) -> DemoRequest:
         """Draw a short question, streamed as a chat."""
         text = f"Where is container {self._container()}, and is its reefer alarm still on?"
         messages = (Message("system", _INSTRUCTIONS), Message("user", text))
         return self._request("question", _QUESTION_TOKENS, messages=messages)
 
-    def document(self) -> PlannedRequest:
+    def document(self) -> DemoRequest:
         """Draw a long voyage history, streamed as a completion."""
         container = self._container()
         stops = [
@@ -119,9 +119,9 @@
         prompt = f"Write the voyage history of {container}. " + "".join(stops)
         return self._request("document", _DOCUMENT_TOKENS, prompt=prompt)
 
-    def ping(self) -> PlannedRequest:
+    def ping(self) -> DemoRequest:
         """Draw a position ping, which may not be repeated."""
-        return PlannedRequest(
+        return DemoRequest(
             self._id("ping"),
             "ping",
             self.draw.choice(TENANTS),
@@ -132,7 +132,7 @@
             prompt=f"Position of {self._container()} at minute {self.draw.randrange(1440)}.",
         )
 
-    def turn(self, session: str, tenant: str) -> PlannedRequest:
+    def turn(self, session: str, tenant: str) -> DemoRequest:
         """Draw the next turn of a session, streamed as a chat."""
         text = f"And what happened to container {self._container()} after that?"
         return self._request(
@@ -172,8 +172,8 @@
         messages: tuple[Message, ...] = (),
         session: str = "",
         tenant: str = "",
-    ) -> PlannedRequest:
-        return PlannedRequest(
+    ) -> DemoRequest:
+        return DemoRequest(
             self._id(kind),
             kind,
             tenant or self.draw.choice(TENANTS),
--- a/src/rainsail/experiment/replay/traced_users.py
+++ b/src/rainsail/experiment/replay/traced_users.py
@@ -16,16 +16,16 @@
 from rainsail.resources.specs import Kind, ResourceKey, SessionSpec, TenantSpec
 from rainsail.runtime.clock import sleep
 from rainsail.simulation.actors import job_clients
-from rainsail.simulation.actors.callers import Caller, CallerTraffic, PlannedRequest
+from rainsail.simulation.actors.callers import CallerTraffic, SimulatedCaller, SimulatedRequest
 from rainsail.simulation.actors.job_clients import (
     READ_PERIOD_S,
     READS_AFTER_CANCEL,
-    JobClient,
     JobMix,
     JobTraffic,
+    SimulatedJobClient,
 )
 from rainsail.simulation.actors.links import UserLink
-from rainsail.simulation.actors.operators import POLL_PERIOD_S, Operator, OperatorTraffic
+from rainsail.simulation.actors.operators import POLL_PERIOD_S, OperatorTraffic, SimulatedOperator
 from rainsail.simulation.clock import VirtualClock
 from rainsail.state.commands import MUST_NOT_EXIST, ItemBody
 
@@ -93,8 +93,8 @@
     def _start_traced(self, request: TracedRequest) -> None:
         self._to_start -= 1
         home = home_gateway(request.origin, request.request_id, self._gateways)
-        planned = PlannedRequest(caller_request(request), request.class_, home)
-        caller = Caller(planned, self._gateways, self._link, self._history)
+        planned = SimulatedRequest(caller_request(request), request.class_, home)
+        caller = SimulatedCaller(planned, self._gateways, self._link, self._history)
         self.callers.append(caller)
         caller.start()
 
@@ -103,7 +103,7 @@
         return super().settled() and not self._to_start
 
 
-class TracedJobClient(JobClient):
+class TracedJobClient(SimulatedJobClient):
     """One traced job: submitted, cancelled when the trace says so, read until finished."""
 
     def __init__(
@@ -181,8 +181,8 @@
     def __init__(
         self,
         trace: Trace,
-        first: Operator,
-        watcher: Operator,
+        first: SimulatedOperator,
+        watcher: SimulatedOperator,
         clock: VirtualClock,
         draw: Random,
         gate: StartGate,
--- a/src/rainsail/simulation/actors/callers.py
+++ b/src/rainsail/simulation/actors/callers.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedRequest:
+class SimulatedRequest:
     """A request as a caller plans it, before it is known which gateway takes it."""
 
     request: CallerRequest
@@ -32,12 +32,12 @@
     home_gateway: str
 
 
-class Caller:
+class SimulatedCaller:
     """One request of one caller, through all its sends."""
 
     def __init__(
         self,
-        planned: PlannedRequest,
+        planned: SimulatedRequest,
         gateways: tuple[str, ...],
         link: UserLink,
         history: History,
@@ -77,7 +77,7 @@
         return self._gateways[(home + self._sends) % len(self._gateways)]
 
     @property
-    def planned(self) -> PlannedRequest:
+    def planned(self) -> SimulatedRequest:
         """The request."""
         return self._planned
 
@@ -95,7 +95,7 @@
 class _Send:
     """One send of a request: the sink of its answer."""
 
-    def __init__(self, caller: Caller, send_id: str, gateway: str) -> None:
+    def __init__(self, caller: SimulatedCaller, send_id: str, gateway: str) -> None:
         self._caller = caller
         self.send_id = send_id
         self.gateway = gateway
@@ -255,7 +255,7 @@
         self._draw = draw
         self._started = 0
         self._stopped = False
-        self.callers: list[Caller] = []
+        self.callers: list[SimulatedCaller] = []
 
     def start(self) -> None:
         """Start every kind of traffic."""
@@ -285,12 +285,12 @@
         if self._stopped:
             return
         self._started += 1
-        caller = Caller(self._plan(mix), self._gateways, self._link, self._history)
+        caller = SimulatedCaller(self._plan(mix), self._gateways, self._link, self._history)
         self.callers.append(caller)
         caller.start()
         self._schedule(mix)
 
-    def _plan(self, mix: CallerMix) -> PlannedRequest:
+    def _plan(self, mix: CallerMix) -> SimulatedRequest:
         number = self._started
         subject = f"{mix.name} {number} asks about unit {self._draw.randrange(10_000)}. "
         shared = f"Instructions for {mix.name}: answer briefly and exactly. " * 4
@@ -304,4 +304,4 @@
             class_=mix.class_,
             seed=number,
         )
-        return PlannedRequest(replace(request), mix.class_, self._draw.choice(self._gateways))
+        return SimulatedRequest(replace(request), mix.class_, self._draw.choice(self._gateways))
--- a/src/rainsail/simulation/actors/job_clients.py
+++ b/src/rainsail/simulation/actors/job_clients.py
@@ -50,7 +50,7 @@
         return ItemBody(f"item-{index}", prompt, tokens)
 
 
-class JobClient:
+class SimulatedJobClient:
     """One job: submitted until accepted, perhaps cancelled, read until finished."""
 
     def __init__(
@@ -235,7 +235,7 @@
         self._history = history
         self._draw = draw
         self._stopped = False
-        self.clients: list[JobClient] = []
+        self.clients: list[SimulatedJobClient] = []
 
     def start(self) -> None:
         """Submit the first heap after half a period, then one every period."""
@@ -269,7 +269,7 @@
             for index in range(self._mix.items_per_job)
         )
         home = self._draw.randrange(len(self._gateways))
-        client = JobClient(
+        client = SimulatedJobClient(
             f"job-{number}",
             items,
             self._mix,
--- a/src/rainsail/simulation/actors/operators.py
+++ b/src/rainsail/simulation/actors/operators.py
@@ -24,7 +24,7 @@
 MOST_SENDS = 5
 
 
-class Operator:
+class SimulatedOperator:
     """One operator process: declares changes and reads what became true."""
 
     def __init__(
@@ -109,9 +109,9 @@
 
     def __init__(
         self,
-        first: Operator,
-        second: Operator,
-        watcher: Operator,
+        first: SimulatedOperator,
+        second: SimulatedOperator,
+        watcher: SimulatedOperator,
         clock: Clock,
         draw: random.Random,
         mean_gap_s: float,
@@ -152,7 +152,7 @@
                 self._clock.callLater(delay_s, self._declare, self._second, resource)
         self._clock.callLater(self._draw.expovariate(1 / self._mean_gap_s), self._race)
 
-    def _declare(self, operator: Operator, resource: Resource) -> None:
+    def _declare(self, operator: SimulatedOperator, resource: Resource) -> None:
         self._value += 1
         spec = resource.spec
         assert isinstance(spec, TenantSpec)
--- a/src/rainsail/simulation/fleet.py
+++ b/src/rainsail/simulation/fleet.py
@@ -19,7 +19,7 @@
 from rainsail.simulation.actors.callers import CallerTraffic
 from rainsail.simulation.actors.job_clients import JobTraffic
 from rainsail.simulation.actors.links import LostAnswers, UserLink
-from rainsail.simulation.actors.operators import Operator, OperatorTraffic
+from rainsail.simulation.actors.operators import OperatorTraffic, SimulatedOperator
 from rainsail.simulation.clock import VirtualClock
 from rainsail.simulation.engine_link import EngineNetwork
 from rainsail.simulation.fault_plan import FaultTargets
@@ -169,12 +169,12 @@
             self.live_gateway,
         )
 
-    def _make_operator(self, name: str) -> Operator:
+    def _make_operator(self, name: str) -> SimulatedOperator:
         transport = self.world.network.transport(name, "")
         messenger = Messenger(transport, self.clock)
         draw = self.world.random_for(name)
         client = LeaderClient(messenger, tuple(self.replicas), self.clock, draw, ControlSettings())
-        return Operator(name, client, self.clock, self.history, draw)
+        return SimulatedOperator(name, client, self.clock, self.history, draw)
 
     # --- looking -------------------------------------------------------------------------
 
