--- a/features/support/compatibility_http.py
+++ b/features/support/compatibility_http.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 LIMIT_S = 20.0
-VALUED_FIELDS = ("code", "type", "object", "outcome")
+VALUED_FIELDS = ("code", "type", "object", "outcome", "state")
 """Fields of a few fixed values, which programs compare; their values are part of a shape."""
 UNNAMED_HEADERS = ("date",)
 STREAM_LINE = "data: "
