--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -6,10 +6,11 @@
 from typing import Any
 from unittest import mock
 
-from rainsail.relay import client_answer
+from rainsail.relay import client_answer, continuation
 from rainsail.relay.attempt import Attempt
 from rainsail.relay.client_answer import ClientAnswer
-from rainsail.relay.run import STATUS_UNAVAILABLE, RelayRun
+from rainsail.relay.continuation import STATUS_UNAVAILABLE, RequestOutcome
+from rainsail.relay.run import RelayRun
 
 
 @dataclass(frozen=True)
@@ -54,10 +55,10 @@
         if not self._answer.begun:
             original(self, attempt)
             return
-        self._attempt = None
+        self._sender.attempt = None
         self._answer.write_body(attempt)
         self._answer.end()
-        self._finish("completed")
+        self._finish(RequestOutcome.COMPLETED)
 
     return answer_came
 
@@ -70,11 +71,11 @@
             original(self)
         elif self._end():
             run: Any = self._owner
-            run._attempt = None
+            run._sender.attempt = None
             run._answer._begin(self)
-            run._exchange.write(self.stream.rest)
+            run._answer._exchange.write(self.stream.rest)
             run._answer.end()
-            run._finish("completed")
+            run._finish(RequestOutcome.COMPLETED)
 
     return answer_ended
 
@@ -86,7 +87,7 @@
 
 def _always_promise(original: Any) -> Any:
     """Refuse with 503 whether or not a runner may have run the request."""
-    return lambda self, status, reason: original(self, STATUS_UNAVAILABLE, reason)
+    return lambda status, *others: original(STATUS_UNAVAILABLE, *others)
 
 
 DEFECTS = {
@@ -104,6 +105,6 @@
         "a hole", (Patch(client_answer, "leaves_hole", _let_holes_through),)
     ),
     "tells 503 after a run": Defect(
-        "told 503 after a run", (Patch(RelayRun, "_refuse", _always_promise),)
+        "told 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
     ),
 }
--- a/src/rainsail/jobs/item_run.py
+++ b/src/rainsail/jobs/item_run.py
@@ -6,13 +6,21 @@
 
 from rainsail.http.client import CONNECTION_ENDS, AnswerHead, Framing
 from rainsail.jobs.job_state import EVENT_SEPARATOR
-from rainsail.relay.events import Event, EventStream, is_event_stream, leaves_hole
+from rainsail.relay.continuation import (
+    CLOSED_EARLY,
+    FOREIGN_ANSWER,
+    MISSING_EVENT,
+    OVERLONG_EVENT,
+    AttemptEnd,
+    HeadKind,
+    judge_head,
+    judge_item_body,
+)
+from rainsail.relay.events import STATUS_OK, Event, EventStream, leaves_hole
 from rainsail.relay.protocol import AnswerVerdict, RelayProtocol
 from rainsail.routing.facts import ServerLoad
 
-STATUS_OK = 200
-STATUS_NEVER = 422
-STATUS_FAILED = 500
+NO_EVENTS = "no stream of events"
 
 
 class RunEnd(StrEnum):
@@ -26,6 +34,14 @@
     IMPOSSIBLE = "impossible"
 
 
+BODY_ENDS = {
+    AttemptEnd.IMPOSSIBLE: RunEnd.IMPOSSIBLE,
+    AttemptEnd.FAILED: RunEnd.FAILED,
+    AttemptEnd.BROKEN: RunEnd.BROKEN,
+}
+"""How a run ends with a whole answer that is no stream of events."""
+
+
 @dataclass(slots=True)
 class ItemProgress:
     """What has been received of an item's answer, kept from run to run by the leader."""
@@ -82,21 +98,22 @@
 
     def answer_begun(self, head: AnswerHead) -> None:
         """Judge the head."""
-        self.verdict = self._protocol.judge(head, self.item)
+        self.verdict = verdict = self._protocol.judge(head, self.item)
         self._status = head.status
-        if not self.verdict.belongs:
-            self._end(RunEnd.BROKEN, "answer of another request")
-        elif self.verdict.not_run:
+        kind = judge_head(head, verdict)
+        if kind == HeadKind.FOREIGN:
+            self._end(RunEnd.BROKEN, FOREIGN_ANSWER)
+        elif kind == HeadKind.NOT_RUN:
             self._end(RunEnd.NOT_RUN, f"status {head.status}")
-        elif head.status == STATUS_OK and not is_event_stream(head):
+        elif kind == HeadKind.BODY and head.status == STATUS_OK:
             # Its end would be taken for the end of the item's text.
-            self._end(RunEnd.BROKEN, "no stream of events")
+            self._end(RunEnd.BROKEN, NO_EVENTS)
         else:
-            self._take_head(head, self.verdict)
+            self._take_head(head, kind, verdict)
 
-    def _take_head(self, head: AnswerHead, verdict: AnswerVerdict) -> None:
+    def _take_head(self, head: AnswerHead, kind: HeadKind, verdict: AnswerVerdict) -> None:
         self._framing = head.framing
-        self._stream = EventStream(head.framing) if head.status == STATUS_OK else None
+        self._stream = EventStream(head.framing) if kind == HeadKind.EVENTS else None
         if verdict.load is not None:
             self._load_heard(verdict.load)
 
@@ -111,13 +128,13 @@
             return
         self._take_events(self._stream.feed(data))
         if self._stream.is_overlong:
-            self._end(RunEnd.BROKEN, "an event has no end")
+            self._end(RunEnd.BROKEN, OVERLONG_EVENT)
 
     def _take_events(self, events: list[Event]) -> None:
         for event in events:
             unnumbered = event.number is None and bool(event.data)
             if unnumbered or leaves_hole(event, self.progress.last_event):
-                self._end(RunEnd.BROKEN, "an event is missing")
+                self._end(RunEnd.BROKEN, MISSING_EVENT)
                 return
             self.progress.take(event)
 
@@ -125,17 +142,13 @@
         """Judge the whole answer."""
         if self._stream is not None:
             self._end_stream(self._stream)
-        elif self._status == STATUS_NEVER:
-            self._end(RunEnd.IMPOSSIBLE, f"status {self._status}")
-        elif self._status == STATUS_FAILED:
-            self._end(RunEnd.FAILED, f"status {self._status}")
         else:
-            self._end(RunEnd.BROKEN, f"status {self._status}")
+            self._end(BODY_ENDS[judge_item_body(self._status)], f"status {self._status}")
 
     def _end_stream(self, stream: EventStream) -> None:
         if not stream.may_end_here:
             self.connection_ended = True
-            self._end(RunEnd.BROKEN, "the connection ended before the stream")
+            self._end(RunEnd.BROKEN, CLOSED_EARLY)
             return
         self._take_events(stream.last_events())
         self.proves_survival = not self._over and self._framing != Framing.CLOSE
--- a/src/rainsail/relay/attempt.py
+++ b/src/rainsail/relay/attempt.py
@@ -6,13 +6,18 @@
 from rainsail.http.client import CONNECTION_ENDS, AnswerHead, Framing
 from rainsail.http.pool import Call
 from rainsail.relay.context import RelayContext
-from rainsail.relay.events import Event, EventStream, is_event_stream
+from rainsail.relay.continuation import (
+    CLOSED_EARLY,
+    FOREIGN_ANSWER,
+    OVERLONG_EVENT,
+    AttemptEnd,
+    HeadKind,
+    judge_body,
+    judge_head,
+)
+from rainsail.relay.events import Event, EventStream
 from rainsail.relay.protocol import AnswerVerdict
 
-STATUS_SERVER_ERROR = 500
-CLOSED_EARLY = "the connection ended before the stream"
-OVERLONG_EVENT = "an event has no end"
-
 
 class AttemptOwner(Protocol):
     """What an attempt tells the request that it belongs to; one of the last five ends it.
@@ -84,7 +89,13 @@
         """Tell whether the runner answered with a failure of its own."""
         if self.head is None or self.verdict is None:
             return False
-        return self.head.status >= STATUS_SERVER_ERROR or self.verdict.promises_not_run
+        return judge_body(self.head.status, self.verdict) != AttemptEnd.ANSWERED
+
+    @property
+    def body_end(self) -> AttemptEnd:
+        """What the attempt ends as if its answer, which is no stream, comes whole."""
+        assert self.head is not None and self.verdict is not None
+        return judge_body(self.head.status, self.verdict)
 
     @property
     def is_stream(self) -> bool:
@@ -115,13 +126,14 @@
         self.verdict = verdict = context.protocol.judge(head, self._request)
         if verdict.load is not None and verdict.belongs:
             context.loads.reported(self.record.runner, verdict.load, context.clock.seconds())
-        if not verdict.belongs:
-            self._fail("the answer belongs to another request")
-        elif verdict.not_run:
+        kind = judge_head(head, verdict)
+        if kind == HeadKind.FOREIGN:
+            self._fail(FOREIGN_ANSWER)
+        elif kind == HeadKind.NOT_RUN:
             if self._end():
                 self._owner.runner_refused(self)
         else:
-            if is_event_stream(head):
+            if kind == HeadKind.EVENTS:
                 self.stream = EventStream(head.framing)
             self._owner.head_came(self)
 
--- a/src/rainsail/relay/client_answer.py
+++ b/src/rainsail/relay/client_answer.py
@@ -5,6 +5,7 @@
 from rainsail.http.client import Framing
 from rainsail.http.exchange import Exchange
 from rainsail.relay.attempt import Attempt
+from rainsail.relay.continuation import ClientHas
 from rainsail.relay.events import Event, leaves_hole
 from rainsail.relay.protocol import RelayProtocol
 from rainsail.runtime.clock import Clock
@@ -46,11 +47,13 @@
         return self.state == AnswerState.BEGUN
 
     @property
-    def can_be_continued(self) -> bool:
-        """Tell whether another runner can go on with what has left: with numbered events alone."""
-        if self._begun_by is None:
-            return True
-        return self._begun_by.is_stream and self.last_event is not None
+    def client_has(self) -> ClientHas:
+        """How much of the answer has left, and so whether another runner can continue it."""
+        if not self.begun or self._begun_by is None:
+            return ClientHas.NOTHING
+        if self._begun_by.is_stream and self.last_event is not None:
+            return ClientHas.NUMBERED_EVENTS
+        return ClientHas.OTHER_BYTES
 
     def may_include(self, attempt: Attempt) -> bool:
         """Tell whether a runner's answer can be this one, or a part of it.
--- a/src/rainsail/relay/gateway.py
+++ b/src/rainsail/relay/gateway.py
@@ -21,10 +21,11 @@
 from rainsail.logs import logger
 from rainsail.node_metrics import NodeMetrics
 from rainsail.relay.context import RelayContext
+from rainsail.relay.continuation import STATUS_NOT_FOUND, STATUS_UNAVAILABLE
 from rainsail.relay.early_requests import EarlyRequests
 from rainsail.relay.placement import PlacementClient
 from rainsail.relay.protocol import RequestFacts
-from rainsail.relay.run import STATUS_NOT_FOUND, STATUS_UNAVAILABLE, RelayRun
+from rainsail.relay.run import RelayRun
 from rainsail.relay.table import Route, RouteKind, RoutingTable
 from rainsail.relay.table_reader import TableReader
 from rainsail.routing.messages import (
@@ -207,9 +208,10 @@
 
     def _run_ended(self, run: RelayRun) -> None:
         self.under_way -= 1
+        assert run.outcome is not None
         metrics = self._metrics
-        metrics.count("requests", kind=run.kind.value, outcome=run.outcome)
-        metrics.count("request_sends", run.sends, kind=run.kind.value)
+        metrics.count("requests", kind=run.kind.value, outcome=run.outcome.value)
+        metrics.count("request_sends", run.attempts_counted, kind=run.kind.value)
         if run.first_s is not None:
             metrics.observe("request_first_seconds", run.first_s, kind=run.kind.value)
 
--- /dev/null
+++ b/src/rainsail/relay/response_timeout.py
@@ -0,0 +1,50 @@
+"""The time that a runner has for the next part of an answer before the request leaves it."""
+
+from collections.abc import Callable
+
+from rainsail.relay.context import RelayContext
+from rainsail.relay.table import Route
+from rainsail.runtime.clock import Timer
+
+GAP_TARGETS = 2
+"""A stream times out after this many times the pause that its route aims at.
+
+Not measured; chosen so that one pause that is late, but not lost, does not move the stream.
+"""
+
+
+class ResponseTimeout:
+    """Calls ``timed_out`` once a runner has sent nothing for too long; one for each request."""
+
+    def __init__(self, context: RelayContext, timed_out: Callable[[], None]) -> None:
+        self._context = context
+        self._timed_out = timed_out
+        self._timer: Timer | None = None
+
+    def request_sent(self, route: Route, attempts: int) -> None:
+        """Wait for the first part of an answer; ``attempts`` counts this sending too."""
+        settings = self._context.settings
+        wait_s = max(settings.least_silence_s, settings.silence_targets * route.target_s)
+        self._restart(route, attempts, wait_s)
+
+    def events_came(self, route: Route, attempts: int) -> None:
+        """Wait for the next events of a stream."""
+        wait_s = max(self._context.settings.least_gap_s, GAP_TARGETS * route.gap_target_s)
+        self._restart(route, attempts, wait_s)
+
+    def stop(self) -> None:
+        """Wait for nothing."""
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
+
+    def _restart(self, route: Route, attempts: int, wait_s: float) -> None:
+        self.stop()
+        if not self._context.settings.mechanisms.silence:
+            return
+        if route.repeatable and attempts < route.max_attempts:
+            self._timer = self._context.clock.callLater(wait_s, self._expire)
+
+    def _expire(self) -> None:
+        self._timer = None
+        self._timed_out()
