--- a/features/steps/large_start_steps.py
+++ b/features/steps/large_start_steps.py
@@ -121,7 +121,7 @@
 @when("a runner says at a controller that nodes do not follow that it is draining")
 def drain_aside(context):
     fleet = context.fleet
-    voters = set(fleet.nodes["gateway-1"].base.follower.voters())
+    voters = set(fleet.nodes["gateway-1"].base.follower.controllers.voters())
     aside = [name for name in fleet.names("controller") if fleet.address(name) not in voters]
     record = replace(_record(5), state=RunnerState.DRAINING, sequence=2)
     done = fleet.controller(aside[-1]).reports.take(record)
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -212,7 +212,7 @@
     def __init__(self, registry):
         self.registry = registry
 
-    def tell_reading(self, runner, reading_s):
+    def announce_prefill(self, runner, reading_s):
         """Tell nobody."""
 
 
--- a/src/rainsail/cluster/beat_answers.py
+++ b/src/rainsail/cluster/beat_answers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rainsail.cluster.follower import EMPTY_VIEW
+from rainsail.cluster.known_controllers import EMPTY_VIEW
 from rainsail.cluster.messages import FleetView, RunnerPage
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.wire.codec import encode
--- a/src/rainsail/cluster/fleet_views.py
+++ b/src/rainsail/cluster/fleet_views.py
@@ -35,7 +35,7 @@
     def voters(self) -> tuple[str, ...]:
         """Return the root group's voters; a controller outside the group knows them by hearsay."""
         own = tuple(member.replica for member in self._context.group.members().voters())
-        return own or self._context.follower.voters()
+        return own or self._context.follower.controllers.voters()
 
     def other_controllers(self) -> list[str]:
         """Return the controllers to ask when this one does not lead."""
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -141,7 +141,9 @@
     def _may_start_items(self) -> bool:
         """Tell whether items may go out: under the leader's lease, and hearing of controllers."""
         needed = self._base.settings.node.losses + 1
-        return self._leads() and self._base.follower.hears(needed, CONTROLLERS_HEARD_WITHIN_S)
+        return self._leads() and self._base.follower.controllers.hears(
+            needed, CONTROLLERS_HEARD_WITHIN_S
+        )
 
     def _places(self) -> bool:
         """Tell whether this node may place requests: it leads, and knows a table."""
--- a/src/rainsail/relay/gateway.py
+++ b/src/rainsail/relay/gateway.py
@@ -78,7 +78,7 @@
         self._updates.on_table = lambda: self._early.release(self.handle)
         self._updates.on_ledger_leader = lambda address: self.on_ledger_leader(address)
         context.loads.on_change = self._load_changed
-        context.announce_prefill = follower.tell_reading
+        context.announce_prefill = follower.announce_prefill
         if context.settings.mechanisms.placement:
             context.place = placements.place
         context.admit = quotas.admit
@@ -150,7 +150,7 @@
 
     def _without_controllers_s(self) -> float:
         """Return for how long too few controllers have answered to know of the newest table."""
-        return self._follower.silent_s(self._context.settings.trusted_controllers)
+        return self._follower.controllers.silent_s(self._context.settings.trusted_controllers)
 
     def _refuse_key(
         self, exchange: Exchange, facts: RequestFacts, identity: Identity | None
