--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -13,10 +13,10 @@
 from rainsail.node_metrics import NodeMetrics
 from rainsail.relay.placement import PlacementClient
 from rainsail.routing.messages import OnlineUse, Placement, PlaceRequest, RunnerUse, ServiceLoad
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
+from rainsail.routing.outlier_ejection import OutlierDetector
 from rainsail.routing.placer import Placer
 from rainsail.routing.residency import RegionMap
-from rainsail.routing.soundness import SoundnessBook
 from rainsail.routing.warm_up_limiter import WarmUpBound, WarmUpLimiter
 from rainsail.simulation.clock import VirtualClock
 
@@ -222,9 +222,9 @@
 def _make_leader(context, records):
     registry = RunnerRegistry()
     registry.take(records)
-    context.online = OnlineUseBook()
+    context.online = OnlineUseTracker()
     context.items = {}
-    context.soundness = SoundnessBook()
+    context.outliers = OutlierDetector()
     context.compared = []
     context.made_room = []
 
@@ -236,7 +236,7 @@
         registry,
         context.online,
         items_at,
-        context.soundness,
+        context.outliers,
         WarmUpLimiter(WarmUpBound(), registry.warm_ups),
         RegionMap({"zone-1": "east", "zone-2": "west"}),
         random.Random(5),
@@ -347,12 +347,12 @@
 @when("{count:d} gateways report a failure each at runner {number:d}")
 def report_failures(context, count, number):
     for _ in range(count):
-        context.out_s = context.soundness.saw(f"runner-{number}", 0, 1, context.now_s)
+        context.out_s = context.outliers.record(f"runner-{number}", 0, 1, context.now_s)
 
 
 @when("gateways report {sound:d} sound answers and {failed:d} failures at runner {number:d}")
 def report_outcomes(context, sound, failed, number):
-    context.out_s = context.soundness.saw(f"runner-{number}", sound, failed, context.now_s)
+    context.out_s = context.outliers.record(f"runner-{number}", sound, failed, context.now_s)
 
 
 @then("runner {number:d} is left out for {seconds:g} seconds")
@@ -366,7 +366,7 @@
 @then("runner {number:d} is not left out")
 def not_left_out(context, number):
     assert context.out_s is None
-    assert not context.soundness.is_out(f"runner-{number}", context.now_s)
+    assert not context.outliers.is_ejected(f"runner-{number}", context.now_s)
 
 
 @then("at most {count:d} runners were compared")
--- a/features/steps/residency_steps.py
+++ b/features/steps/residency_steps.py
@@ -14,10 +14,10 @@
 
 from rainsail.relay.table import ClientLimits, Route, RouteKind, RoutingTable, Service, ServiceShare
 from rainsail.routing.messages import Placement, PlaceRequest
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
+from rainsail.routing.outlier_ejection import OutlierDetector
 from rainsail.routing.placer import Placer
 from rainsail.routing.residency import RegionMap
-from rainsail.routing.soundness import SoundnessBook
 from rainsail.routing.warm_up_limiter import WarmUpBound, WarmUpLimiter
 from rainsail.tenancy.tenants import TenantDirectory, make_tenant
 
@@ -120,9 +120,9 @@
         world.registry.take((runner_record(number, zone=zone),))
     context.placer = Placer(
         world.registry,
-        OnlineUseBook(),
+        OnlineUseTracker(),
         lambda runner: 0,
-        SoundnessBook(),
+        OutlierDetector(),
         WarmUpLimiter(WarmUpBound(), world.registry.warm_ups),
         REGIONS,
         random.Random(SEED),
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -12,7 +12,7 @@
 from rainsail.node_metrics import NodeMetrics
 from rainsail.relay.gateway import RelayGateway
 from rainsail.routing.facts import PromptPart
-from rainsail.routing.soundness import SoundnessBook
+from rainsail.routing.outlier_ejection import OutlierDetector
 
 SEED = 5
 ADDRESS = "10.0.0.1:80"
@@ -254,19 +254,19 @@
 
 @given('a leader that has left runner "{runner}" out for failures')
 def leader_left_out(context, runner):
-    context.soundness = SoundnessBook()
+    context.outliers = OutlierDetector()
     context.runner = runner
     for _ in range(3):
-        context.soundness.saw(runner, 0, 2, 0.0)
-    assert context.soundness.is_out(runner, 0.1)
+        context.outliers.record(runner, 0, 2, 0.0)
+    assert context.outliers.is_ejected(runner, 0.1)
 
 
 @when('the leader hears that runner "{runner}" has started again')
 def leader_hears(context, runner):
-    context.soundness.forget(runner)
+    context.outliers.forget(runner)
 
 
 @then("the leader places requests there")
 def leader_places(context):
-    assert not context.soundness.is_out(context.runner, 0.1)
-    assert context.soundness.saw(context.runner, 0, 1, 0.2) is None
+    assert not context.outliers.is_ejected(context.runner, 0.1)
+    assert context.outliers.record(context.runner, 0, 1, 0.2) is None
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -32,7 +32,7 @@
 from rainsail.relay.run import RelayRun
 from rainsail.relay.settings import RelaySettings
 from rainsail.relay.table import ClientLimits, Route, RouteKind, RoutingTable, Service, ServiceShare
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
 from rainsail.routing.residency import RegionMap
 from rainsail.routing.warm_up_limiter import WarmUpBound, WarmUpLimiter
 from rainsail.simulation.clock import SkewedClock, VirtualClock
@@ -160,7 +160,7 @@
         self.service = PlacementService(
             Messenger(world.network.transport(name), world.clock),
             world.clock,
-            PlacementFleet(self.registry, OnlineUseBook(), self.limiter, RegionMap({})),
+            PlacementFleet(self.registry, OnlineUseTracker(), self.limiter, RegionMap({})),
             ItemsAtRunners(lambda runner: 0, lambda runner: None),
             lambda: world.leading == name,
             random.Random(world.random.random()),
--- a/src/rainsail/jobs/dispatcher.py
+++ b/src/rainsail/jobs/dispatcher.py
@@ -17,7 +17,7 @@
 from rainsail.jobs.preemptor import Preemptor
 from rainsail.jobs.progress_keeper import ProgressKeeper
 from rainsail.relay.table import RoutingTable
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
 
 DISPATCH_PERIOD_S = 0.05
 """Time between two rounds.
@@ -84,7 +84,7 @@
         return self._planner
 
     @property
-    def online(self) -> OnlineUseBook:
+    def online(self) -> OnlineUseTracker:
         """The online work at each runner, as gateways report it."""
         return self._state.slots.online
 
--- a/src/rainsail/jobs/placement_service.py
+++ b/src/rainsail/jobs/placement_service.py
@@ -17,10 +17,10 @@
 from rainsail.logs import logger
 from rainsail.node_metrics import NodeMetrics
 from rainsail.routing.messages import OnlineUse, Placement, PlaceRequest, RunnerUnsound, ServiceLoad
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
+from rainsail.routing.outlier_ejection import OutlierDetector
 from rainsail.routing.placer import Placer
 from rainsail.routing.residency import RegionMap
-from rainsail.routing.soundness import SoundnessBook
 from rainsail.routing.warm_up_limiter import WarmUpLimiter
 from rainsail.runtime.clock import Clock
 from rainsail.wire.messenger import Messenger
@@ -55,7 +55,7 @@
     """What is known of the runners: their records, online work, warm-ups and regions."""
 
     registry: RunnerRegistry
-    online: OnlineUseBook
+    online: OnlineUseTracker
     warm_ups: WarmUpLimiter
     regions: RegionMap
 
@@ -99,12 +99,12 @@
         self._fleet = fleet
         self._leads = leads
         self._metrics = metrics
-        self._soundness = SoundnessBook()
+        self._outliers = OutlierDetector()
         self._placer = Placer(
             fleet.registry,
             fleet.online,
             items.count_at,
-            self._soundness,
+            self._outliers,
             fleet.warm_ups,
             fleet.regions,
             random,
@@ -121,14 +121,14 @@
 
     def on_leadership_changed(self) -> None:
         """Forget what was learnt under another leadership."""
-        self._soundness.clear()
+        self._outliers.clear()
         self._busy_services.clear()
         self._loads.clear()
         self._fleet.warm_ups.begin(self._clock.seconds())
 
     def on_runner_restarted(self, runner: str) -> None:
         """Forget the failures of a runner before it restarted."""
-        self._soundness.forget(runner)
+        self._outliers.forget(runner)
 
     # --- reports -------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         """Have all gateways leave out the runners that fail too often, over all reports."""
         now = self._clock.seconds()
         for each in message.outcomes:
-            out_s = self._soundness.saw(each.runner, each.answered, each.failed, now)
+            out_s = self._outliers.record(each.runner, each.answered, each.failed, now)
             if out_s is not None:
                 logger.bind(runner=each.runner, out_s=out_s).info("runner_unsound")
                 self._metrics.count("runners_unsound")
--- a/src/rainsail/jobs/runner_slots.py
+++ b/src/rainsail/jobs/runner_slots.py
@@ -10,7 +10,7 @@
 from rainsail.jobs.settings import DispatchSettings
 from rainsail.jobs.slot_use import SlotUse
 from rainsail.routing.facts import ServerLoad
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
 from rainsail.routing.warm_up_limiter import WarmUpLimiter
 
 
@@ -20,7 +20,7 @@
     def __init__(
         self, warm_ups: WarmUpLimiter, settings: DispatchSettings, running: RunningItems
     ) -> None:
-        self.online = OnlineUseBook()
+        self.online = OnlineUseTracker()
         self._warm_ups = warm_ups
         self._settings = settings
         self._running = running
--- a/src/rainsail/routing/online_use.py
+++ b/src/rainsail/routing/online_use.py
@@ -29,7 +29,7 @@
     at_s: float
 
 
-class OnlineUseBook:
+class OnlineUseTracker:
     """Sums over gateways; each report of a gateway replaces its last."""
 
     def __init__(self) -> None:
--- a/src/rainsail/routing/soundness.py
+++ b/src/rainsail/routing/outlier_ejection.py
@@ -62,8 +62,8 @@
         self.at_s = now
 
 
-class SoundnessBook:
-    """Failures by runner."""
+class OutlierDetector:
+    """Decides which runners fail more often than others, by their decayed outcomes."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
@@ -76,7 +76,7 @@
         """Forget a runner that has started again."""
         self._records.pop(runner, None)
 
-    def saw(self, runner: str, answered: int, failed: int, now: float) -> float | None:
+    def record(self, runner: str, answered: int, failed: int, now: float) -> float | None:
         """Count outcomes; return for how many seconds they eject the runner, None if they don't."""
         record = self._records.setdefault(runner, _Record())
         record.add(answered, failed, now)
@@ -94,12 +94,12 @@
         record.answered = record.failed = 0.0
         return out_s
 
-    def is_out(self, runner: str, now: float) -> bool:
+    def is_ejected(self, runner: str, now: float) -> bool:
         """Tell whether a runner is ejected."""
         record = self._records.get(runner)
         return record is not None and record.ejected_until_s > now
 
-    def sound(self, runners: list[str], now: float) -> list[str]:
+    def not_ejected(self, runners: list[str], now: float) -> list[str]:
         """Return the runners that are not ejected, all if too many are."""
-        kept = [runner for runner in runners if not self.is_out(runner, now)]
+        kept = [runner for runner in runners if not self.is_ejected(runner, now)]
         return kept if len(kept) >= (1 - MOST_EJECTED_SHARE) * len(runners) else runners
--- a/src/rainsail/routing/placer.py
+++ b/src/rainsail/routing/placer.py
@@ -13,9 +13,9 @@
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.routing.messages import Placement, PlaceRequest
-from rainsail.routing.online_use import OnlineUseBook
+from rainsail.routing.online_use import OnlineUseTracker
+from rainsail.routing.outlier_ejection import OutlierDetector
 from rainsail.routing.residency import RegionMap
-from rainsail.routing.soundness import SoundnessBook
 from rainsail.routing.warm_up_limiter import WarmUpLimiter
 
 MOST_COMPARED = 64
@@ -33,9 +33,9 @@
     def __init__(
         self,
         registry: RunnerRegistry,
-        online: OnlineUseBook,
+        online: OnlineUseTracker,
         items: Callable[[str], int],
-        soundness: SoundnessBook,
+        outliers: OutlierDetector,
         warm_ups: WarmUpLimiter,
         regions: RegionMap,
         random: Random,
@@ -46,7 +46,7 @@
         self._registry = registry
         self._online = online
         self._items = items
-        self._soundness = soundness
+        self._outliers = outliers
         self._warm_ups = warm_ups
         self._regions = regions
         self._random = random
@@ -83,7 +83,7 @@
             for each in records
             if each.runner not in avoided and self._warm_ups.may_send(each, now)
         }
-        compared = self._soundness.sound(list(allowed), now)
+        compared = self._outliers.not_ejected(list(allowed), now)
         if len(compared) > MOST_COMPARED:
             compared = self._random.sample(compared, MOST_COMPARED)
         if not compared:
