--- a/features/steps/controllers_departures_steps.py
+++ b/features/steps/controllers_departures_steps.py
@@ -4,7 +4,7 @@
 from features.support.controllers import Fleet
 from features.support.state import bodies, job_spec
 
-from rainsail.control.controllers.machines import MachineState
+from rainsail.control.controllers.machines import WatchedMachineState
 from rainsail.resources.specs import GatewaySpec, Kind
 from rainsail.state.commands import AddItems, CancelJob, OpenJob, SealJob
 
@@ -23,19 +23,19 @@
 
 @given("the placement's machine list says that the first runner's machine is leaving")
 def step_leaving(context):
-    context.fleet.machines.states[FIRST] = MachineState.LEAVING
+    context.fleet.machines.states[FIRST] = WatchedMachineState.LEAVING
 
 
 @when("the placement's first runner dies and the machine list still calls it live")
 def step_dies(context):
-    context.fleet.machines.states[FIRST] = MachineState.LIVE
+    context.fleet.machines.states[FIRST] = WatchedMachineState.LIVE
     context.fleet.engines[FIRST].version = ""
     context.fleet.report(FIRST, reachable=False)
 
 
 @when("the placement's machine list learns that the first runner's machine is gone")
 def step_gone(context):
-    context.fleet.machines.states[FIRST] = MachineState.GONE
+    context.fleet.machines.states[FIRST] = WatchedMachineState.GONE
 
 
 @then("the other runners of the placement answer with {version}")
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -14,7 +14,7 @@
 from rainsail.control.config_view import ConfigView
 from rainsail.control.leader_client import LeaderClient
 from rainsail.control.operator_api import OperatorApi
-from rainsail.control.operator_auth import Caller
+from rainsail.control.operator_auth import AuthenticatedCaller
 from rainsail.control.operator_site import make_operator_site
 from rainsail.control.service import ControlService
 from rainsail.control.settings import ControlSettings
@@ -350,7 +350,10 @@
             fleet.client(f"api-{replica}"),
             fleet.clock,
             fleet.settings,
-            authenticate={"key": Caller("", True), "north-key": Caller("north", False)}.get,
+            authenticate={
+                "key": AuthenticatedCaller("", True),
+                "north-key": AuthenticatedCaller("north", False),
+            }.get,
             metrics=lambda: b"rainsail_up 1\n",
             random=random.Random(replica),
             wall_clock=fleet.clock.seconds,
--- a/features/support/controllers.py
+++ b/features/support/controllers.py
@@ -7,9 +7,9 @@
 from expression import Ok
 from twisted.internet.defer import Deferred
 
-from rainsail.control.controllers.machines import MachineState
+from rainsail.control.controllers.machines import WatchedMachineState
 from rainsail.control.controllers.manager import ControllerManager
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.resources.specs import (
     AdapterSpec,
     Kind,
@@ -99,9 +99,9 @@
     """A machine list that tells the states it was given."""
 
     def __init__(self) -> None:
-        self.states: dict[str, MachineState] = {}
+        self.states: dict[str, WatchedMachineState] = {}
 
-    def machine_state(self, name: str) -> MachineState | None:
+    def machine_state(self, name: str) -> WatchedMachineState | None:
         """Return the stated state."""
         return self.states.get(name)
 
@@ -118,7 +118,7 @@
         self.state = ReplicatedState()
         self.group = InMemoryGroup(self.clock, self.state)
         self.machines = MachineList()
-        self.settings = ControllerSettings(**settings)
+        self.settings = ReconcilerSettings(**settings)
         self.manager = ControllerManager(
             self.group,
             self.state,
--- a/src/rainsail/assembly/daemon.py
+++ b/src/rainsail/assembly/daemon.py
@@ -6,7 +6,7 @@
 from rainsail.assembly.process import Process
 from rainsail.assembly.roles import GatewayRole, ReplicaRole
 from rainsail.settings.model import ProcessSettings
-from rainsail.settings.process import EngineEntry, GatewayEntry, Role
+from rainsail.settings.process import EngineEntry, GatewayEntry, RoleName
 from rainsail.wire.address import parse_address
 
 
@@ -22,11 +22,11 @@
 def build_roles(settings: ProcessSettings, process: Process, reactor: object) -> None:
     """Add the roles that the settings name to a process."""
     roles = settings.process.roles
-    if Role.EMULATOR in roles and settings.engines:
+    if RoleName.EMULATOR in roles and settings.engines:
         process.roles.append(EmulatorRole(settings, _own_engines(settings), reactor))
-    if Role.REPLICA in roles:
+    if RoleName.REPLICA in roles:
         process.roles.append(_replica_role(settings, process, reactor))
-    if Role.GATEWAY in roles:
+    if RoleName.GATEWAY in roles:
         process.roles.append(GatewayRole(settings, _gateway_entry(settings), reactor))
 
 
--- a/src/rainsail/assembly/machine_watch.py
+++ b/src/rainsail/assembly/machine_watch.py
@@ -4,7 +4,7 @@
 
 from expression import Result
 
-from rainsail.control.controllers.machines import MachineState
+from rainsail.control.controllers.machines import WatchedMachineState
 from rainsail.errors import Fault
 from rainsail.machines import machine_list
 from rainsail.machines.machine_list import Machine, MachineListClient
@@ -24,7 +24,7 @@
     def __init__(self, client: MachineListClient, clock: Clock) -> None:
         self._client = client
         self._clock = clock
-        self._states: dict[str, MachineState] = {}
+        self._states: dict[str, WatchedMachineState] = {}
         self._timer: Any = None
         self._stopped = False
 
@@ -38,7 +38,7 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def machine_state(self, name: str) -> MachineState | None:
+    def machine_state(self, name: str) -> WatchedMachineState | None:
         """Return what is known of a machine; None when it was never listed."""
         return self._states.get(name)
 
@@ -52,11 +52,11 @@
     def _replace(self, machines: tuple[Machine, ...]) -> None:
         listed = {machine.name: _state(machine) for machine in machines}
         for name in self._states:
-            listed.setdefault(name, MachineState.GONE)
+            listed.setdefault(name, WatchedMachineState.GONE)
         self._states = listed
 
 
-def _state(machine: Machine) -> MachineState:
+def _state(machine: Machine) -> WatchedMachineState:
     if machine.state == machine_list.MachineState.LEAVING:
-        return MachineState.LEAVING
-    return MachineState.LIVE
+        return WatchedMachineState.LEAVING
+    return WatchedMachineState.LIVE
--- a/src/rainsail/assembly/process.py
+++ b/src/rainsail/assembly/process.py
@@ -10,7 +10,7 @@
 
 from rainsail.assembly.listening import listen_http
 from rainsail.assembly.role_metrics import register_role
-from rainsail.assembly.roles import Role
+from rainsail.assembly.roles import RunningRole
 from rainsail.errors import Fault
 from rainsail.logs import configure_logs, dump_on_signal, logger
 from rainsail.metrics import CONTENT_TYPE, Metrics
@@ -28,7 +28,7 @@
     def __init__(self, settings: ProcessSettings, reactor: Any) -> None:
         self._settings = settings
         self._reactor = reactor
-        self.roles: list[Role] = []
+        self.roles: list[RunningRole] = []
         self.exit_code = EXIT_DONE
         self._ready = False
         self._stopping = False
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -41,7 +41,7 @@
 """Time that answers get to leave at a planned stop, after the gateway's own grace time."""
 
 
-class Role(Protocol):
+class RunningRole(Protocol):
     """One role of a process."""
 
     name: str
--- a/src/rainsail/consensus/model_check.py
+++ b/src/rainsail/consensus/model_check.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Violation:
+class ModelViolation:
     """A property that did not hold; run ``--schedules 1 --seed SEED`` to see it again."""
 
     seed: int
@@ -28,7 +28,7 @@
 
     schedules: int = 0
     coverage: Coverage = field(default_factory=Coverage)
-    violations: list[Violation] = field(default_factory=list)
+    violations: list[ModelViolation] = field(default_factory=list)
 
 
 def run_schedule(seed: int, result: ModelCheckResult, steps: int = STEPS_PER_SCHEDULE) -> None:
@@ -38,10 +38,10 @@
     try:
         schedule.run(steps)
     except PropertyViolation as found:
-        violation = Violation(seed, world.coverage.steps, found.name, found.detail)
+        violation = ModelViolation(seed, world.coverage.steps, found.name, found.detail)
         result.violations.append(violation)
     except (AssertionError, ValueError, KeyError, IndexError) as error:
-        violation = Violation(
+        violation = ModelViolation(
             seed, world.coverage.steps, "internal-assertion", f"{type(error).__name__}: {error}"
         )
         result.violations.append(violation)
--- a/src/rainsail/control/controllers/loop.py
+++ b/src/rainsail/control/controllers/loop.py
@@ -13,7 +13,7 @@
 
 from rainsail.consensus.interface import Group
 from rainsail.control.controllers.planner import Planner
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.errors import Fault
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import CommandOutcome
@@ -33,7 +33,7 @@
         state: ReplicatedReader,
         clock: Clock,
         random: Random,
-        settings: ControllerSettings,
+        settings: ReconcilerSettings,
     ) -> None:
         self._planner = planner
         self._period_s = period_s
--- a/src/rainsail/control/controllers/machines.py
+++ b/src/rainsail/control/controllers/machines.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 
-class MachineState(StrEnum):
+class WatchedMachineState(StrEnum):
     """What the platform says of a machine."""
 
     LIVE = "live"
@@ -15,6 +15,6 @@
 class MachineView(Protocol):
     """The latest known machine list, by the name of the runner or process on the machine."""
 
-    def machine_state(self, name: str) -> MachineState | None:
+    def machine_state(self, name: str) -> WatchedMachineState | None:
         """Return a machine's state, or None when the list does not name it."""
         ...
--- a/src/rainsail/control/controllers/manager.py
+++ b/src/rainsail/control/controllers/manager.py
@@ -14,7 +14,7 @@
     GatewayRetentionPlanner,
     JobRetentionPlanner,
 )
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.resources.specs import Kind
 from rainsail.runtime.clock import Clock
 from rainsail.state.interface import ReplicatedReader
@@ -34,7 +34,7 @@
         state: ReplicatedReader,
         clock: Clock,
         random: Random,
-        settings: ControllerSettings,
+        settings: ReconcilerSettings,
         wall_clock: Callable[[], float],
         machine_list: MachineView | None = None,
     ) -> None:
--- a/src/rainsail/control/controllers/placement.py
+++ b/src/rainsail/control/controllers/placement.py
@@ -19,7 +19,7 @@
     ready_count,
 )
 from rainsail.control.controllers.runner_view import RunnerView, view_runners
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.resources.specs import (
     AdapterSpec,
     Condition,
@@ -53,7 +53,7 @@
 
     name = "placement"
 
-    def __init__(self, settings: ControllerSettings, machines: MachineView | None = None) -> None:
+    def __init__(self, settings: ReconcilerSettings, machines: MachineView | None = None) -> None:
         self._settings = settings
         self._machines = machines
         self._loads = FirstSeen()
--- a/src/rainsail/control/controllers/retention.py
+++ b/src/rainsail/control/controllers/retention.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from rainsail.control.controllers.planner import FirstSeen
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.resources.specs import Kind
 from rainsail.state.commands import Command, DeleteResource, ForgetJob, JobPhase, JobView
 from rainsail.state.interface import ReplicatedReader
@@ -21,7 +21,7 @@
 
     name = "job_retention"
 
-    def __init__(self, settings: ControllerSettings) -> None:
+    def __init__(self, settings: ReconcilerSettings) -> None:
         self._settings = settings
         self._seen = FirstSeen()
 
@@ -50,7 +50,7 @@
 
     name = "gateway_retention"
 
-    def __init__(self, settings: ControllerSettings) -> None:
+    def __init__(self, settings: ReconcilerSettings) -> None:
         self._settings = settings
         self._last_seen: GatewayLastSeen | None = None
         self._seen = FirstSeen()
--- a/src/rainsail/control/controllers/runner_view.py
+++ b/src/rainsail/control/controllers/runner_view.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rainsail.control.controllers.machines import MachineState, MachineView
+from rainsail.control.controllers.machines import MachineView, WatchedMachineState
 from rainsail.resources.specs import Kind, Resource, RunnerSpec, RunnerStatus
 from rainsail.state.interface import ReplicatedReader
 
@@ -54,7 +54,7 @@
     if isinstance(spec, RunnerSpec) and spec.drain:
         return True
     state = None if machines is None else machines.machine_state(resource.key.name)
-    return state in (MachineState.LEAVING, MachineState.GONE)
+    return state in (WatchedMachineState.LEAVING, WatchedMachineState.GONE)
 
 
 def view_runners(state: ReplicatedReader, machines: MachineView | None) -> list[RunnerView]:
--- a/src/rainsail/control/controllers/settings.py
+++ b/src/rainsail/control/controllers/settings.py
@@ -3,7 +3,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 
-class ControllerSettings(BaseModel):
+class ReconcilerSettings(BaseModel):
     """Periods in seconds and bounds of the reconcile loops; the same on every replica."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
--- a/src/rainsail/control/job_endpoints.py
+++ b/src/rainsail/control/job_endpoints.py
@@ -12,7 +12,7 @@
 from rainsail.batch.settings import BatchSettings
 from rainsail.control.interface import ControlClient
 from rainsail.control.messages import JobsRequest, ResultsReply, ResultsRequest
-from rainsail.control.operator_auth import Caller
+from rainsail.control.operator_auth import AuthenticatedCaller
 from rainsail.control.operator_gate import may_use_tenant
 from rainsail.control.resource_json import JsonObject
 from rainsail.errors import Fault, FaultCode
@@ -51,7 +51,7 @@
         self._wall_clock = wall_clock
         self._timeout_s = timeout_s
 
-    async def submit(self, caller: Caller, body: JsonObject) -> Result[JobView, Fault]:
+    async def submit(self, caller: AuthenticatedCaller, body: JsonObject) -> Result[JobView, Fault]:
         """Store and accept a job; the same key with the same content is the same job."""
         try:
             job = JobBody.model_validate_json(json.dumps(body), strict=True)
@@ -67,7 +67,7 @@
             tenant, job.job_key, job.service, job.items, deadline_unix_s, job.adapter
         )
 
-    async def read_all(self, caller: Caller) -> Result[list[JobView], Fault]:
+    async def read_all(self, caller: AuthenticatedCaller) -> Result[list[JobView], Fault]:
         """Read all jobs that the caller may see, in id order."""
         tenant = "" if caller.operator else caller.tenant
         found: list[JobView] = []
@@ -78,7 +78,7 @@
             found += reply.ok.jobs
         return Ok(sorted(found, key=lambda job: job.job_id))
 
-    async def read_one(self, caller: Caller, job_id: str) -> Result[JobView, Fault]:
+    async def read_one(self, caller: AuthenticatedCaller, job_id: str) -> Result[JobView, Fault]:
         """Read one job; NOT_FOUND also when the caller may not see it."""
         request = JobsRequest(group_of_job(job_id, self._batch.groups), job_id)
         reply = await self._client.call(request, self._timeout_s)
@@ -90,7 +90,7 @@
         return Error(Fault(FaultCode.NOT_FOUND, STEP, f"no job {job_id!r}"))
 
     async def results(
-        self, caller: Caller, job_id: str, first_index: int, limit: int
+        self, caller: AuthenticatedCaller, job_id: str, first_index: int, limit: int
     ) -> Result[ResultsReply, Fault]:
         """Read a page of finished items."""
         job = await self.read_one(caller, job_id)
@@ -100,7 +100,9 @@
         request = ResultsRequest(group, job_id, first_index, limit)
         return await self._client.call(request, self._timeout_s)
 
-    async def cancel(self, caller: Caller, job_id: str, change_id: str) -> Result[JobView, Fault]:
+    async def cancel(
+        self, caller: AuthenticatedCaller, job_id: str, change_id: str
+    ) -> Result[JobView, Fault]:
         """Cancel a job; cancelling again is the same change."""
         job = await self.read_one(caller, job_id)
         if job.is_error():
--- a/src/rainsail/control/operator_auth.py
+++ b/src/rainsail/control/operator_auth.py
@@ -10,14 +10,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caller:
+class AuthenticatedCaller:
     """An authenticated caller: its tenant (empty for a fleet operator), and whether it operates."""
 
     tenant: str
     operator: bool
 
 
-Authenticator = Callable[[str], Caller | None]
+Authenticator = Callable[[str], AuthenticatedCaller | None]
 """Takes a bearer token; None when it is unknown."""
 
 
@@ -33,15 +33,15 @@
         self._state = state
         self._operator_key_hashes = operator_key_hashes
 
-    def __call__(self, token: str) -> Caller | None:
+    def __call__(self, token: str) -> AuthenticatedCaller | None:
         """Return the caller with that key, or None."""
         digest = key_hash(token)
         if _contains(self._operator_key_hashes, digest):
-            return Caller("", True)
+            return AuthenticatedCaller("", True)
         for resource in self._state.list_resources(Kind.TENANT):
             spec = resource.spec
             if isinstance(spec, TenantSpec) and _contains(spec.key_hashes, digest):
-                return Caller(resource.key.name, spec.operator)
+                return AuthenticatedCaller(resource.key.name, spec.operator)
         return None
 
 
--- a/src/rainsail/control/operator_gate.py
+++ b/src/rainsail/control/operator_gate.py
@@ -5,7 +5,7 @@
 from expression import Error, Ok, Result
 
 from rainsail.control.http_bodies import bearer_token
-from rainsail.control.operator_auth import Authenticator, Caller
+from rainsail.control.operator_auth import AuthenticatedCaller, Authenticator
 from rainsail.errors import Fault, FaultCode
 
 STEP = "operator_api.access"
@@ -17,14 +17,14 @@
     def __init__(self, authenticate: Authenticator) -> None:
         self._authenticate = authenticate
 
-    def caller(self, request: Any) -> Result[Caller, Fault]:
+    def caller(self, request: Any) -> Result[AuthenticatedCaller, Fault]:
         """Return who calls, or UNAUTHENTICATED."""
         caller = self._authenticate(bearer_token(request))
         if caller is None:
             return Error(Fault(FaultCode.UNAUTHENTICATED, STEP, "the bearer token is not known"))
         return Ok(caller)
 
-    def operator(self, request: Any) -> Result[Caller, Fault]:
+    def operator(self, request: Any) -> Result[AuthenticatedCaller, Fault]:
         """Return who calls when it is an operator, else FORBIDDEN."""
         caller = self.caller(request)
         if caller.is_ok() and not caller.ok.operator:
@@ -32,6 +32,6 @@
         return caller
 
 
-def may_use_tenant(caller: Caller, tenant: str) -> bool:
+def may_use_tenant(caller: AuthenticatedCaller, tenant: str) -> bool:
     """Tell whether the caller may see and change that tenant's jobs."""
     return caller.operator or caller.tenant == tenant
--- a/src/rainsail/settings/model.py
+++ b/src/rainsail/settings/model.py
@@ -11,7 +11,7 @@
 
 from rainsail.batch.settings import BatchSettings
 from rainsail.consensus.settings import ConsensusSettings
-from rainsail.control.controllers.settings import ControllerSettings
+from rainsail.control.controllers.settings import ReconcilerSettings
 from rainsail.control.settings import ControlSettings
 from rainsail.emulator.settings import EngineSettings, MachineListSettings, WeightStoreSettings
 from rainsail.experiment.trace.settings import RecordingSettings
@@ -29,7 +29,7 @@
     PlatformSection,
     ProcessSection,
     ReplicaEntry,
-    Role,
+    RoleName,
 )
 from rainsail.state.settings import StateSettings
 from rainsail.storage.settings import StorageSettings
@@ -79,8 +79,8 @@
         default=ControlSettings.model_validate({}),
         description="Resources, watches and their clients",
     )
-    controllers: ControllerSettings = Field(
-        default=ControllerSettings.model_validate({}), description="Reconcile loops of the leader"
+    controllers: ReconcilerSettings = Field(
+        default=ReconcilerSettings.model_validate({}), description="Reconcile loops of the leader"
     )
     state: StateSettings = Field(
         default=StateSettings.model_validate({}), description="The replicated state"
@@ -155,7 +155,7 @@
 
     def _check_replica_role(self) -> None:
         names = [entry.name for entry in self.replicas]
-        if Role.REPLICA not in self.process.roles or not names:
+        if RoleName.REPLICA not in self.process.roles or not names:
             return
         if self.process.name not in names and not self.gateways:
             raise ValueError(
--- a/src/rainsail/settings/process.py
+++ b/src/rainsail/settings/process.py
@@ -24,7 +24,7 @@
 """``IP:PORT`` with an IP number, never a host name."""
 
 
-class Role(StrEnum):
+class RoleName(StrEnum):
     """What a process does."""
 
     REPLICA = "replica"
@@ -41,8 +41,8 @@
     fleet: Name = Field(description="Name of the fleet; processes of other fleets are refused")
     region: Name = Field(default="local", description="Region that the process stands in")
     zone: Name = Field(description="Zone that the process stands in")
-    roles: tuple[Role, ...] = Field(
-        default=(Role.REPLICA, Role.GATEWAY, Role.EMULATOR),
+    roles: tuple[RoleName, ...] = Field(
+        default=(RoleName.REPLICA, RoleName.GATEWAY, RoleName.EMULATOR),
         min_length=1,
         description="Roles of `rainsail run`: replica, gateway, emulator; `up` runs all",
     )
--- a/src/rainsail/simulation/defects.py
+++ b/src/rainsail/simulation/defects.py
@@ -33,7 +33,7 @@
 from rainsail.state.commands import ClaimResult, CommitVerdict, JobPhase
 from rainsail.state.item_leases import ItemLeases
 from rainsail.state.job_items import COMPLETED
-from rainsail.state.ledger import Ledger
+from rainsail.state.ledger import BatchLedger
 
 Replacement = Callable[[Any], Any]
 """Takes the original and returns what stands in for it."""
@@ -234,13 +234,13 @@
         "no-job-key",
         ("exactly_once",),
         "a re-sent job becomes another job",
-        (Patch(Ledger, "open", _open_without_key),),
+        (Patch(BatchLedger, "open", _open_without_key),),
     ),
     Defect(
         "cancel-not-revoking",
         ("cancellation",),
         "a cancel is answered but the job's items run on",
-        (Patch(Ledger, "cancel", _cancel_in_name_only),),
+        (Patch(BatchLedger, "cancel", _cancel_in_name_only),),
     ),
     Defect(
         "lease-never-lapses",
--- a/src/rainsail/state/job.py
+++ b/src/rainsail/state/job.py
@@ -33,7 +33,7 @@
 
 @wire_type("ItemNote")
 @dataclass(frozen=True, slots=True)
-class ItemNote:
+class UnfinishedItem:
     """What is kept of a few unfinished items: failed attempts and what they generated."""
 
     index: int
@@ -52,7 +52,7 @@
     sequence: int
     item_phases: bytes
     leases: tuple[Lease, ...]
-    notes: tuple[ItemNote, ...]
+    notes: tuple[UnfinishedItem, ...]
 
 
 class Job:
@@ -81,7 +81,7 @@
         self.items = JobItems(spec.item_count)
         self.results = ResultLog(spec.item_count)
         self.leases: dict[int, Lease] = {}
-        self.notes: dict[int, ItemNote] = {}
+        self.notes: dict[int, UnfinishedItem] = {}
         self.pending = 0
         self.completed = 0
         self.set_aside = 0
@@ -104,9 +104,9 @@
             self.cancelled,
         )
 
-    def note(self, index: int) -> ItemNote:
+    def note(self, index: int) -> UnfinishedItem:
         """Return what is kept of an item; most items have nothing."""
-        return self.notes.get(index) or ItemNote(index, 0, "")
+        return self.notes.get(index) or UnfinishedItem(index, 0, "")
 
     def leased_item(self, lease: Lease, body: ItemBody) -> LeasedItem:
         """Return an item as it is handed to the holder of its lease."""
@@ -119,7 +119,7 @@
             self.note(lease.index).generated_prefix,
         )
 
-    def keep_note(self, note: ItemNote) -> None:
+    def keep_note(self, note: UnfinishedItem) -> None:
         """Keep a note of an item, or nothing when it says nothing."""
         if note.attempts or note.generated_prefix:
             self.notes[note.index] = note
--- a/src/rainsail/state/ledger.py
+++ b/src/rainsail/state/ledger.py
@@ -39,7 +39,7 @@
     return (spec.tenant, spec.job_key)
 
 
-class Ledger:
+class BatchLedger:
     """All jobs by id and by the callers' keys."""
 
     def __init__(
--- a/src/rainsail/state/machine.py
+++ b/src/rainsail/state/machine.py
@@ -38,7 +38,7 @@
     SessionView,
 )
 from rainsail.state.interface import ResultRow
-from rainsail.state.ledger import Ledger
+from rainsail.state.ledger import BatchLedger
 from rainsail.state.resource_store import ResourceStore, StoredEvent, StoreRevisions
 from rainsail.state.sessions import SessionFenceFloor, SessionStore, StoredSession
 from rainsail.state.settings import StateSettings
@@ -64,7 +64,7 @@
         self._applied_index = 0
         self._resources = ResourceStore(self._settings.event_window_count)
         self._changes = ChangeWindow(self._settings.change_window_count)
-        self._ledger = Ledger(self._settings, self._tenant_weight)
+        self._ledger = BatchLedger(self._settings, self._tenant_weight)
         self._claims = ClaimStore(self._settings)
         self._sessions = SessionStore()
         self._appliers = self._make_appliers()
