--- a/features/steps/gateway_socket_steps.py
+++ b/features/steps/gateway_socket_steps.py
@@ -73,7 +73,7 @@
 
 def _is_paused(context):
     run = _run(context)
-    return run is not None and run._attempt._paused
+    return run is not None and run.attempt._paused
 
 
 @when("the gateway on sockets stops reading from the engine")
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -291,7 +291,7 @@
     given_to = {caller.request.request_id: caller.text for caller in context.fleet.callers}
     for run in runs:
         assert run._delivery.text == given_to[run.caller.request_id]
-        assert not run._attempt._attempt._held
+        assert not run.attempt._attempt._held
 
 
 @then("every gateway caller has been given less than {tokens:d} tokens")
--- a/src/rainsail/gateway/core.py
+++ b/src/rainsail/gateway/core.py
@@ -192,14 +192,14 @@
 
     def _engine_restarted(self, runner: str) -> None:
         for run in list(self._runs):
-            run.engine_restarted(runner)
+            run.attempt.engine_restarted(runner)
 
     def _sweep(self) -> None:
         if self._stopped:
             return
         now_s = self._clock.seconds()
         for run in list(self._runs):
-            run.check_stalled(now_s)
+            run.attempt.check_stalled(now_s)
         self._clock.callLater(SWEEP_PERIOD_S, self._sweep)
 
     # --- planned stop ---------------------------------------------------------------------------
--- /dev/null
+++ b/src/rainsail/gateway/request_attempts.py
@@ -0,0 +1,136 @@
+"""Places and sends the attempts of one caller's request, one at a time.
+
+It finds the runner (by routing, or the session's), and owns the attempt under way and the list of
+runners that have failed. ``RequestRun``, its owner, decides what follows an attempt.
+"""
+
+from typing import Protocol
+
+from expression import Result
+
+from rainsail.engine.interface import AttemptEnd
+from rainsail.errors import Fault, FaultCode
+from rainsail.gateway.answer_delivery import AnswerDelivery
+from rainsail.gateway.attempt_sender import AttemptSender
+from rainsail.gateway.attempts import Attempt, AttemptResult
+from rainsail.gateway.current_attempt import CurrentAttempt
+from rainsail.gateway.interface import CallerRequest
+from rainsail.gateway.refusals import no_lease
+from rainsail.gateway.request_decisions import (
+    STEP,
+    Failure,
+    RecordedAnswer,
+    decide_after_last_turn,
+)
+from rainsail.gateway.run_context import RunContext
+from rainsail.gateway.session_order import SessionTurn
+from rainsail.gateway.sessions import SessionPlace
+
+
+class RequestAttemptsOwner(Protocol):
+    """The request whose attempts these are."""
+
+    @property
+    def ended(self) -> bool:
+        """Whether the request has ended, so that nothing more is sent."""
+        ...
+
+    def on_sending(self) -> None:
+        """An attempt is about to be sent."""
+        ...
+
+    def on_not_placed(self, failure: Failure) -> None:
+        """No attempt can be sent now."""
+        ...
+
+    def on_answered_before(self, found: RecordedAnswer | Fault) -> None:
+        """The session's last turn has this request's id: its answer, or a conflict."""
+        ...
+
+    def on_whole_answer(self, runner: str, end: AttemptEnd) -> None:
+        """An attempt has brought the whole answer."""
+        ...
+
+    def on_failed_attempt(self, runner: str, end: AttemptEnd) -> None:
+        """An attempt has ended without the whole answer."""
+        ...
+
+
+class RequestAttempts:
+    """The attempts of one request; implements ``AttemptOwner``."""
+
+    def __init__(
+        self,
+        context: RunContext,
+        caller: CallerRequest,
+        sender: AttemptSender,
+        delivery: AnswerDelivery,
+        owner: RequestAttemptsOwner,
+    ) -> None:
+        self._context = context
+        self._caller = caller
+        self._sender = sender
+        self._delivery = delivery
+        self._owner = owner
+        self.current = CurrentAttempt(context)
+
+    def place(self, turn: SessionTurn | None) -> None:
+        """Find a runner and send the next attempt to it; ``turn`` is None outside sessions."""
+        if self._owner.ended:
+            return
+        if not self._context.config.lease_valid():
+            refusal = no_lease(STEP)
+            failure = Failure(refusal.code, refusal.detail, retry_after_s=refusal.retry_after_s)
+            self._owner.on_not_placed(failure)
+        elif turn is not None:
+            done = self._context.sessions.place(turn, self.current.failed_runners)
+            done.addCallback(self._session_placed)
+        else:
+            self._route()
+
+    def _route(self) -> None:
+        decision = self._sender.route(self.current.failed_runners)
+        if decision.runner:
+            self._send(decision.runner, self._caller.prompt, 0)
+            return
+        detail = "no runner takes this request now"
+        self._owner.on_not_placed(Failure(FaultCode.UNAVAILABLE, detail))
+
+    def _session_placed(self, reply: Result[SessionPlace, Fault]) -> None:
+        if self._owner.ended:
+            return
+        if reply.is_error():
+            fault = reply.error
+            failure = Failure(fault.code, fault.detail, fault.peer, fault.retry_after_s)
+            self._owner.on_not_placed(failure)
+            return
+        place = reply.ok
+        if not self._sender.sent:
+            found = decide_after_last_turn(place.last_turn, self._caller)
+            if found is not None:
+                self._owner.on_answered_before(found)
+                return
+        self._send(place.runner, place.transcript + self._caller.prompt, place.fence)
+
+    def _send(self, runner: str, prompt: str, fence: int) -> None:
+        attempt = self._sender.prepare(self, runner, prompt, fence, self._delivery.text)
+        if attempt is None:
+            failure = Failure(FaultCode.UNAVAILABLE, "the runner is gone", runner)
+            self._owner.on_not_placed(failure)
+            return
+        self._owner.on_sending()
+        self.current.start(attempt)
+
+    def on_part(self, text: str, tokens: int) -> None:
+        """Pass the next part on to the caller (called for every chunk)."""
+        self._delivery.add(text, tokens)
+
+    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd) -> None:
+        """Count the attempt's end and pass it on, unless another attempt has replaced it."""
+        if not self.current.is_current(attempt):
+            return
+        self.current.end(attempt, result, end)
+        if result == AttemptResult.WHOLE:
+            self._owner.on_whole_answer(attempt.runner, end)
+        else:
+            self._owner.on_failed_attempt(attempt.runner, end)
--- /dev/null
+++ b/src/rainsail/gateway/request_decisions.py
@@ -0,0 +1,103 @@
+"""What follows each event of one caller's request. Pure.
+
+``RequestRun`` asks and acts; whether a failed attempt is followed by another is decided in
+``gateway.retry``.
+"""
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from rainsail.engine.interface import AttemptEnd
+from rainsail.errors import Fault, FaultCode, Outcome
+from rainsail.gateway import request as request_machine
+from rainsail.gateway.interface import CallerRequest
+from rainsail.gateway.retry import RetryReason
+from rainsail.state.commands import ClaimResult, Turn
+
+STEP = "gateway.request"
+
+
+@dataclass(frozen=True, slots=True)
+class RecordedAnswer:
+    """An earlier send of the same request has recorded this whole answer."""
+
+    text: str
+
+
+@dataclass(frozen=True, slots=True)
+class Failure:
+    """Why a request can't be answered; ``retry_after_s`` is in seconds, None: not known."""
+
+    code: FaultCode
+    detail: str
+    peer: str = ""
+    retry_after_s: float | None = None
+
+
+class AfterAbandon(StrEnum):
+    """What becomes of a request whose caller has left."""
+
+    FINISH_RECORDING = "the whole answer is recorded to its end"
+    FINISH_ATTEMPT = "the attempt runs on, so that its answer is recorded"
+    CANCEL = "the attempt is cancelled at its engine"
+
+
+def decide_after_claim(claim: ClaimResult) -> RecordedAnswer | Fault | None:
+    """Decide what the reply to a claim means; None: the claim is granted, the request goes on."""
+    if claim.granted:
+        return None
+    if claim.outcome == Outcome.COMPLETED:
+        return RecordedAnswer(claim.response)
+    detail = f"an earlier request with this id went through {claim.gateway}"
+    return Fault(FaultCode.CONFLICT, STEP, detail, outcome=Outcome.UNKNOWN)
+
+
+def decide_after_last_turn(
+    last_turn: Turn | None, caller: CallerRequest
+) -> RecordedAnswer | Fault | None:
+    """Compare a session's last turn with the request; None: the request is a new turn.
+
+    A turn that was recorded and is sent again gets its answer; other content is a conflict.
+    """
+    if last_turn is None or last_turn.request_id != caller.request_id:
+        return None
+    if last_turn.prompt == caller.prompt:
+        return RecordedAnswer(last_turn.answer)
+    return Fault(FaultCode.CONFLICT, STEP, "the session has another turn under this request id")
+
+
+def decide_after_abandon(
+    status: request_machine.RequestStatus, repeatable: bool, attempts_that_may_have_run: int
+) -> AfterAbandon:
+    """Decide what becomes of a request whose caller has left.
+
+    A non-repeatable request that was sent runs on, so that the caller's next question with the
+    same id gets the recorded answer; so does the recording of a whole answer.
+    """
+    if status is request_machine.RequestStatus.RECORDING:
+        return AfterAbandon.FINISH_RECORDING
+    if not repeatable and attempts_that_may_have_run:
+        return AfterAbandon.FINISH_ATTEMPT
+    return AfterAbandon.CANCEL
+
+
+def last_attempt_failure(end: AttemptEnd, runner: str, reason: RetryReason) -> Failure:
+    """Return why a request fails whose last attempt failed and is not followed by another."""
+    late = reason == RetryReason.DEADLINE
+    code = FaultCode.TIMEOUT if late else FaultCode.UNAVAILABLE
+    detail = f"{end.reason}: {end.detail}; {reason}"
+    return Failure(code, detail, runner, end.retry_after_s or None)
+
+
+def failure_fault(
+    failure: Failure, attempts_that_may_have_run: int, default_retry_s: float
+) -> Fault:
+    """Return the fault for the caller: whether anything may have run, and when to come back."""
+    outcome = request_machine.failure_outcome(attempts_that_may_have_run)
+    retry_s = failure.retry_after_s or default_retry_s
+    return Fault(failure.code, STEP, failure.detail, failure.peer, outcome, retry_s)
+
+
+def recording_fault(cause: Fault) -> Fault:
+    """Return the fault for a caller whose whole answer could not be recorded."""
+    return Fault(cause.code, STEP, cause.detail, cause.peer, Outcome.UNKNOWN)
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -1,4 +1,9 @@
-"""One caller's request from admission to its one final answer."""
+"""One caller's request from admission to its one final answer.
+
+``RequestRun`` drives the request's state machine. What to do is decided in ``request_decisions``
+and ``retry``; ``request_attempts`` places and sends, ``answer_recorder`` records, and
+``answer_delivery`` passes the answer on.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,27 +14,23 @@
 from rainsail.engine.prefix import count_tokens
 from rainsail.errors import Fault, FaultCode, Outcome
 from rainsail.gateway import request as request_machine
-from rainsail.gateway import retry
+from rainsail.gateway import request_decisions as decisions
 from rainsail.gateway.admission_queues import Ticket
 from rainsail.gateway.answer_delivery import AnswerDelivery
 from rainsail.gateway.answer_recorder import AnswerRecorder
 from rainsail.gateway.attempt_sender import NEVER_S, AttemptSender
-from rainsail.gateway.attempts import Attempt, AttemptResult
 from rainsail.gateway.claims import RequestClaim
-from rainsail.gateway.current_attempt import CurrentAttempt
 from rainsail.gateway.interface import CallerRequest, ResponseSink
-from rainsail.gateway.refusals import no_lease
+from rainsail.gateway.request_attempts import RequestAttempts
+from rainsail.gateway.request_decisions import STEP, AfterAbandon, Failure, RecordedAnswer
 from rainsail.gateway.run_context import RunContext
 from rainsail.gateway.session_order import SessionTurn
-from rainsail.gateway.sessions import SessionPlace
 from rainsail.resources.specs import RequestClass
-from rainsail.state.commands import ClaimResult, Turn
-
-STEP = "gateway.request"
+from rainsail.state.commands import ClaimResult
 
 
 class RequestRun:
-    """Runs one request; implements ``RequestHandle`` for its caller and ``AttemptOwner``."""
+    """Runs one request: ``RequestHandle`` for its caller, ``RequestAttemptsOwner``."""
 
     def __init__(
         self,
@@ -50,10 +51,11 @@
         self._deadline_s = now_s + caller.deadline_s if caller.deadline_s > 0 else NEVER_S
         run_id = context.next_id()
         self._sender = AttemptSender(context, caller, class_, self._deadline_s, run_id)
+        self._attempts = RequestAttempts(context, caller, self._sender, self._delivery, self)
+        self.attempt = self._attempts.current
         self._claim = RequestClaim(context.claims, caller, run_id)
         self._recorder = AnswerRecorder(context.sessions, self._claim, caller)
         self._turn: SessionTurn | None = None
-        self._attempt = CurrentAttempt(context)
         self._timers: list[Any] = []
         self._ticket = self._make_ticket()
 
@@ -101,8 +103,7 @@
 
     def _granted(self) -> None:
         if self.repeatable:
-            self._lifecycle.place()
-            self._place()
+            self._place_first()
             return
         self._lifecycle.claim()
         self._claim.take().addCallback(self._claim_answered)
@@ -110,117 +111,66 @@
     def _claim_answered(self, reply: Result[ClaimResult, Fault]) -> None:
         if self.ended:
             self._claim.end(Outcome.NOT_RUN)
-        elif reply.is_error():
+            return
+        if reply.is_error():
             self._fail(reply.error)
-        elif reply.ok.granted:
-            self._lifecycle.place()
-            self._place()
+            return
+        found = decisions.decide_after_claim(reply.ok)
+        if found is None:
+            self._place_first()
         else:
-            self._answer_from_first_claim(reply.ok)
+            self.on_answered_before(found)
 
-    def _answer_from_first_claim(self, first: ClaimResult) -> None:
-        if first.outcome != Outcome.COMPLETED:
-            detail = f"an earlier request with this id went through {first.gateway}"
-            self._fail(Fault(FaultCode.CONFLICT, STEP, detail, outcome=Outcome.UNKNOWN))
-            return
-        self._answer_recorded(first.response)
+    def _place_first(self) -> None:
+        self._lifecycle.place()
+        self._place()
 
-    def _answer_recorded(self, text: str) -> None:
-        """Answer with what an earlier send of this request has recorded."""
-        if text:
-            self.on_part(text, count_tokens(text))
-        self._lifecycle.record()
-        self._answer("stop", "")
+    def _place(self) -> None:
+        self._attempts.place(self._turn)
 
-    # --- attempts -------------------------------------------------------------------------------
+    # --- what comes of the attempts ---------------------------------------------------------------
 
-    def _place(self) -> None:
-        if self.ended:
-            return
-        if not self._context.config.lease_valid():
-            refusal = no_lease(STEP)
-            self._give_up(refusal.code, refusal.detail, "", refusal.retry_after_s)
-            return
-        if self._turn is not None:
-            done = self._context.sessions.place(self._turn, self._attempt.failed_runners)
-            done.addCallback(self._session_placed)
-            return
-        decision = self._sender.route(self._attempt.failed_runners)
-        if not decision.runner:
-            self._give_up(FaultCode.UNAVAILABLE, "no runner takes this request now", "")
+    def on_answered_before(self, found: RecordedAnswer | Fault) -> None:
+        """Answer with what an earlier send of this request has recorded, or with the conflict."""
+        if isinstance(found, Fault):
+            self._fail(found)
             return
-        self._send(decision.runner, self.caller.prompt, 0)
+        if found.text:
+            self._delivery.add(found.text, count_tokens(found.text))
+        self._lifecycle.record()
+        self._answer("stop", "")
 
-    def _session_placed(self, reply: Result[SessionPlace, Fault]) -> None:
-        if self.ended:
-            return
-        if reply.is_error():
-            fault = reply.error
-            self._give_up(fault.code, fault.detail, fault.peer, fault.retry_after_s)
-            return
-        place = reply.ok
-        if not self._sender.sent and self._is_recorded(place.last_turn):
-            return
-        self._send(place.runner, place.transcript + self.caller.prompt, place.fence)
-
-    def _is_recorded(self, last_turn: Turn | None) -> bool:
-        """Answer a turn that was recorded and is sent again; other content is a conflict."""
-        if last_turn is None or last_turn.request_id != self.caller.request_id:
-            return False
-        if last_turn.prompt == self.caller.prompt:
-            self._answer_recorded(last_turn.answer)
-        else:
-            detail = "the session has another turn under this request id"
-            self._fail(Fault(FaultCode.CONFLICT, STEP, detail))
-        return True
-
-    def _send(self, runner: str, prompt: str, fence: int) -> None:
-        attempt = self._sender.prepare(self, runner, prompt, fence, self._delivery.text)
-        if attempt is None:
-            self._give_up(FaultCode.UNAVAILABLE, "the runner is gone", runner)
-            return
+    def on_sending(self) -> None:
+        """Note that an attempt is sent."""
         self._lifecycle.run()
-        self._attempt.start(attempt)
 
-    def on_part(self, text: str, tokens: int) -> None:
-        """Pass the next part on to the caller (called for every chunk)."""
-        self._delivery.add(text, tokens)
+    def on_not_placed(self, failure: Failure) -> None:
+        """Fail: no attempt can be sent now."""
+        self._give_up(failure)
 
-    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd) -> None:
-        """Answer, or decide whether another attempt follows."""
-        if not self._attempt.is_current(attempt):
-            return
-        self._attempt.end(attempt, result, end)
-        if result == AttemptResult.WHOLE:
-            self._delivery.prompt_tokens = end.prompt_tokens or self._delivery.prompt_tokens
-            self._record_answer(end.reason.value, attempt.runner)
-            return
-        self._retry_or_fail(attempt.runner, end)
+    def on_whole_answer(self, runner: str, end: AttemptEnd) -> None:
+        """Record the answer before the caller hears its end."""
+        self._delivery.prompt_tokens = end.prompt_tokens or self._delivery.prompt_tokens
+        self._lifecycle.record()
+        done = self._recorder.record(self._turn, self._delivery.text)
+        done.addCallback(self._recorded, end.reason.value, runner)
 
-    def _retry_or_fail(self, runner: str, end: AttemptEnd) -> None:
-        decision = self._sender.decide_retry(self.repeatable)
-        if decision.again:
-            self._lifecycle.place()
-            self._later(decision.delay_s, self._place)
+    def on_failed_attempt(self, runner: str, end: AttemptEnd) -> None:
+        """Send another attempt after a delay, or fail."""
+        retry = self._sender.decide_retry(self.repeatable)
+        if not retry.again:
+            self._give_up(decisions.last_attempt_failure(end, runner, retry.reason))
             return
-        late = decision.reason == retry.RetryReason.DEADLINE
-        code = FaultCode.TIMEOUT if late else FaultCode.UNAVAILABLE
-        detail = f"{end.reason}: {end.detail}; {decision.reason}"
-        self._give_up(code, detail, runner, end.retry_after_s or None)
+        self._lifecycle.place()
+        self._later(retry.delay_s, self._place)
 
     # --- ends -----------------------------------------------------------------------------------
 
-    def _record_answer(self, finish_reason: str, runner: str) -> None:
-        self._lifecycle.record()
-        done = self._recorder.record(self._turn, self._delivery.text)
-        done.addCallback(self._recorded, finish_reason, runner)
-
     def _recorded(self, reply: Result[None, Fault], finish_reason: str, runner: str) -> None:
         if reply.is_ok():
             self._answer(finish_reason, runner)
             return
-        fault = reply.error
-        self._fail(Fault(fault.code, STEP, fault.detail, fault.peer, Outcome.UNKNOWN))
+        self._fail(decisions.recording_fault(reply.error))
 
     def _answer(self, finish_reason: str, runner: str) -> None:
         if self.ended:
@@ -228,19 +178,17 @@
         self._close()
         self._delivery.answer(finish_reason, runner)
 
-    def _give_up(
-        self, code: FaultCode, detail: str, peer: str, retry_after_s: float | None = None
-    ) -> None:
-        """End at once with the truth; the caller is told when to come back."""
-        outcome = request_machine.failure_outcome(self._attempt.may_have_run)
-        retry_s = retry_after_s or self._context.settings.retry.max_delay_s
-        self._fail(Fault(code, STEP, detail, peer, outcome, retry_s))
+    def _give_up(self, failure: Failure) -> None:
+        """End at once; the fault says whether anything may have run and when to come back."""
+        default_retry_s = self._context.settings.retry.max_delay_s
+        fault = decisions.failure_fault(failure, self.attempt.may_have_run, default_retry_s)
+        self._fail(fault)
 
     def _fail(self, fault: Fault) -> None:
         if self.ended:
             return
         self._claim.end(fault.outcome)
-        self._attempt.give_up()
+        self.attempt.give_up()
         self._close()
         self._delivery.fail(fault)
 
@@ -259,19 +207,17 @@
         self._on_ended(self)
 
     def _deadline_passed(self) -> None:
-        """Answer at once; what is being recorded is recorded to its end all the same."""
+        """Answer at once; an answer that is being recorded is recorded to its end all the same."""
         detail = "the deadline has passed"
-        if not self._is_recording():
-            self._give_up(FaultCode.TIMEOUT, detail, "")
+        if self.record.status is request_machine.RequestStatus.RECORDING:
+            fault = Fault(FaultCode.TIMEOUT, STEP, detail, outcome=Outcome.UNKNOWN)
+            self._delivery.fail(fault)
             return
-        self._delivery.fail(Fault(FaultCode.TIMEOUT, STEP, detail, outcome=Outcome.UNKNOWN))
-
-    def _is_recording(self) -> bool:
-        return self.record.status == request_machine.RequestStatus.RECORDING
+        self._give_up(Failure(FaultCode.TIMEOUT, detail))
 
     def cut(self, detail: str) -> None:
         """End the request because the gateway stops and the grace time has passed."""
-        self._give_up(FaultCode.UNAVAILABLE, detail, "")
+        self._give_up(Failure(FaultCode.UNAVAILABLE, detail))
 
     def _later(self, delay_s: float, call: Callable[[], None]) -> None:
         self._timers.append(self._context.clock.callLater(delay_s, call))
@@ -279,35 +225,22 @@
     # --- the caller's handle ----------------------------------------------------------------------
 
     def abandon(self) -> None:
-        """The caller has left: cancel at the engine; the sink hears nothing more.
-
-        A non-repeatable request that was sent runs on, so that the caller's next question with
-        the same id gets the recorded answer; so does the recording of a whole answer.
-        """
+        """Tell the sink nothing more, as the caller has left; cancel what need not be finished."""
         if self.ended:
             return
         self._delivery.drop_caller()
-        if self._is_recording():
-            return
-        if not self.repeatable and self._attempt.may_have_run:
+        next_step = decisions.decide_after_abandon(
+            self.record.status, self.repeatable, self.attempt.may_have_run
+        )
+        if next_step is AfterAbandon.FINISH_ATTEMPT:
             self.unpause()
-            return
-        self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller has left"))
+        elif next_step is AfterAbandon.CANCEL:
+            self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller has left"))
 
     def pause(self) -> None:
         """Stop reading from the engine."""
-        self._attempt.pause()
+        self.attempt.pause()
 
     def unpause(self) -> None:
         """Read from the engine again."""
-        self._attempt.unpause()
-
-    # --- what the gateway tells -------------------------------------------------------------------
-
-    def check_stalled(self, now_s: float) -> None:
-        """Look whether the stream has stalled."""
-        self._attempt.check_stalled(now_s)
-
-    def engine_restarted(self, runner: str) -> None:
-        """Take the attempt as broken when it ran on this runner."""
-        self._attempt.engine_restarted(runner)
+        self.attempt.unpause()
