--- /dev/null
+++ b/src/rainsail/gateway/engine_feeds.py
@@ -0,0 +1,93 @@
+"""The subscriptions to the load reports and cache events of the engines that a gateway follows.
+
+One feed for each runner; when a runner moves to another address its old feed is closed. Reports
+and events go into the runner's state.
+"""
+
+from random import Random
+
+from rainsail.engine.interface import EngineClient, LoadReport
+from rainsail.gateway.eligibility import EligibleCache
+from rainsail.gateway.engine_feed import EngineFeed
+from rainsail.gateway.fleet_listeners import FleetListeners
+from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.settings import FleetSettings
+from rainsail.runtime.clock import Clock
+
+
+class EngineFeeds:
+    """Feeds by runner, and runners by their engine's address."""
+
+    def __init__(
+        self,
+        engine: EngineClient,
+        clock: Clock,
+        random: Random,
+        settings: FleetSettings,
+        eligible: EligibleCache,
+        listeners: FleetListeners,
+    ) -> None:
+        self._engine = engine
+        self._clock = clock
+        self._random = random
+        self._settings = settings
+        self._eligible = eligible
+        self._listeners = listeners
+        self._feeds: dict[str, EngineFeed] = {}
+        self._at_address: dict[str, RunnerState] = {}
+
+    def runner_at(self, address: str) -> RunnerState | None:
+        """Return the runner whose engine is followed at an address."""
+        return self._at_address.get(address)
+
+    def open(self, state: RunnerState) -> None:
+        """Follow a runner's engine at its present address, unless that is done already."""
+        feed = self._feeds.get(state.name)
+        if feed is not None and feed.address == state.spec.address:
+            return
+        self.close(state.name)
+        feed = EngineFeed(
+            state.spec.address,
+            self._engine,
+            self._clock,
+            self._random,
+            self._settings,
+            on_load=lambda report: self._take_report(state, report),
+            on_cache=state.cache.apply,
+            on_lost=state.cache.lost,
+        )
+        self._feeds[state.name] = feed
+        self._at_address[state.spec.address] = state
+        feed.start()
+
+    def close(self, runner: str) -> None:
+        """Stop following a runner's engine, if it is followed."""
+        feed = self._feeds.pop(runner, None)
+        if feed is not None:
+            feed.stop()
+            self._at_address.pop(feed.address, None)
+
+    def close_all(self) -> None:
+        """Stop following every engine."""
+        for feed in self._feeds.values():
+            feed.stop()
+        self._feeds.clear()
+
+    def renew_when_older(self, runner: str, age_s: float) -> None:
+        """Subscribe again to a followed engine whose subscription is older than ``age_s``."""
+        self._feeds[runner].renew_when_older(age_s)
+
+    def _take_report(self, state: RunnerState, report: LoadReport) -> None:
+        last = state.report
+        if not state.take_report(report, self._clock.seconds()):
+            return
+        if last is None or usability(last) != usability(report):
+            self._eligible.changed()
+        self._listeners.changed(state.name)
+        if last is not None and last.incarnation != report.incarnation:
+            self._listeners.restarted(state.name)
+
+
+def usability(report: LoadReport) -> tuple[str, bool, str, tuple[str, ...]]:
+    """Return the part of a report that decides whether a runner may get work."""
+    return report.incarnation, report.draining, report.loaded_version, report.adapters
--- /dev/null
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -0,0 +1,141 @@
+"""Follows the Runner and Gateway resources: which runners a gateway follows and which it owns.
+
+It adds runners to the index and removes them, and opens and closes the feeds of their engines.
+"""
+
+from rainsail.control.interface import ConfigReader
+from rainsail.gateway.eligibility import EligibleCache
+from rainsail.gateway.engine_feeds import EngineFeeds
+from rainsail.gateway.fleet_listeners import FleetListeners
+from rainsail.gateway.followed_runners import FollowedRunners
+from rainsail.gateway.ownership import Ownership
+from rainsail.gateway.runner_index import RunnerIndex
+from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.settings import FleetSettings
+from rainsail.resources.specs import (
+    EventType,
+    Kind,
+    Resource,
+    ResourceKey,
+    RunnerSpec,
+    WatchEvent,
+)
+from rainsail.runtime.clock import Clock
+
+
+class FleetFollower:
+    """Keeps the index of runners as the configuration says."""
+
+    def __init__(
+        self,
+        gateway: str,
+        zone: str,
+        config: ConfigReader,
+        clock: Clock,
+        settings: FleetSettings,
+        runners: RunnerIndex,
+        feeds: EngineFeeds,
+        eligible: EligibleCache,
+        listeners: FleetListeners,
+    ) -> None:
+        self._config = config
+        self._clock = clock
+        self._settings = settings
+        self._runners = runners
+        self._feeds = feeds
+        self._eligible = eligible
+        self._listeners = listeners
+        self._ownership = Ownership(gateway)
+        self._followed = FollowedRunners(
+            gateway, zone, settings.other_zone_runners, settings.asked_runners
+        )
+        self._choice_due = False
+        self._stopped = False
+
+    def start(self) -> None:
+        """Read the resources, then follow them."""
+        self._config.on_event(self._on_event)
+        self._ownership.take(self._config.list_resources(Kind.GATEWAY))
+        for resource in self._config.list_resources(Kind.RUNNER):
+            self._note(resource)
+        self._choose_followed()
+
+    def stop(self) -> None:
+        """Add no runner from now on."""
+        self._stopped = True
+
+    def follow(self, runner: str) -> None:
+        """Follow a runner also when it is not of the zone or the sample: a session is there."""
+        resource = self._config.get(ResourceKey(Kind.RUNNER, runner))
+        if self._runners.get(runner) is not None or resource is None:
+            return
+        if self._followed.ask(runner):
+            self._choice_due = True
+        self._put(resource)
+
+    def choose_if_due(self) -> None:
+        """Look at every runner again if the sample or the zones without gateways have changed."""
+        if self._choice_due:
+            self._choose_followed()
+
+    def _choose_followed(self) -> None:
+        self._choice_due = False
+        for resource in self._config.list_resources(Kind.RUNNER):
+            self._put(resource)
+
+    def _on_event(self, event: WatchEvent) -> None:
+        kind = event.resource.key.kind
+        if kind == Kind.RUNNER:
+            self._runner_changed(event)
+        elif kind == Kind.GATEWAY:
+            self._gateways_changed()
+
+    def _runner_changed(self, event: WatchEvent) -> None:
+        self._eligible.changed()
+        if event.type == EventType.DELETED:
+            self._choice_due |= self._followed.forget(event.resource.key.name)
+            self._delete(event.resource.key.name)
+        else:
+            self._note(event.resource)
+            self._put(event.resource)
+
+    def _note(self, resource: Resource) -> None:
+        if isinstance(resource.spec, RunnerSpec):
+            self._choice_due |= self._followed.note(resource.key.name, resource.spec.zone)
+
+    def _gateways_changed(self) -> None:
+        before = self._ownership.live
+        after = self._ownership.take(self._config.list_resources(Kind.GATEWAY))
+        self._choice_due |= before.zones() != after.zones()
+        for state in self._runners.all():
+            if before.of_zone(state.spec.zone) != after.of_zone(state.spec.zone):
+                self._assign_owner(state)
+
+    def _put(self, resource: Resource) -> None:
+        if self._stopped or not isinstance(resource.spec, RunnerSpec):
+            return
+        name, zone = resource.key.name, resource.spec.zone
+        state = self._runners.get(name)
+        if not self._followed.follows(name, zone, self._ownership.owns_elsewhere(name, zone)):
+            if state is not None:
+                self._delete(name)
+            return
+        if state is None:
+            state = RunnerState(resource, self._clock.seconds(), self._settings)
+            self._runners.add(state)
+        else:
+            self._runners.update(state, resource)
+        self._feeds.open(state)
+        self._assign_owner(state)
+        self._listeners.changed(name)
+
+    def _delete(self, name: str) -> None:
+        self._runners.remove(name)
+        self._feeds.close(name)
+        self._listeners.changed(name)
+
+    def _assign_owner(self, state: RunnerState) -> None:
+        owned = self._ownership.owns(state.name, state.spec.zone)
+        if owned != state.owned:
+            state.owned = owned
+            self._listeners.changed(state.name)
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -38,7 +38,7 @@
 
 
 class RunnerState:
-    """One runner as this gateway sees it; ``RunnerFleet`` alone changes it."""
+    """One runner as this gateway sees it; only ``RunnerFleet`` and its parts change it."""
 
     def __init__(self, resource: Resource, now_s: float, settings: FleetSettings) -> None:
         self.name = resource.key.name
--- /dev/null
+++ b/src/rainsail/gateway/silence_watch.py
@@ -0,0 +1,55 @@
+"""Looks for runners that send no load reports any more."""
+
+from rainsail.gateway.eligibility import EligibleCache
+from rainsail.gateway.engine_feeds import EngineFeeds
+from rainsail.gateway.fleet_listeners import FleetListeners
+from rainsail.gateway.runner_index import RunnerIndex
+from rainsail.gateway.settings import FleetSettings
+
+LATE_PERIODS = 2.0
+"""A look that is this many periods after the one before was late: the process has paused.
+
+Not measured; chosen so that a look that is a little late does not count as a pause.
+"""
+
+
+class SilenceWatch:
+    """Marks runners as silent; a pause of this process is not counted as their silence."""
+
+    def __init__(
+        self,
+        settings: FleetSettings,
+        runners: RunnerIndex,
+        feeds: EngineFeeds,
+        eligible: EligibleCache,
+        listeners: FleetListeners,
+    ) -> None:
+        self._settings = settings
+        self._runners = runners
+        self._feeds = feeds
+        self._eligible = eligible
+        self._listeners = listeners
+        self._checked_s = 0.0
+
+    def start(self, now_s: float) -> None:
+        """Count pauses of this process from now on."""
+        self._checked_s = now_s
+
+    def pause_since_last_check_s(self, now_s: float) -> float:
+        """Return for how many seconds the process has paused (0 or less: not at all)."""
+        pause_s = now_s - self._checked_s - LATE_PERIODS * self._settings.watch_period_s
+        self._checked_s = now_s
+        return pause_s
+
+    def check(self, now_s: float, pause_s: float) -> None:
+        """Look at every runner; subscribe again to the engines of silent ones."""
+        for state in self._runners.all():
+            if pause_s > 0.0:
+                state.excuse_silence(pause_s, now_s)
+            silent = state.is_silent(now_s)
+            if silent != state.silent:
+                state.silent = silent
+                self._eligible.changed()
+                self._listeners.changed(state.name)
+            if silent:
+                self._feeds.renew_when_older(state.name, self._settings.report_timeout_s)
