--- a/features/steps/control_leases_steps.py
+++ b/features/steps/control_leases_steps.py
@@ -18,7 +18,7 @@
     PutResource,
     SealJob,
 )
-from rainsail.tenancy.lender import QuotaLender, QuotaTerms, minimum_share
+from rainsail.tenancy.lender import QuotaLender, ShareTerms, minimum_share
 
 RATE = 1000.0
 RENEWAL_PERIOD_S = 2.5
@@ -138,14 +138,14 @@
     draw = Random(seed)
     names = [f"g{n}" for n in range(draw.randint(2, 6))]
     holders = {name: Holder(draw.uniform(SLOWEST_CLOCK, 1.0)) for name in names}
-    lender = QuotaLender(QuotaTerms(SHARE_S, MARGIN, RESERVE))
+    lender = QuotaLender(ShareTerms(SHARE_S, MARGIN, RESERVE))
     now_s = 0.0
     lender.begin(now_s)
     highest = 0.0
     for _ in range(200):
         now_s += draw.expovariate(2.0)
         if draw.random() < 0.02:
-            lender = QuotaLender(QuotaTerms(SHARE_S, MARGIN, RESERVE))
+            lender = QuotaLender(ShareTerms(SHARE_S, MARGIN, RESERVE))
             lender.begin(now_s)
         name = draw.choice(names)
         sent_s = now_s * holders[name].rate
--- a/features/steps/experiment_policy_steps.py
+++ b/features/steps/experiment_policy_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from rainsail.batch.interface import RunnerView
+from rainsail.batch.interface import BatchRunnerView
 from rainsail.batch.policies.preemptive import PreemptivePolicy
 from rainsail.experiment.measures import OnlineRecord, RunRecord
 from rainsail.experiment.policy_experiment import first_token_waits_s, policy_names, run_experiment
@@ -26,7 +26,7 @@
 def step_decide(context, waiting, weight):
     """Ask the policy; the lagged report lies, and must not matter."""
     online, batch = context.policy_counts
-    view = RunnerView(
+    view = BatchRunnerView(
         slots=SLOTS,
         online_running=online,
         batch_running=batch,
--- a/features/steps/tenancy_lent_shares_steps.py
+++ b/features/steps/tenancy_lent_shares_steps.py
@@ -7,7 +7,7 @@
 
 from rainsail.control.messages import QuotaReport, TenantDemand
 from rainsail.resources.specs import TenantSpec
-from rainsail.tenancy.lender import QuotaLender, QuotaTerms
+from rainsail.tenancy.lender import QuotaLender, ShareTerms
 from rainsail.tenancy.lent_shares import GatewayShare, Grant, TenantBook
 
 SHARE_S = 4.0
@@ -88,7 +88,7 @@
 
 
 def _looks_per_lend(gateways: int) -> float:
-    lender = QuotaLender(QuotaTerms(SHARE_S, 0.01, 0.2))
+    lender = QuotaLender(ShareTerms(SHARE_S, 0.01, 0.2))
     lender.begin(-100.0)
     limits = {TENANT: TenantSpec(1000.0, 1000.0)}
     demands = (TenantDemand(TENANT, 5.0, 0.0),)
--- a/features/support/batch.py
+++ b/features/support/batch.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from rainsail.batch.dispatcher import Dispatcher
+from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.policies import make_policy
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
@@ -69,7 +69,7 @@
     engine: PoisonableEngineClient
     prefill: OnlinePrefillMeter
     fleet: RunnerFleet
-    dispatcher: Dispatcher
+    dispatcher: BatchDispatcher
 
 
 class BatchFleet:
@@ -133,7 +133,7 @@
         fleet = RunnerFleet(name, zone, config, engine, clock, Random(4), GatewaySettings())
         fleet.start()
         prefill = OnlinePrefillMeter(engine, fleet.cached_tokens)
-        dispatcher = Dispatcher(
+        dispatcher = BatchDispatcher(
             f"{name}/1",
             fleet,
             config,
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from rainsail.assembly.seams import GatewaySeams
-from rainsail.batch.dispatcher import Dispatcher
+from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.policies import make_policy
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
@@ -36,7 +36,7 @@
     batch: BatchSettings = field(default_factory=BatchSettings)
 
 
-class GatewayNode:
+class NativeGatewayNode:
     """Assembles a gateway; a restarted gateway is a new node with a new incarnation."""
 
     def __init__(self, config: GatewayConfig, seams: GatewaySeams) -> None:
@@ -91,7 +91,7 @@
         self.intake = JobIntake(
             self.client, node.clock, node.random, config.batch, node.wall_clock, self.view.get
         )
-        self.dispatcher = Dispatcher(
+        self.dispatcher = BatchDispatcher(
             f"{config.name}/{self.incarnation}",
             self.fleet,
             self.view,
--- a/src/rainsail/assembly/role_metrics.py
+++ b/src/rainsail/assembly/role_metrics.py
@@ -6,7 +6,7 @@
 
 from rainsail.assembly.emulator import EmulatorRole
 from rainsail.assembly.roles import GatewayRole, ReplicaRole
-from rainsail.batch.dispatcher import Dispatcher
+from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.consensus.group_status import GroupStatusReply
 from rainsail.emulator.engine import EmulatedEngine
 from rainsail.gateway.metering import RequestMeter
@@ -56,7 +56,7 @@
     return value
 
 
-BATCH_COUNTS: tuple[tuple[str, str, Callable[[Dispatcher], float]], ...] = (
+BATCH_COUNTS: tuple[tuple[str, str, Callable[[BatchDispatcher], float]], ...] = (
     ("batch_items_started", "Attempts of batch items", lambda each: each.counts.started),
     (
         "batch_items_finished",
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -11,7 +11,7 @@
 from twisted.web.client import Agent
 
 from rainsail.assembly.folder_lock import FolderLock
-from rainsail.assembly.gateway import GatewayConfig, GatewayNode
+from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.listening import HTTP_IDLE_TIMEOUT_S, listen_site
 from rainsail.assembly.recording import open_recorder
 from rainsail.assembly.replica import ReplicaNode
@@ -190,7 +190,7 @@
             settings.gateway,
             settings.batch,
         )
-        self.node = GatewayNode(config, GatewaySeams(self._seams, self._engine))
+        self.node = NativeGatewayNode(config, GatewaySeams(self._seams, self._engine))
         self._recorder = self._make_recorder(settings)
         self.caller_api = self._make_caller_api(settings)
         self._port: Any = None
--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -15,9 +15,9 @@
 from rainsail.batch import preemption
 from rainsail.batch.fleet_view import BatchFleet
 from rainsail.batch.held_item import HeldItem
-from rainsail.batch.interface import DispatchPolicy, RunnerView
+from rainsail.batch.interface import BatchRunnerView, DispatchPolicy
 from rainsail.batch.item_returns import ItemReturns
-from rainsail.batch.item_runner import ItemRun, RunEnd
+from rainsail.batch.item_runner import LeasedItemRun, LeasedRunEnd
 from rainsail.batch.lease_keeper import LeaseKeeper
 from rainsail.batch.lease_pool import LeasePool
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
@@ -43,7 +43,7 @@
     lapses: int = 0
 
 
-class Dispatcher:
+class BatchDispatcher:
     """The batch side of one gateway. ``holder`` is the gateway's incarnation.
 
     ``prefill`` is the meter through which the gateway's core sends its online attempts; without
@@ -87,7 +87,7 @@
             self._note_backlog,
         )
         self._pools: dict[str, LeasePool] = {}
-        self._runs: dict[str, dict[str, ItemRun]] = {}
+        self._runs: dict[str, dict[str, LeasedItemRun]] = {}
         self._allowances: dict[str, int] = {}
         self._not_before_s: dict[str, float] = {}
         self._evaluating = ""
@@ -192,7 +192,7 @@
             return allowance
         return min(allowance, len(self._runs.get(runner, ())))
 
-    def _view(self, runner: str, spec: RunnerSpec) -> RunnerView:
+    def _view(self, runner: str, spec: RunnerSpec) -> BatchRunnerView:
         view = self._fleet.view(runner)
         if self._prefill is None:
             return view
@@ -247,7 +247,7 @@
     def _start_run(self, runner: str, spec: RunnerSpec, held: HeldItem) -> None:
         self._attempts += 1
         attempt_id = f"{self._holder}/b{self._attempts}"
-        run = ItemRun(
+        run = LeasedItemRun(
             held, runner, spec.address, attempt_id, self._engine, self._clock, self._run_ended
         )
         self._runs.setdefault(runner, {})[attempt_id] = run
@@ -255,14 +255,16 @@
         self._fleet.attempt_started(runner, attempt_id, True)
         run.start(Priority.LOW if self._policy.low_priority else Priority.HIGH)
 
-    def _run_ended(self, run: ItemRun, end: RunEnd, detail: str, retry_after_s: float) -> None:
+    def _run_ended(
+        self, run: LeasedItemRun, end: LeasedRunEnd, detail: str, retry_after_s: float
+    ) -> None:
         self._forget_run(run)
         held = run.held.waiting(run.text, self._clock.seconds(), run.runner)
-        if end is RunEnd.FINISHED:
+        if end is LeasedRunEnd.FINISHED:
             self.counts.finished += 1
             result = ItemResult(held.ref, run.text, run.tokens)
             self.committer.add(held.group, result)
-        elif end is RunEnd.FAILED:
+        elif end is LeasedRunEnd.FAILED:
             self.counts.failed += 1
             self.returns.add(held, detail)
         else:
@@ -279,16 +281,16 @@
         else:
             self.returns.add(held)
 
-    def _step_aside(self, run: ItemRun) -> None:
+    def _step_aside(self, run: LeasedItemRun) -> None:
         self.returns.add(self._stop_run(run))
 
-    def _stop_run(self, run: ItemRun) -> HeldItem:
+    def _stop_run(self, run: LeasedItemRun) -> HeldItem:
         """Cancel a run at its engine; returns the item with the text generated so far."""
         run.stop()
         self._forget_run(run)
         return run.held.waiting(run.text, self._clock.seconds(), run.runner)
 
-    def _forget_run(self, run: ItemRun) -> None:
+    def _forget_run(self, run: LeasedItemRun) -> None:
         self._runs[run.runner].pop(run.attempt_id, None)
         self._fleet.attempt_ended(run.runner, run.attempt_id)
 
--- a/src/rainsail/batch/fleet_view.py
+++ b/src/rainsail/batch/fleet_view.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from rainsail.batch.interface import RunnerView
+from rainsail.batch.interface import BatchRunnerView
 from rainsail.resources.specs import RunnerSpec
 
 
 class OwnedRunner(Protocol):
-    """What is known of one runner (``gateway.runner_state.RunnerState``)."""
+    """What is known of one runner (``gateway.runner_state.ObservedRunner``)."""
 
     @property
     def name(self) -> str:
@@ -37,7 +37,7 @@
         """Return one runner, owned or not."""
         ...
 
-    def view(self, runner: str) -> RunnerView:
+    def view(self, runner: str) -> BatchRunnerView:
         """Return what is known of a runner now."""
         ...
 
--- a/src/rainsail/batch/interface.py
+++ b/src/rainsail/batch/interface.py
@@ -1,8 +1,8 @@
 """What a dispatcher decides, apart from I/O.
 
-A ``DispatchPolicy`` is pure: it sees a ``RunnerView`` and answers how many batch items a runner
-may hold, and whether running ones must step aside now. ``rainsail.batch.dispatcher`` does the
-I/O for the runners that its gateway owns.
+A ``DispatchPolicy`` is pure: it sees a ``BatchRunnerView`` and answers how many batch items a
+runner may hold; running ones above that are preempted. ``rainsail.batch.dispatcher`` does the I/O
+for the runners that its gateway owns.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerView:
+class BatchRunnerView:
     """One owned runner as the dispatcher knows it now.
 
     ``online_running`` counts this gateway's own online requests on it at this moment,
@@ -42,6 +42,6 @@
     low_priority: bool
     """Whether batch items are sent to engines with low priority."""
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return the allowance; called on every arrival, end, report and timer tick."""
         ...
--- a/src/rainsail/batch/item_runner.py
+++ b/src/rainsail/batch/item_runner.py
@@ -27,7 +27,7 @@
 """Times that an engine is asked again for the chunks missing of a finished answer."""
 
 
-class RunEnd(StrEnum):
+class LeasedRunEnd(StrEnum):
     """How a run ended, as far as the item is concerned."""
 
     FINISHED = "finished"
@@ -35,7 +35,7 @@
     NOT_RUN = "not_run"
 
 
-class ItemRun:
+class LeasedItemRun:
     """One attempt of an item; hears the engine and gathers the text.
 
     ``on_end(run, end, detail, retry_after_s)`` is called once, and never after ``stop``.
@@ -49,7 +49,7 @@
         attempt_id: str,
         engine: EngineClient,
         clock: Clock,
-        on_end: "Callable[[ItemRun, RunEnd, str, float], None]",
+        on_end: "Callable[[LeasedItemRun, LeasedRunEnd, str, float], None]",
     ) -> None:
         self.held = held
         self.runner = runner
@@ -144,15 +144,15 @@
         self._engine.resume(self._address, self.attempt_id, self._next_sequence, self)
         return True
 
-    def _judge(self, end: AttemptEnd) -> tuple[RunEnd, str]:
+    def _judge(self, end: AttemptEnd) -> tuple[LeasedRunEnd, str]:
         if end.reason in (EndReason.STOP, EndReason.LENGTH):
             if self._next_sequence < end.chunk_count:
                 missing = end.chunk_count - self._next_sequence
-                return RunEnd.FAILED, f"{missing} chunks missing from {self.runner}"
-            return RunEnd.FINISHED, ""
+                return LeasedRunEnd.FAILED, f"{missing} chunks missing from {self.runner}"
+            return LeasedRunEnd.FINISHED, ""
         if end.reason is EndReason.LOST:
-            return RunEnd.FAILED, f"link to {self.runner} lost: {end.detail}"
-        return RunEnd.NOT_RUN, end.detail
+            return LeasedRunEnd.FAILED, f"link to {self.runner} lost: {end.detail}"
+        return LeasedRunEnd.NOT_RUN, end.detail
 
     def _cancel_again(self) -> None:
         since_s = self._clock.seconds() - self._cancel_sent_at_s
--- a/src/rainsail/batch/policies/lagged_cap.py
+++ b/src/rainsail/batch/policies/lagged_cap.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from rainsail.batch.interface import BatchAllowance, RunnerView
+from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     name: str = "lagged_cap"
     low_priority: bool = False
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return the slots reported free, or what runs already when that is more."""
         online = max(0, view.reported_running + view.reported_waiting - view.batch_running)
         free = max(0, view.slots - online)
--- a/src/rainsail/batch/policies/none.py
+++ b/src/rainsail/batch/policies/none.py
@@ -1,6 +1,6 @@
 """No batch work at all: the baseline that harm is measured against."""
 
-from rainsail.batch.interface import BatchAllowance, RunnerView
+from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 
 class NoBatchPolicy:
@@ -9,6 +9,6 @@
     name = "none"
     low_priority = True
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return zero items."""
         return BatchAllowance(0, "batch is off")
--- a/src/rainsail/batch/policies/preemptive.py
+++ b/src/rainsail/batch/policies/preemptive.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from rainsail.batch.interface import BatchAllowance, RunnerView
+from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 LONG_PROMPT_TOKENS = 1000
 """Online prompt tokens waiting at a runner from which batch work steps aside."""
@@ -32,7 +32,7 @@
     name: str = "preemptive"
     low_priority: bool = True
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return the slots left by online work, fewer while long online prompts wait."""
         free = max(0, view.slots - view.online_running)
         if view.online_prefill_tokens > LONG_PROMPT_TOKENS:
@@ -41,7 +41,7 @@
         held_back = min(free, HELD_BACK_ITEMS, max(0, view.batch_running - free))
         return BatchAllowance(free + held_back, f"{view.online_running} online")
 
-    def kept_beside_prompts(self, view: RunnerView) -> int:
+    def kept_beside_prompts(self, view: BatchRunnerView) -> int:
         """Return how many items may lengthen the iterations that read the waiting prompts.
 
         A longer prompt needs more iterations and has more requests behind it: what is kept
--- a/src/rainsail/batch/policies/shared_queue.py
+++ b/src/rainsail/batch/policies/shared_queue.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rainsail.batch.interface import BatchAllowance, RunnerView
+from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 
 @dataclass(slots=True)
@@ -12,6 +12,6 @@
     name: str = "shared_queue"
     low_priority: bool = False
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return all slots."""
         return BatchAllowance(view.slots, "shared queue")
--- a/src/rainsail/batch/policies/static_partition.py
+++ b/src/rainsail/batch/policies/static_partition.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from rainsail.batch.interface import BatchAllowance, RunnerView
+from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 
 @dataclass(slots=True)
@@ -13,6 +13,6 @@
     name: str = "static_partition"
     low_priority: bool = False
 
-    def allowance(self, view: RunnerView) -> BatchAllowance:
+    def allowance(self, view: BatchRunnerView) -> BatchAllowance:
         """Return the batch part of the slots."""
         return BatchAllowance(int(view.slots * self.batch_share), "fixed share")
--- a/src/rainsail/batch/preemption.py
+++ b/src/rainsail/batch/preemption.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-from rainsail.batch.item_runner import ItemRun
+from rainsail.batch.item_runner import LeasedItemRun
 
-Run = TypeVar("Run", bound=ItemRun)
+Run = TypeVar("Run", bound=LeasedItemRun)
 
 
 def choose_victims(runs: Sequence[Run], count: int) -> list[Run]:
@@ -19,6 +19,6 @@
     return by_cost[:count]
 
 
-def _cost(run: ItemRun) -> tuple[bool, int, float, str]:
+def _cost(run: LeasedItemRun) -> tuple[bool, int, float, str]:
     held = run.held
     return (run.generating, run.kv_tokens, -held.leased.deadline_unix_s, run.attempt_id)
--- a/src/rainsail/benchmarks/dispatcher.py
+++ b/src/rainsail/benchmarks/dispatcher.py
@@ -19,7 +19,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 from twisted.internet.task import deferLater
 
-from rainsail.batch.dispatcher import Dispatcher
+from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.policies import make_policy
 from rainsail.batch.settings import BatchSettings
 from rainsail.benchmarks.report import BenchReport, Progress
@@ -170,7 +170,7 @@
         self.fleet = RunnerFleet(
             "gateway", "z", config, engines, self.clock, Random(1), GatewaySettings()
         )
-        self.dispatcher = Dispatcher(
+        self.dispatcher = BatchDispatcher(
             "gateway/1",
             self.fleet,
             config,
--- a/src/rainsail/control/group_control.py
+++ b/src/rainsail/control/group_control.py
@@ -27,7 +27,7 @@
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import Command, LeaseItems, ReturnedItem, ReturnItems
 from rainsail.state.interface import ReplicatedReader
-from rainsail.tenancy.lender import QuotaLender, QuotaTerms
+from rainsail.tenancy.lender import QuotaLender, ShareTerms
 
 
 class GroupControl:
@@ -45,7 +45,7 @@
         self._item_leases = ItemLeaseTable(LeaseTerms(settings.item_lease_s, margin))
         self._orphans = OrphanedItems(LeaseTerms(settings.item_lease_s, margin))
         self._quota = QuotaLender(
-            QuotaTerms(settings.quota_share_s, margin, settings.quota_reserve_fraction)
+            ShareTerms(settings.quota_share_s, margin, settings.quota_reserve_fraction)
         )
         self._polls = LongPolls(
             state, clock, settings.poll_coalesce_s, settings.max_events_per_poll
--- a/src/rainsail/emulator/engine.py
+++ b/src/rainsail/emulator/engine.py
@@ -20,7 +20,7 @@
 from rainsail.emulator.prefix_cache import PrefixCache
 from rainsail.emulator.publisher import EventPublisher
 from rainsail.emulator.scheduler import BatchScheduler, Sequence, StepResult
-from rainsail.emulator.session_store import SessionStore
+from rainsail.emulator.session_store import EngineSessionStore
 from rainsail.emulator.settings import EngineSettings
 from rainsail.emulator.weight_store import WeightStore
 from rainsail.engine.interface import (
@@ -85,7 +85,7 @@
         self._retained: deque[tuple[float, str]] = deque()
         self._cache = PrefixCache(self._settings.cache_blocks)
         self._scheduler = BatchScheduler(self._settings, self._cache)
-        self._sessions = SessionStore()
+        self._sessions = EngineSessionStore()
         self._model = ModelState(self._weight_store, self._is_idle, self._on_swap)
         self._model.fence = self._order_fence
         self._load_meter = LoadMeter(
--- a/src/rainsail/emulator/session_store.py
+++ b/src/rainsail/emulator/session_store.py
@@ -19,7 +19,7 @@
     blocks: tuple[int, ...] = ()
 
 
-class SessionStore:
+class EngineSessionStore:
     """Remembers for each session the highest fence, its KV blocks and whether it has left."""
 
     def __init__(self) -> None:
--- a/src/rainsail/engine/http_client.py
+++ b/src/rainsail/engine/http_client.py
@@ -28,7 +28,7 @@
 
 from rainsail.engine import protocol
 from rainsail.engine.endpoints import EngineEndpointFactory
-from rainsail.engine.http_events import EventStream
+from rainsail.engine.http_events import EngineEventStream
 from rainsail.engine.http_stream import AttemptStream, StreamWatch, describe_failure
 from rainsail.engine.interface import (
     AttemptListener,
@@ -201,7 +201,7 @@
     ) -> Callable[[], None]:
         """Follow load reports and cache events."""
         limit = self._settings.max_frame_bytes
-        stream = EventStream(address, self._watch, limit, on_load, on_cache, on_lost)
+        stream = EngineEventStream(address, self._watch, limit, on_load, on_cache, on_lost)
         url = f"{address}{protocol.EVENTS_PATH}".encode()
         responding = maybeDeferred(self._agent.request, b"GET", url, _STREAM_HEADERS)
         stream.set_abort(responding.cancel)
--- a/src/rainsail/engine/http_events.py
+++ b/src/rainsail/engine/http_events.py
@@ -16,7 +16,7 @@
 EVENTS_STEP = "engine.events"
 
 
-class EventStream(TwistedProtocol):
+class EngineEventStream(TwistedProtocol):
     """Receives an event stream; ``on_lost`` is called at most once, never after ``drop``."""
 
     def __init__(
--- a/src/rainsail/experiment/site_fleet.py
+++ b/src/rainsail/experiment/site_fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from rainsail.batch.dispatcher import Dispatcher
+from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.policies import make_policy
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
@@ -45,7 +45,7 @@
     zone: int
     core: GatewayCore
     intake: JobIntake
-    dispatcher: Dispatcher
+    dispatcher: BatchDispatcher
 
 
 class SiteFleet:
@@ -147,7 +147,7 @@
             self._random(f"{name}/core"),
             settings,
         )
-        dispatcher = Dispatcher(
+        dispatcher = BatchDispatcher(
             f"{name}/1",
             fleet,
             config,
--- a/src/rainsail/gateway/attempt_sender.py
+++ b/src/rainsail/gateway/attempt_sender.py
@@ -4,7 +4,7 @@
 
 from rainsail.engine.interface import GenerateRequest, Priority
 from rainsail.engine.prefix import block_hashes
-from rainsail.gateway.attempts import Attempt, AttemptOwner
+from rainsail.gateway.attempts import AttemptOwner, EngineAttempt
 from rainsail.gateway.interface import CallerRequest
 from rainsail.gateway.retry import FailedAttempt, RetryDecision, decide_retry
 from rainsail.gateway.router import RouteDecision, choose_runner
@@ -61,13 +61,13 @@
 
     def prepare(
         self, owner: AttemptOwner, runner: str, prompt: str, fence: int, forced_prefix: str
-    ) -> Attempt | None:
+    ) -> EngineAttempt | None:
         """Make the next attempt and count it; None when the runner is gone."""
         context = self._context
         state = context.fleet.runner(runner)
         if state is None:
             return None
-        attempt = Attempt(
+        attempt = EngineAttempt(
             runner,
             state.spec.address,
             self._request(prompt, fence, forced_prefix),
--- a/src/rainsail/gateway/attempts.py
+++ b/src/rainsail/gateway/attempts.py
@@ -37,7 +37,9 @@
         """Take the next part, in order and without gaps."""
         ...
 
-    def on_attempt_ended(self, attempt: "Attempt", result: AttemptResult, end: AttemptEnd) -> None:
+    def on_attempt_ended(
+        self, attempt: "EngineAttempt", result: AttemptResult, end: AttemptEnd
+    ) -> None:
         """Take the end: whole, refused by the engine as not run, or broken off for good."""
         ...
 
@@ -47,7 +49,7 @@
 
     __slots__ = ("attempt", "resumed")
 
-    def __init__(self, attempt: "Attempt", resumed: bool) -> None:
+    def __init__(self, attempt: "EngineAttempt", resumed: bool) -> None:
         self.attempt = attempt
         self.resumed = resumed
 
@@ -77,7 +79,7 @@
     )
 
 
-class Attempt:
+class EngineAttempt:
     """Sends one ``GenerateRequest`` and sees its stream through.
 
     ``patient``: the work cannot go elsewhere, so a refusal to take the stream up (the engine may
--- a/src/rainsail/gateway/batch_view.py
+++ b/src/rainsail/gateway/batch_view.py
@@ -1,13 +1,13 @@
 """What the batch policies see of a runner."""
 
-from rainsail.batch.interface import RunnerView
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.batch.interface import BatchRunnerView
+from rainsail.gateway.runner_state import ObservedRunner
 
 
-def batch_view(state: RunnerState) -> RunnerView:
+def batch_view(state: ObservedRunner) -> BatchRunnerView:
     """Return a runner as the batch policies see it. Pure."""
     report = state.report
-    return RunnerView(
+    return BatchRunnerView(
         slots=state.spec.batch_slots,
         online_running=state.online_running,
         batch_running=state.batch_running,
--- a/src/rainsail/gateway/current_attempt.py
+++ b/src/rainsail/gateway/current_attempt.py
@@ -1,7 +1,7 @@
 """The attempt of a request that is under way, and what became of those before it."""
 
 from rainsail.engine.interface import AttemptEnd
-from rainsail.gateway.attempts import Attempt, AttemptResult
+from rainsail.gateway.attempts import AttemptResult, EngineAttempt
 from rainsail.gateway.run_context import RunContext
 
 
@@ -15,14 +15,14 @@
         self.may_have_run = 0
         self.failed_runners: list[str] = []
         self._context = context
-        self._attempt: Attempt | None = None
+        self._attempt: EngineAttempt | None = None
         self._paused = False
 
-    def is_current(self, attempt: Attempt) -> bool:
+    def is_current(self, attempt: EngineAttempt) -> bool:
         """Tell whether this is the attempt under way."""
         return attempt is self._attempt
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: EngineAttempt) -> None:
         """Send an attempt; from now on it may have run."""
         self._attempt = attempt
         self.may_have_run += 1
@@ -30,7 +30,7 @@
             attempt.pause()
         attempt.start()
 
-    def end(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd) -> None:
+    def end(self, attempt: EngineAttempt, result: AttemptResult, end: AttemptEnd) -> None:
         """Note the end; what broke off is cancelled at its engine."""
         self._attempt = None
         context = self._context
--- a/src/rainsail/gateway/eligibility.py
+++ b/src/rainsail/gateway/eligibility.py
@@ -5,7 +5,7 @@
 
 from rainsail.gateway import runner_state
 from rainsail.gateway.admission_queues import Slots
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.resources.specs import RunnerRole
 
 CACHE_PERIOD_S = 0.05
@@ -18,8 +18,8 @@
 class EligibleRunners:
     """Runners that may get a request: those of the own zone, and those of all others."""
 
-    local: tuple[RunnerState, ...]
-    remote: tuple[RunnerState, ...]
+    local: tuple[ObservedRunner, ...]
+    remote: tuple[ObservedRunner, ...]
 
     def __len__(self) -> int:
         return len(self.local) + len(self.remote)
@@ -36,8 +36,8 @@
 
 
 def eligible_runners(
-    states: Sequence[RunnerState], now_s: float, batch: bool, adapter: str = ""
-) -> list[RunnerState]:
+    states: Sequence[ObservedRunner], now_s: float, batch: bool, adapter: str = ""
+) -> list[ObservedRunner]:
     """Return the runners that may get new work of this class and adapter. Pure."""
     shunned = RunnerRole.ONLINE_ONLY if batch else RunnerRole.BATCH_ONLY
     return [
@@ -49,13 +49,13 @@
     ]
 
 
-def has_adapter(state: RunnerState, adapter: str) -> bool:
+def has_adapter(state: ObservedRunner, adapter: str) -> bool:
     """Tell whether a runner has an adapter loaded, by its last report or else its status."""
     adapters = state.report.adapters if state.report else state.status.adapters
     return adapter in adapters
 
 
-def by_zone(states: Sequence[RunnerState], zone: str) -> EligibleRunners:
+def by_zone(states: Sequence[ObservedRunner], zone: str) -> EligibleRunners:
     """Split runners by whether they are in ``zone``."""
     return EligibleRunners(
         tuple(state for state in states if state.spec.zone == zone),
@@ -86,7 +86,12 @@
         self._version += 1
 
     def get(
-        self, states: Sequence[RunnerState], service: str, now_s: float, batch: bool, adapter: str
+        self,
+        states: Sequence[ObservedRunner],
+        service: str,
+        now_s: float,
+        batch: bool,
+        adapter: str,
     ) -> EligibleRunners:
         """Return ``eligible_runners`` of a service, from the cache when that is fresh."""
         key = (service, batch, adapter)
--- a/src/rainsail/gateway/engine_feeds.py
+++ b/src/rainsail/gateway/engine_feeds.py
@@ -10,7 +10,7 @@
 from rainsail.gateway.eligibility import EligibleCache
 from rainsail.gateway.engine_feed import EngineFeed
 from rainsail.gateway.fleet_listeners import FleetListeners
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import FleetSettings
 from rainsail.runtime.clock import Clock
 
@@ -34,13 +34,13 @@
         self._eligible = eligible
         self._listeners = listeners
         self._feeds: dict[str, EngineFeed] = {}
-        self._at_address: dict[str, RunnerState] = {}
+        self._at_address: dict[str, ObservedRunner] = {}
 
-    def runner_at(self, address: str) -> RunnerState | None:
+    def runner_at(self, address: str) -> ObservedRunner | None:
         """Return the runner whose engine is followed at an address."""
         return self._at_address.get(address)
 
-    def open(self, state: RunnerState) -> None:
+    def open(self, state: ObservedRunner) -> None:
         """Follow a runner's engine at its present address, unless that is done already."""
         feed = self._feeds.get(state.name)
         if feed is not None and feed.address == state.spec.address:
@@ -77,7 +77,7 @@
         """Subscribe again to a followed engine whose subscription is older than ``age_s``."""
         self._feeds[runner].renew_when_older(age_s)
 
-    def _take_report(self, state: RunnerState, report: LoadReport) -> None:
+    def _take_report(self, state: ObservedRunner, report: LoadReport) -> None:
         last = state.report
         if not state.take_report(report, self._clock.seconds()):
             return
--- a/src/rainsail/gateway/fleet.py
+++ b/src/rainsail/gateway/fleet.py
@@ -6,7 +6,7 @@
 
 from random import Random
 
-from rainsail.batch.interface import RunnerView
+from rainsail.batch.interface import BatchRunnerView
 from rainsail.control.interface import ConfigReader
 from rainsail.engine.interface import EndReason, EngineClient
 from rainsail.engine.prefix import BLOCK_TOKENS, block_hashes
@@ -18,7 +18,7 @@
 from rainsail.gateway.fleet_follower import FleetFollower
 from rainsail.gateway.fleet_listeners import FleetListeners, RunnerListener
 from rainsail.gateway.runner_index import RunnerIndex
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import GatewaySettings
 from rainsail.gateway.silence_watch import SilenceWatch
 from rainsail.runtime.clock import Clock
@@ -87,15 +87,15 @@
 
     # --- reading ------------------------------------------------------------------------------
 
-    def runner(self, name: str) -> RunnerState | None:
+    def runner(self, name: str) -> ObservedRunner | None:
         """Return what is known of a runner."""
         return self._runners.get(name)
 
-    def runners(self) -> list[RunnerState]:
+    def runners(self) -> list[ObservedRunner]:
         """Return every runner in name order."""
         return self._runners.all()
 
-    def runners_of(self, service: str) -> list[RunnerState]:
+    def runners_of(self, service: str) -> list[ObservedRunner]:
         """Return the runners of a service in name order, usable or not."""
         return self._runners.of_service(service)
 
@@ -111,7 +111,7 @@
             return 0
         return state.cache.matched_blocks(block_hashes(prompt)) * BLOCK_TOKENS
 
-    def owned_runners(self) -> list[RunnerState]:
+    def owned_runners(self) -> list[ObservedRunner]:
         """Return the runners that this gateway owns, in name order."""
         return [state for state in self.runners() if state.owned]
 
@@ -134,7 +134,7 @@
         state = self._runners.get(runner)
         return state is None or runner_state.is_leaving(state, self._clock.seconds())
 
-    def view(self, runner: str) -> RunnerView:
+    def view(self, runner: str) -> BatchRunnerView:
         """Return what the batch policies see of a runner; KeyError when it does not exist."""
         state = self._runners.get(runner)
         if state is None:
@@ -178,7 +178,7 @@
             self._failed(state, now_s)
         self._listeners.changed(runner)
 
-    def _failed(self, state: RunnerState, now_s: float) -> None:
+    def _failed(self, state: ObservedRunner, now_s: float) -> None:
         if not state.ejection.failed(self._settings):
             return
         peers = self.runners_of(state.spec.service)
--- a/src/rainsail/gateway/fleet_follower.py
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -10,7 +10,7 @@
 from rainsail.gateway.followed_runners import FollowedRunners
 from rainsail.gateway.ownership import Ownership
 from rainsail.gateway.runner_index import RunnerIndex
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import FleetSettings
 from rainsail.resources.specs import (
     EventType,
@@ -121,7 +121,7 @@
                 self._delete(name)
             return
         if state is None:
-            state = RunnerState(resource, self._clock.seconds(), self._settings)
+            state = ObservedRunner(resource, self._clock.seconds(), self._settings)
             self._runners.add(state)
         else:
             self._runners.update(state, resource)
@@ -134,7 +134,7 @@
         self._feeds.close(name)
         self._listeners.changed(name)
 
-    def _assign_owner(self, state: RunnerState) -> None:
+    def _assign_owner(self, state: ObservedRunner) -> None:
         owned = self._ownership.owns(state.name, state.spec.zone)
         if owned != state.owned:
             state.owned = owned
--- a/src/rainsail/gateway/request_attempts.py
+++ b/src/rainsail/gateway/request_attempts.py
@@ -12,7 +12,7 @@
 from rainsail.errors import Fault, FaultCode
 from rainsail.gateway.answer_delivery import AnswerDelivery
 from rainsail.gateway.attempt_sender import AttemptSender
-from rainsail.gateway.attempts import Attempt, AttemptResult
+from rainsail.gateway.attempts import AttemptResult, EngineAttempt
 from rainsail.gateway.current_attempt import CurrentAttempt
 from rainsail.gateway.interface import CallerRequest
 from rainsail.gateway.refusals import no_lease
@@ -125,7 +125,9 @@
         """Pass the next part on to the caller (called for every chunk)."""
         self._delivery.add(text, tokens)
 
-    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult, end: AttemptEnd) -> None:
+    def on_attempt_ended(
+        self, attempt: EngineAttempt, result: AttemptResult, end: AttemptEnd
+    ) -> None:
         """Count the attempt's end and pass it on, unless another attempt has replaced it."""
         if not self.current.is_current(attempt):
             return
--- a/src/rainsail/gateway/router.py
+++ b/src/rainsail/gateway/router.py
@@ -12,7 +12,7 @@
 from rainsail.engine.prefix import BLOCK_TOKENS
 from rainsail.gateway.eligibility import EligibleRunners
 from rainsail.gateway.load_score import memory_penalty, online_load
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import RoutingSettings
 
 DRAWS_FOR_SECOND = 8
@@ -47,7 +47,11 @@
 
 
 def score_runner(
-    state: RunnerState, blocks: tuple[int, ...], zone: str, now_s: float, settings: RoutingSettings
+    state: ObservedRunner,
+    blocks: tuple[int, ...],
+    zone: str,
+    now_s: float,
+    settings: RoutingSettings,
 ) -> CandidateScore:
     """Return a runner's score for a prompt with these prefix blocks."""
     matched = state.cache.matched_blocks(blocks) * BLOCK_TOKENS
@@ -76,24 +80,24 @@
     )
 
 
-def estimated_load(state: RunnerState, now_s: float) -> float:
+def estimated_load(state: ObservedRunner, now_s: float) -> float:
     """Return the online requests on a runner: own ones and the guess of others'."""
     return online_load(state.online_running, state.foreign_online(now_s))
 
 
-def is_full(state: RunnerState, now_s: float, settings: RoutingSettings) -> bool:
+def is_full(state: ObservedRunner, now_s: float, settings: RoutingSettings) -> bool:
     """Tell whether one more request would wait at this runner."""
     slots = state.spec.batch_slots * settings.slots_per_runner
     return estimated_load(state, now_s) + 1.0 > slots
 
 
 def draw_candidates(
-    states: Sequence[RunnerState],
+    states: Sequence[ObservedRunner],
     blocks: tuple[int, ...],
     now_s: float,
     random: Random,
     settings: RoutingSettings,
-) -> Sequence[RunnerState]:
+) -> Sequence[ObservedRunner]:
     """Draw two runners; when both are full, the least loaded of all joins them."""
     drawn = draw_two(states, blocks, random, settings)
     if len(drawn) == len(states) or not all(is_full(each, now_s, settings) for each in drawn):
@@ -103,11 +107,11 @@
 
 
 def draw_two(
-    states: Sequence[RunnerState],
+    states: Sequence[ObservedRunner],
     blocks: tuple[int, ...],
     random: Random,
     settings: RoutingSettings,
-) -> Sequence[RunnerState]:
+) -> Sequence[ObservedRunner]:
     """Draw up to two different runners, those with cached prefix blocks more often."""
     if len(states) <= 2:
         return states
@@ -122,8 +126,8 @@
 
 
 def _extra_weights(
-    states: Sequence[RunnerState], blocks: tuple[int, ...], settings: RoutingSettings
-) -> list[tuple[RunnerState, float]]:
+    states: Sequence[ObservedRunner], blocks: tuple[int, ...], settings: RoutingSettings
+) -> list[tuple[ObservedRunner, float]]:
     """Return the runners that have some of the blocks, with their weight beyond 1."""
     if not blocks:
         return []
@@ -132,15 +136,17 @@
     return [(state, _extra_weight(state, blocks, settings)) for state in matched]
 
 
-def _extra_weight(state: RunnerState, blocks: tuple[int, ...], settings: RoutingSettings) -> float:
+def _extra_weight(
+    state: ObservedRunner, blocks: tuple[int, ...], settings: RoutingSettings
+) -> float:
     share = state.cache.matched_blocks(blocks) / len(blocks)
     worth = settings.stale_cache_weight if state.cache.stale else 1.0
     return settings.affinity_weight * share * worth
 
 
 def _draw(
-    states: Sequence[RunnerState], extras: Sequence[tuple[RunnerState, float]], random: Random
-) -> RunnerState:
+    states: Sequence[ObservedRunner], extras: Sequence[tuple[ObservedRunner, float]], random: Random
+) -> ObservedRunner:
     """Draw one runner: each has weight 1, those in ``extras`` as much more."""
     total = len(states) + sum(weight for _, weight in extras)
     drawn = random.random() * total
--- a/src/rainsail/gateway/runner_index.py
+++ b/src/rainsail/gateway/runner_index.py
@@ -2,7 +2,7 @@
 
 from bisect import insort
 
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.resources.specs import Resource
 
 
@@ -10,27 +10,27 @@
     """Keeps states in name order per service."""
 
     def __init__(self) -> None:
-        self._by_name: dict[str, RunnerState] = {}
-        self._by_service: dict[str, list[RunnerState]] = {}
+        self._by_name: dict[str, ObservedRunner] = {}
+        self._by_service: dict[str, list[ObservedRunner]] = {}
 
-    def get(self, name: str) -> RunnerState | None:
+    def get(self, name: str) -> ObservedRunner | None:
         """Return a runner's state."""
         return self._by_name.get(name)
 
-    def all(self) -> list[RunnerState]:
+    def all(self) -> list[ObservedRunner]:
         """Return every state in name order."""
         return [self._by_name[name] for name in sorted(self._by_name)]
 
-    def of_service(self, service: str) -> list[RunnerState]:
+    def of_service(self, service: str) -> list[ObservedRunner]:
         """Return the states of a service in name order."""
         return self._by_service.get(service, [])
 
-    def add(self, state: RunnerState) -> None:
+    def add(self, state: ObservedRunner) -> None:
         """Add a state."""
         self._by_name[state.name] = state
         insort(self._by_service.setdefault(state.spec.service, []), state, key=_name)
 
-    def update(self, state: RunnerState, resource: Resource) -> None:
+    def update(self, state: ObservedRunner, resource: Resource) -> None:
         """Give a state its resource's new version, also one that names another service."""
         service = state.spec.service
         state.update_resource(resource)
@@ -45,5 +45,5 @@
             self._by_service[state.spec.service].remove(state)
 
 
-def _name(state: RunnerState) -> str:
+def _name(state: ObservedRunner) -> str:
     return state.name
--- a/src/rainsail/gateway/runner_keeper.py
+++ b/src/rainsail/gateway/runner_keeper.py
@@ -9,7 +9,7 @@
 from rainsail.engine.interface import EngineClient, EngineOrder, OrderKind, OrderReply
 from rainsail.errors import Fault, FaultCode
 from rainsail.gateway.fleet import RunnerFleet
-from rainsail.gateway.runner_state import RunnerState
+from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import GatewaySettings
 from rainsail.resources.specs import (
     AdapterSpec,
@@ -52,7 +52,7 @@
     return tuple(load + unload)
 
 
-def observed_status(state: RunnerState, silent: bool) -> RunnerStatus:
+def observed_status(state: ObservedRunner, silent: bool) -> RunnerStatus:
     """Return the status that an owner reports for a runner, from the engine's own report.
 
     What is wanted (``loading_version``, ``adapters``, ``fence``) is the placement's and stays.
@@ -66,7 +66,7 @@
     return replace(state.status, loaded_version=report.loaded_version, ready=ready, reachable=True)
 
 
-def wanted_role(state: RunnerState) -> EngineOrder:
+def wanted_role(state: ObservedRunner) -> EngineOrder:
     """Return the order that sets the role which the spec asks for."""
     return EngineOrder(state.status.fence, OrderKind.SET_ROLE, state.spec.role.value)
 
@@ -124,7 +124,7 @@
         if state is not None and state.owned and not self._stopped:
             self._look(state)
 
-    def _look(self, state: RunnerState) -> None:
+    def _look(self, state: ObservedRunner) -> None:
         now_s = self._clock.seconds()
         silent = state.is_silent(now_s)
         if state.report is not None and not silent:
@@ -133,7 +133,7 @@
 
     # --- orders ---------------------------------------------------------------------------------
 
-    def _send_orders(self, state: RunnerState, now_s: float) -> None:
+    def _send_orders(self, state: ObservedRunner, now_s: float) -> None:
         report = state.report
         if report is None:
             return
@@ -148,7 +148,7 @@
             self._send_once(state, order, report.incarnation, now_s, self._settings.order_resend_s)
         self._send_role(state, report.incarnation, now_s)
 
-    def _send_role(self, state: RunnerState, incarnation: str, now_s: float) -> None:
+    def _send_role(self, state: ObservedRunner, incarnation: str, now_s: float) -> None:
         """Order the role again only to a restarted engine: load reports do not name it."""
         key = (state.name, OrderKind.SET_ROLE.value)
         if state.spec.role == RunnerRole.MIXED and key not in self._sent:
@@ -156,7 +156,12 @@
         self._send_once(state, wanted_role(state), incarnation, now_s, FOREVER_S)
 
     def _send_once(
-        self, state: RunnerState, order: EngineOrder, incarnation: str, now_s: float, for_s: float
+        self,
+        state: ObservedRunner,
+        order: EngineOrder,
+        incarnation: str,
+        now_s: float,
+        for_s: float,
     ) -> None:
         key = (state.name, order.kind.value)
         if order.kind in (OrderKind.LOAD_ADAPTER, OrderKind.UNLOAD_ADAPTER):
@@ -190,7 +195,7 @@
 
     # --- status ---------------------------------------------------------------------------------
 
-    def _write_status(self, state: RunnerState, silent: bool) -> None:
+    def _write_status(self, state: ObservedRunner, silent: bool) -> None:
         observed = observed_status(state, silent)
         if observed == state.status or self._writing.get(state.name) == state.revision:
             return
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -37,7 +37,7 @@
     return any(each.type == DRAINING and each.value for each in resource.conditions)
 
 
-class RunnerState:
+class ObservedRunner:
     """One runner as this gateway sees it; only ``RunnerFleet`` and its parts change it."""
 
     def __init__(self, resource: Resource, now_s: float, settings: FleetSettings) -> None:
@@ -159,12 +159,12 @@
         return self.report.loaded_version if self.report else self.status.loaded_version
 
 
-def is_leaving(state: RunnerState, now_s: float) -> bool:
+def is_leaving(state: ObservedRunner, now_s: float) -> bool:
     """Tell whether a runner is draining by any account: resource, engine, list or silence."""
     return state.leaving is not None or state.is_silent(now_s)
 
 
-def takes_new_work(state: RunnerState, now_s: float) -> bool:
+def takes_new_work(state: ObservedRunner, now_s: float) -> bool:
     """Tell whether new work may be sent to a runner."""
     if is_leaving(state, now_s) or state.ejection.is_out(now_s):
         return False
--- a/src/rainsail/simulation/actors/links.py
+++ b/src/rainsail/simulation/actors/links.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rainsail.assembly.gateway import GatewayNode
+from rainsail.assembly.gateway import NativeGatewayNode
 from rainsail.simulation.clock import VirtualClock
 
 LOST_ANSWER_PROBABILITY = 0.3
@@ -26,7 +26,7 @@
         draw: random.Random,
         one_way_s: float,
         lost_answers: LostAnswers,
-        find_gateway: Callable[[str], GatewayNode | None],
+        find_gateway: Callable[[str], NativeGatewayNode | None],
     ) -> None:
         self.clock = clock
         self.draw = draw
@@ -34,7 +34,7 @@
         self._lost_answers = lost_answers
         self._find_gateway = find_gateway
 
-    def gateway(self, name: str) -> GatewayNode | None:
+    def gateway(self, name: str) -> NativeGatewayNode | None:
         """Return the running gateway of that name, or None when nothing accepts connections."""
         return self._find_gateway(name)
 
--- a/src/rainsail/simulation/defects.py
+++ b/src/rainsail/simulation/defects.py
@@ -12,10 +12,10 @@
 from expression import Ok
 from twisted.internet.defer import succeed
 
-from rainsail.assembly.gateway import GatewayNode
+from rainsail.assembly.gateway import NativeGatewayNode
 from rainsail.batch import preemption
 from rainsail.batch.interface import BatchAllowance
-from rainsail.batch.item_runner import ItemRun
+from rainsail.batch.item_runner import LeasedItemRun
 from rainsail.batch.policies.preemptive import PreemptivePolicy
 from rainsail.control import config_view
 from rainsail.control.config_leases import ConfigLeaseTable
@@ -255,7 +255,7 @@
         "batch fills the engines like online work and never steps aside",
         (
             Patch(preemption, "choose_victims", _always([])),
-            Patch(ItemRun, "start", _start_as_online),
+            Patch(LeasedItemRun, "start", _start_as_online),
             Patch(PreemptivePolicy, "allowance", _always(BatchAllowance(64, "defect"))),
         ),
     ),
@@ -305,7 +305,7 @@
         "stop-at-once",
         ("planned_stop",),
         "a gateway asked to stop drops what is in progress",
-        (Patch(GatewayNode, "planned_stop", _stop_at_once),),
+        (Patch(NativeGatewayNode, "planned_stop", _stop_at_once),),
         _GATEWAY_STOPS,
     ),
     Defect(
--- a/src/rainsail/simulation/fleet.py
+++ b/src/rainsail/simulation/fleet.py
@@ -2,7 +2,7 @@
 
 import random
 
-from rainsail.assembly.gateway import GatewayConfig, GatewayNode
+from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.batch.settings import BatchSettings
 from rainsail.consensus.settings import ConsensusSettings
@@ -178,7 +178,7 @@
 
     # --- looking -------------------------------------------------------------------------
 
-    def live_gateway(self, name: str) -> GatewayNode | None:
+    def live_gateway(self, name: str) -> NativeGatewayNode | None:
         """Return a gateway that accepts connections, or None. A frozen one accepts them."""
         process = self.gateways[name]
         return process.node if process.running else None
@@ -203,7 +203,7 @@
 
     # --- recording -----------------------------------------------------------------------
 
-    def _record_gateway(self, node: GatewayNode) -> None:
+    def _record_gateway(self, node: NativeGatewayNode) -> None:
         name, incarnation = node.config.name, node.incarnation
 
         def applied(event: WatchEvent) -> None:
@@ -212,7 +212,7 @@
 
         node.view.on_event(applied)
 
-    def _record_generate(self, node: GatewayNode) -> None:
+    def _record_generate(self, node: NativeGatewayNode) -> None:
         now_s = self.clock.seconds()
         name, incarnation = node.config.name, node.incarnation
         self.history.record(GatewayAdmitted(now_s, name, incarnation, node.view.revision))
--- a/src/rainsail/simulation/processes.py
+++ b/src/rainsail/simulation/processes.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rainsail.assembly.gateway import GatewayConfig, GatewayNode
+from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.replica import ReplicaNode
 from rainsail.assembly.replica_config import ReplicaConfig
 from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
@@ -165,11 +165,11 @@
 
     def __init__(self, world: World, name: str, zone: str, config: GatewayConfig) -> None:
         super().__init__(world, name, zone)
-        self.node: GatewayNode | None = None
-        self.on_started: Callable[[GatewayNode], None] = lambda node: None
+        self.node: NativeGatewayNode | None = None
+        self.on_started: Callable[[NativeGatewayNode], None] = lambda node: None
         self.on_died: Callable[[str], None] = lambda name: None
         self.on_stopped: Callable[[str], None] = lambda name: None
-        self.on_generate: Callable[[GatewayNode], None] = lambda node: None
+        self.on_generate: Callable[[NativeGatewayNode], None] = lambda node: None
         self._config = config
         self._engine: ObservedEngineClient | None = None
 
@@ -182,7 +182,7 @@
         self._engine = ObservedEngineClient(
             self.name, self._world.engines, node_seams.clock, node_seams.random
         )
-        node = GatewayNode(self._config, GatewaySeams(node_seams, self._engine))
+        node = NativeGatewayNode(self._config, GatewaySeams(node_seams, self._engine))
         self._engine.on_generate = lambda: self.on_generate(node)
         self.node = node
         self.on_started(self.node)
--- a/src/rainsail/tenancy/lender.py
+++ b/src/rainsail/tenancy/lender.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaTerms:
+class ShareTerms:
     """How long a share holds (seconds), clock-rate margin, and the reserve's part of the rate."""
 
     share_s: float
@@ -45,7 +45,7 @@
 class QuotaLender:
     """The leader's book of lent shares."""
 
-    def __init__(self, terms: QuotaTerms) -> None:
+    def __init__(self, terms: ShareTerms) -> None:
         self._terms = terms
         self._lent: dict[str, TenantBook] = {}
         self._lends_from_s = 0.0
