--- a/src/rainsail/relay/attempt.py
+++ b/src/rainsail/relay/attempt.py
@@ -6,18 +6,23 @@
 from rainsail.http.client import CONNECTION_ENDS, AnswerHead, Framing
 from rainsail.http.pool import Call
 from rainsail.relay.context import RelayContext
-from rainsail.relay.events import Event, EventStream, is_event_stream
+from rainsail.relay.continuation import (
+    CLOSED_EARLY,
+    FOREIGN_ANSWER,
+    OVERLONG_EVENT,
+    AttemptEnd,
+    HeadKind,
+    judge_body,
+    judge_head,
+)
+from rainsail.relay.events import Event, EventStream
 from rainsail.relay.protocol import AnswerVerdict
 
-STATUS_SERVER_ERROR = 500
-CLOSED_EARLY = "the connection ended before the stream"
-OVERLONG_EVENT = "an event has no end"
-
 
 class AttemptOwner(Protocol):
-    """What an attempt tells the request that it belongs to; one of the last five ends it.
+    """Listens to an attempt; one of the last five calls ends it.
 
-    The owner may cancel it at any of them.
+    The owner may cancel the attempt in any of them.
     """
 
     def head_came(self, attempt: "Attempt") -> None:
@@ -62,7 +67,7 @@
         context: RelayContext,
         record: RunnerRecord,
         request: str,
-        speaks_within_s: float,
+        idle_timeout_s: float,
     ) -> None:
         self.record = record
         self.head: AnswerHead | None = None
@@ -77,14 +82,20 @@
         self._context = context
         self._request = request
         self._over = False
-        context.loads.sent(record.runner, context.clock.seconds(), speaks_within_s)
+        context.loads.sent(record.runner, context.clock.seconds(), idle_timeout_s)
 
     @property
     def failed(self) -> bool:
         """Tell whether the runner answered with a failure of its own."""
         if self.head is None or self.verdict is None:
             return False
-        return self.head.status >= STATUS_SERVER_ERROR or self.verdict.promises_not_run
+        return judge_body(self.head.status, self.verdict) != AttemptEnd.ANSWERED
+
+    @property
+    def body_end(self) -> AttemptEnd:
+        """How the attempt ends if its answer, which is no stream, is whole."""
+        assert self.head is not None and self.verdict is not None
+        return judge_body(self.head.status, self.verdict)
 
     @property
     def is_stream(self) -> bool:
@@ -111,17 +122,18 @@
         """Judge the head."""
         context = self._context
         self.head = head
-        context.loads.heard(self.record.runner, context.clock.seconds())
+        context.loads.received(self.record.runner, context.clock.seconds())
         self.verdict = verdict = context.protocol.judge(head, self._request)
         if verdict.load is not None and verdict.belongs:
-            context.loads.reported(self.record.runner, verdict.load, context.clock.seconds())
-        if not verdict.belongs:
-            self._fail("the answer belongs to another request")
-        elif verdict.not_run:
+            context.loads.take_report(self.record.runner, verdict.load, context.clock.seconds())
+        kind = judge_head(head, verdict)
+        if kind == HeadKind.FOREIGN:
+            self._fail(FOREIGN_ANSWER)
+        elif kind == HeadKind.NOT_RUN:
             if self._end():
                 self._owner.runner_refused(self)
         else:
-            if is_event_stream(head):
+            if kind == HeadKind.EVENTS:
                 self.stream = EventStream(head.framing)
             self._owner.head_came(self)
 
@@ -129,7 +141,7 @@
         """Gather the body, or hand whole events on."""
         if self._over:
             return
-        self._context.loads.heard(self.record.runner, self._context.clock.seconds())
+        self._context.loads.received(self.record.runner, self._context.clock.seconds())
         if self.stream is not None:
             self._take_events(self.stream, data)
             return
@@ -169,7 +181,7 @@
     # --- the owner's calls ---------------------------------------------------------------
 
     def cancel(self) -> None:
-        """Close the connection under it; the owner hears nothing more."""
+        """Close its connection; the owner gets no more calls."""
         if self._end() and self.call is not None:
             self.call.cancel()
 
--- a/src/rainsail/simulation/defects.py
+++ b/src/rainsail/simulation/defects.py
@@ -12,10 +12,10 @@
 from expression import Ok
 from twisted.internet.defer import succeed
 
-from rainsail.assembly.gateway import GatewayNode
+from rainsail.assembly.gateway import NativeGatewayNode
 from rainsail.batch import preemption
 from rainsail.batch.interface import BatchAllowance
-from rainsail.batch.item_runner import ItemRun
+from rainsail.batch.item_runner import LeasedItemRun
 from rainsail.batch.policies.preemptive import PreemptivePolicy
 from rainsail.control import config_view
 from rainsail.control.config_leases import ConfigLeaseTable
@@ -33,7 +33,7 @@
 from rainsail.state.commands import ClaimResult, CommitVerdict, JobPhase
 from rainsail.state.item_leases import ItemLeases
 from rainsail.state.job_items import COMPLETED
-from rainsail.state.ledger import Ledger
+from rainsail.state.ledger import BatchLedger
 
 Replacement = Callable[[Any], Any]
 """Takes the original and returns what stands in for it."""
@@ -234,13 +234,13 @@
         "no-job-key",
         ("exactly_once",),
         "a re-sent job becomes another job",
-        (Patch(Ledger, "open", _open_without_key),),
+        (Patch(BatchLedger, "open", _open_without_key),),
     ),
     Defect(
         "cancel-not-revoking",
         ("cancellation",),
         "a cancel is answered but the job's items run on",
-        (Patch(Ledger, "cancel", _cancel_in_name_only),),
+        (Patch(BatchLedger, "cancel", _cancel_in_name_only),),
     ),
     Defect(
         "lease-never-lapses",
@@ -255,7 +255,7 @@
         "batch fills the engines like online work and never steps aside",
         (
             Patch(preemption, "choose_victims", _always([])),
-            Patch(ItemRun, "start", _start_as_online),
+            Patch(LeasedItemRun, "start", _start_as_online),
             Patch(PreemptivePolicy, "allowance", _always(BatchAllowance(64, "defect"))),
         ),
     ),
@@ -305,7 +305,7 @@
         "stop-at-once",
         ("planned_stop",),
         "a gateway asked to stop drops what is in progress",
-        (Patch(GatewayNode, "planned_stop", _stop_at_once),),
+        (Patch(NativeGatewayNode, "planned_stop", _stop_at_once),),
         _GATEWAY_STOPS,
     ),
     Defect(
