--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -1,8 +1,9 @@
 """Runs leased batch items on the idle capacity of the runners that a gateway owns.
 
 On every change of a runner (an online request arrives or ends, a load report comes in) the
-policy says how many items the runner may hold; what is above that steps aside at once, what is
-below is filled from items leased ahead of need.
+policy says how many items the runner may hold; what is above that is preempted at once, what is
+below is filled from items leased ahead of need. ``item_runs`` holds what runs, ``lease_pools``
+what waits; ``result_committer`` and ``item_returns`` record what became of the items.
 """
 
 import random
@@ -18,8 +19,9 @@
 from rainsail.batch.interface import BatchRunnerView, DispatchPolicy
 from rainsail.batch.item_returns import ItemReturns
 from rainsail.batch.item_runner import LeasedItemRun, LeasedRunEnd
+from rainsail.batch.item_runs import LeasedItemRuns
 from rainsail.batch.lease_keeper import LeaseKeeper
-from rainsail.batch.lease_pool import LeasePool
+from rainsail.batch.lease_pools import LeasePools
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
 from rainsail.batch.result_committer import ResultCommitter
 from rainsail.batch.settings import BatchSettings
@@ -63,13 +65,9 @@
         policy: DispatchPolicy,
         prefill: OnlinePrefillMeter | None = None,
     ) -> None:
-        self._holder = holder
         self._fleet = fleet
         self._config = config
-        self._control = control
-        self._engine = engine
         self._clock = clock
-        self._random = random
         self._settings = settings
         self._policy = policy
         self._prefill = prefill
@@ -86,12 +84,11 @@
             self._lease_lapsed,
             self._note_backlog,
         )
-        self._pools: dict[str, LeasePool] = {}
-        self._runs: dict[str, dict[str, LeasedItemRun]] = {}
+        self._pools = LeasePools(holder, control, clock, random, settings, self._keeper.note_leased)
+        self._runs = LeasedItemRuns(holder, fleet, engine, clock, self._run_ended)
         self._allowances: dict[str, int] = {}
         self._not_before_s: dict[str, float] = {}
         self._evaluating = ""
-        self._attempts = 0
         self._running = False
         self._timers: list[Any] = []
 
@@ -112,19 +109,17 @@
         for timer in self._timers:
             if timer.active():
                 timer.cancel()
-        for runner in list(self._runs):
-            for run in list(self._runs[runner].values()):
-                self._step_aside(run)
-        for pool in self._pools.values():
-            for held in pool.stop():
-                self.returns.add(held)
+        for run in self._runs.all():
+            self.returns.add(self._runs.stop(run))
+        for held in self._pools.stop():
+            self.returns.add(held)
         drained = DeferredList([self.committer.drain(), self.returns.drain()])
         return drained.addCallback(lambda _: None)
 
     @property
     def running_items(self) -> int:
         """How many items run on engines now."""
-        return sum(len(runs) for runs in self._runs.values())
+        return len(self._runs)
 
     def _tick(self) -> None:
         self._keeper.check()
@@ -132,7 +127,7 @@
         self._allowances = {name: self._allowances.get(name, 0) for name in runners}
         for runner in runners:
             self._evaluate(runner)
-        for service, pool in self._pools.items():
+        for service, pool in self._pools.by_service():
             for held in pool.take_stale():
                 self.returns.add(held)
             pool.want(self._wanted(service))
@@ -154,7 +149,7 @@
         """Return the runners owned, then those owned before that still run items."""
         owned = [runner.name for runner in self._fleet.owned_runners()]
         known = dict.fromkeys(owned)
-        known.update(dict.fromkeys(name for name, runs in self._runs.items() if runs))
+        known.update(dict.fromkeys(self._runs.runners()))
         return list(known)
 
     def _runner_changed(self, runner: str) -> None:
@@ -175,7 +170,7 @@
         try:
             allowance = self._allowance(runner)
             self._allowances[runner] = allowance
-            running = len(self._runs.get(runner, ()))
+            running = self._runs.count(runner)
             if running > allowance:
                 self._preempt(runner, running - allowance)
             elif running < allowance:
@@ -190,7 +185,7 @@
         allowance = self._policy.allowance(self._view(runner, state.spec)).items
         if self._takes_new_items(runner):
             return allowance
-        return min(allowance, len(self._runs.get(runner, ())))
+        return min(allowance, self._runs.count(runner))
 
     def _view(self, runner: str, spec: RunnerSpec) -> BatchRunnerView:
         view = self._fleet.view(runner)
@@ -212,22 +207,21 @@
     def _preempt(self, runner: str, count: int) -> None:
         resume_s = self._clock.seconds() + self._settings.refill_delay_s
         self._not_before_s[runner] = max(resume_s, self._not_before_s.get(runner, 0.0))
-        runs = list(self._runs[runner].values())
-        for run in preemption.choose_victims(runs, count):
+        for run in preemption.choose_victims(self._runs.of_runner(runner), count):
             self.counts.preempted += 1
-            held = self._stop_run(run)
-            self._pool(held.service).put_back(held)
+            self._pools.put_back(self._runs.stop(run))
 
     def _fill(self, runner: str, count: int) -> None:
         spec = self._spec(runner)
         if spec is None:
             return
-        pool = self._pool(spec.service)
+        pool = self._pools.of_service(spec.service)
         taken = 0
         while taken < count and (held := pool.take(runner)) is not None:
             taken += 1
             if self._keeper.valid(held.group):
-                self._start_run(runner, spec, held)
+                self.counts.started += 1
+                self._runs.start(runner, spec, held, self._priority())
         if taken and pool.low():
             pool.want(self._wanted(spec.service))
 
@@ -238,28 +232,19 @@
             spec = self._spec(runner)
             if allowance == 0 or spec is None or spec.service != service:
                 continue
-            spare = allowance - len(self._runs.get(runner, ()))
+            spare = allowance - self._runs.count(runner)
             wanted += max(0, spare) + self._settings.prefetch_items_per_runner
         return wanted
 
-    # --- runs -----------------------------------------------------------------------------
+    def _priority(self) -> Priority:
+        return Priority.LOW if self._policy.low_priority else Priority.HIGH
 
-    def _start_run(self, runner: str, spec: RunnerSpec, held: HeldItem) -> None:
-        self._attempts += 1
-        attempt_id = f"{self._holder}/b{self._attempts}"
-        run = LeasedItemRun(
-            held, runner, spec.address, attempt_id, self._engine, self._clock, self._run_ended
-        )
-        self._runs.setdefault(runner, {})[attempt_id] = run
-        self.counts.started += 1
-        self._fleet.attempt_started(runner, attempt_id, True)
-        run.start(Priority.LOW if self._policy.low_priority else Priority.HIGH)
+    # --- ends of runs ---------------------------------------------------------------------
 
     def _run_ended(
         self, run: LeasedItemRun, end: LeasedRunEnd, detail: str, retry_after_s: float
     ) -> None:
-        self._forget_run(run)
-        held = run.held.waiting(run.text, self._clock.seconds(), run.runner)
+        held = self._runs.held_item(run)
         if end is LeasedRunEnd.FINISHED:
             self.counts.finished += 1
             result = ItemResult(held.ref, run.text, run.tokens)
@@ -277,71 +262,34 @@
 
     def _keep(self, held: HeldItem) -> None:
         if self._running:
-            self._pool(held.service).put_back(held)
+            self._pools.put_back(held)
         else:
             self.returns.add(held)
 
-    def _step_aside(self, run: LeasedItemRun) -> None:
-        self.returns.add(self._stop_run(run))
-
-    def _stop_run(self, run: LeasedItemRun) -> HeldItem:
-        """Cancel a run at its engine; returns the item with the text generated so far."""
-        run.stop()
-        self._forget_run(run)
-        return run.held.waiting(run.text, self._clock.seconds(), run.runner)
-
-    def _forget_run(self, run: LeasedItemRun) -> None:
-        self._runs[run.runner].pop(run.attempt_id, None)
-        self._fleet.attempt_ended(run.runner, run.attempt_id)
-
     # --- leases ---------------------------------------------------------------------------
 
-    def _pool(self, service: str) -> LeasePool:
-        pool = self._pools.get(service)
-        if pool is None:
-            pool = LeasePool(
-                service,
-                self._holder,
-                self._control,
-                self._clock,
-                self._random,
-                self._settings,
-                self._keeper.note_leased,
-            )
-            self._pools[service] = pool
-        return pool
-
     def _held_refs(self, group: GroupId) -> list[ItemRef]:
-        refs = self.committer.pending_refs(group)
-        for pool in self._pools.values():
-            refs.extend(pool.refs(group))
-        for runs in self._runs.values():
-            refs.extend(run.held.ref for run in runs.values() if run.held.group == group)
-        return refs
+        pending = self.committer.pending_refs(group)
+        return [*pending, *self._pools.refs(group), *self._runs.refs(group)]
 
     def _note_backlog(self, group: GroupId, backlog: dict[str, int]) -> None:
-        for service, pool in self._pools.items():
+        for service, pool in self._pools.by_service():
             pool.note_backlog(group, backlog.get(service, 0))
             pool.want(self._wanted(service))
 
     def _stop_revoked(self, group: GroupId, refs: tuple[ItemRef, ...]) -> None:
         """Cancel at the engines what the ledger no longer wants run by this holder."""
         for ref in refs:
-            for pool in self._pools.values():
-                pool.drop(group, ref)
-        for runs in list(self._runs.values()):
-            for run in list(runs.values()):
-                if run.held.group == group and run.held.ref in refs:
-                    self.counts.revoked += 1
-                    self._stop_run(run)
+            self._pools.drop(group, ref)
+        for run in self._runs.of_group(group):
+            if run.held.ref in refs:
+                self.counts.revoked += 1
+                self._runs.stop(run)
 
     def _lease_lapsed(self, group: GroupId) -> None:
         """Stop every item of a group; the ledger ignores the returns of revoked leases."""
         self.counts.lapses += 1
-        for runs in list(self._runs.values()):
-            for run in list(runs.values()):
-                if run.held.group == group:
-                    self._step_aside(run)
-        for pool in self._pools.values():
-            for held in pool.take_group(group):
-                self.returns.add(held)
+        for run in self._runs.of_group(group):
+            self.returns.add(self._runs.stop(run))
+        for held in self._pools.take_group(group):
+            self.returns.add(held)
