--- a/src/rainsail/batch/item_runner.py
+++ b/src/rainsail/batch/item_runner.py
@@ -19,12 +19,18 @@
 from rainsail.runtime.clock import Clock
 
 CANCEL_RETRY_DELAY_S = 0.1
-"""Seconds before a cancel is sent again when it failed or chunks still come."""
+"""Seconds before a cancel is sent again when it failed or chunks still come. Not measured."""
 CANCEL_ATTEMPTS = 5
-"""Times that a cancel is sent; the engine's stream dies with its reader after that."""
+"""Times that a cancel is sent; the engine's stream ends with its reader after that.
+
+Not measured.
+"""
 
 RESUME_ATTEMPTS = 3
-"""Times that an engine is asked again for the chunks missing of a finished answer."""
+"""Times that an engine is asked again for the chunks missing of a finished answer.
+
+Not measured.
+"""
 
 
 class LeasedRunEnd(StrEnum):
--- a/src/rainsail/batch/policies/preemptive.py
+++ b/src/rainsail/batch/policies/preemptive.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class PreemptivePolicy:
-    """Fills the slots that online work leaves and steps aside for long online prompts.
+    """Fills the slots that online work leaves; preempts items for long online prompts.
 
     ``batch_weight`` is the share of a runner's slots that stay in use, online work included,
     while ``LONG_PROMPT_TOKENS`` wait; the share falls as more wait. 0: least harm to the online
--- a/src/rainsail/batch/policies/shared_queue.py
+++ b/src/rainsail/batch/policies/shared_queue.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class SharedQueuePolicy:
-    """Fills every slot and never steps aside."""
+    """Fills every slot and never preempts."""
 
     name: str = "shared_queue"
     low_priority: bool = False
--- a/src/rainsail/gateway/silence_watch.py
+++ b/src/rainsail/gateway/silence_watch.py
@@ -1,4 +1,7 @@
-"""Looks for runners that send no load reports any more."""
+"""Looks for runners that send no load reports any more.
+
+It marks them in the index; what follows is decided in ``runner_state`` and ``eligibility``.
+"""
 
 from rainsail.gateway.eligibility import EligibleCache
 from rainsail.gateway.engine_feeds import EngineFeeds
