--- a/src/rainsail/batch/lease_keeper.py
+++ b/src/rainsail/batch/lease_keeper.py
@@ -13,6 +13,7 @@
 from rainsail.control.interface import ControlClient
 from rainsail.control.messages import RenewItemLeases, RenewItemLeasesReply
 from rainsail.errors import Fault
+from rainsail.logs import logger
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import GroupId, ItemRef
 
@@ -95,6 +96,8 @@
         lease.renewing = False
         self.check()
         if result.is_error():
+            # The lease runs out by itself unless a later renewal gets through.
+            logger.bind(group=group).info("item leases not renewed: {}", result.error)
             return
         reply = result.ok
         lease.expires_at_s = sent_at_s + reply.lease_s
--- a/src/rainsail/batch/lease_pool.py
+++ b/src/rainsail/batch/lease_pool.py
@@ -12,6 +12,7 @@
 from rainsail.batch.settings import BatchSettings
 from rainsail.control.interface import ControlClient
 from rainsail.errors import Fault
+from rainsail.logs import logger
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import (
     CommandOutcome,
@@ -176,6 +177,8 @@
     def _failed(self, fault: Fault, group: GroupId) -> None:
         """Send the same request id again: the first command may have leased items."""
         if fault.code in DEFINITE_CODES:
+            # Nothing was leased; how many items wait is learnt anew with the next request.
+            logger.bind(group=group, service=self._service).info("items not leased: {}", fault)
             self._groups[group].request = None
             self._groups[group].backlog = 0
             return
