--- a/src/rainsail/benchmarks/child_process.py
+++ b/src/rainsail/benchmarks/child_process.py
@@ -78,7 +78,7 @@
     return {"start": start}
 
 
-class GatewayProcess:
+class BenchedGatewayProcess:
     """Runs one gateway."""
 
     def __init__(self) -> None:
@@ -192,7 +192,7 @@
     options = parser.parse_args()
     roles: dict[str, Callable[[], Commands]] = {
         "engine": lambda: engine_commands(options.slow),
-        "gateway": lambda: GatewayProcess().commands(),
+        "gateway": lambda: BenchedGatewayProcess().commands(),
         "relay": relay_commands,
         "caller": lambda: CallerProcess().commands(),
         "receiver": lambda: receiver_commands(options.keys),
--- a/src/rainsail/cli/operator_client.py
+++ b/src/rainsail/cli/operator_client.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class OperatorAnswer:
     """A decoded answer of the operator API."""
 
     status: int
@@ -98,7 +98,7 @@
                 continue
             if response.code < 300:
                 return response
-            answer = Answer(response.code, _decoded(await response.text()))
+            answer = OperatorAnswer(response.code, _decoded(await response.text()))
             if answer.status not in RETRIED_STATUSES:
                 raise _end_of(answer)
             problem = _fault_text(answer)
@@ -108,7 +108,9 @@
         if attempt:
             await deferLater(self._reactor, FIRST_PAUSE_S * 2 ** (attempt - 1))
 
-    async def _attempt(self, method: str, path: str, body: Any, query: dict[str, str]) -> Answer:
+    async def _attempt(
+        self, method: str, path: str, body: Any, query: dict[str, str]
+    ) -> OperatorAnswer:
         call = self._http.request(
             method,
             self._base + path,
@@ -119,7 +121,7 @@
         )
         response = await call
         text = await response.text()
-        return Answer(response.code, _decoded(text))
+        return OperatorAnswer(response.code, _decoded(text))
 
 
 class _LineSplitter:
@@ -192,18 +194,18 @@
         return {"detail": text[:500]}
 
 
-def _body_of(answer: Answer) -> Any:
+def _body_of(answer: OperatorAnswer) -> Any:
     if answer.status < 300:
         return answer.body
     raise _end_of(answer)
 
 
-def _end_of(answer: Answer) -> CommandEnd:
+def _end_of(answer: OperatorAnswer) -> CommandEnd:
     text = _fault_text(answer)
     return bad_input(text) if answer.status in (400, 413) else failed(text)
 
 
-def _fault_text(answer: Answer) -> str:
+def _fault_text(answer: OperatorAnswer) -> str:
     fault = answer.body if isinstance(answer.body, dict) else {}
     fault = fault.get("error", fault)
     fault = fault.get("rainsail", fault) if isinstance(fault, dict) else {"detail": str(fault)}
--- a/src/rainsail/demo/operator.py
+++ b/src/rainsail/demo/operator.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from rainsail.demo.callers import CALL_TIMEOUT_S, CallerSeams
-from rainsail.demo.site import POSITIONS, REPORTS, DeclaredResource, DemoSite
+from rainsail.demo.site import POSITIONS, REPORTS, DemoResource, DemoSite
 from rainsail.demo.traffic_plan import COMPLETION_PATH
 from rainsail.errors import Fault
 from rainsail.gateway.openai.headers import CLASS_HEADER
@@ -30,7 +30,7 @@
         self.waiting_for = "an answer of the operator API"
 
     @inlineCallbacks
-    def put(self, resource: DeclaredResource) -> Generator[Deferred[Any], Any, Any]:
+    def put(self, resource: DemoResource) -> Generator[Deferred[Any], Any, Any]:
         """Create or replace a resource; fires with the answer."""
         answer = yield self._change("PUT", resource.kind, resource.name, resource.spec)
         return answer
--- a/src/rainsail/demo/site.py
+++ b/src/rainsail/demo/site.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeclaredResource:
+class DemoResource:
     """One resource as an operator declares it."""
 
     kind: Kind
@@ -152,7 +152,7 @@
     ]
 
 
-def declared_resources(site: DemoSite) -> list[DeclaredResource]:
+def declared_resources(site: DemoSite) -> list[DemoResource]:
     """Return what the operators declare before there is traffic, in order.
 
     The tenants come last: a gateway that knows this start's keys knows all the rest too.
@@ -169,26 +169,26 @@
         }
         if entry.service == POSITIONS:
             spec["batch_slots"] = 0
-        declared.append(DeclaredResource(Kind.RUNNER, entry.runner, spec))
+        declared.append(DemoResource(Kind.RUNNER, entry.runner, spec))
     declared += [_tenant(tenant, key) for tenant, key in site.tenant_keys.items()]
     return declared
 
 
-def session_resource(name: str, tenant: str) -> DeclaredResource:
+def session_resource(name: str, tenant: str) -> DemoResource:
     """Return the declaration of a tenant's session with the reports service."""
-    return DeclaredResource(Kind.SESSION, name, {"tenant": tenant, "service": REPORTS})
+    return DemoResource(Kind.SESSION, name, {"tenant": tenant, "service": REPORTS})
 
 
-def _tenant(name: str, key: str) -> DeclaredResource:
+def _tenant(name: str, key: str) -> DemoResource:
     spec = {
         "tokens_per_second": _TENANT_TOKENS_PER_S,
         "burst_tokens": _TENANT_BURST_TOKENS,
         "key_hashes": [key_hash(key)],
     }
-    return DeclaredResource(Kind.TENANT, name, spec)
+    return DemoResource(Kind.TENANT, name, spec)
 
 
-def _service(name: str, runners: int, default_class: RequestClass) -> list[DeclaredResource]:
+def _service(name: str, runners: int, default_class: RequestClass) -> list[DemoResource]:
     version = f"{name}-v1"
     weights = {"service": name, "weights": f"weights/{name}/v1", "weight_bytes": _WEIGHT_BYTES}
     spec = {
@@ -198,6 +198,6 @@
         "batch_weight": GUAYAQUIL_BATCH_WEIGHT,
     }
     return [
-        DeclaredResource(Kind.MODEL_VERSION, version, weights),
-        DeclaredResource(Kind.SERVICE, name, spec),
+        DemoResource(Kind.MODEL_VERSION, version, weights),
+        DemoResource(Kind.SERVICE, name, spec),
     ]
--- a/src/rainsail/experiment/capacity_bound.py
+++ b/src/rainsail/experiment/capacity_bound.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OnlineUse:
+class OnlineTokens:
     """What online work took of the language model's engines within the measured window."""
 
     generated_tokens: int
@@ -37,7 +37,7 @@
 
 
 def batch_token_bound(
-    engine: EngineSettings, runners: int, window_s: float, online: OnlineUse, item: BatchShape
+    engine: EngineSettings, runners: int, window_s: float, online: OnlineTokens, item: BatchShape
 ) -> float:
     """Return the most batch tokens that the engines could have generated in the window."""
     places = engine.max_running
--- a/src/rainsail/experiment/policy_experiment.py
+++ b/src/rainsail/experiment/policy_experiment.py
@@ -4,7 +4,7 @@
 
 from rainsail.batch.policies import POLICIES
 from rainsail.batch.settings import BatchSettings
-from rainsail.experiment.capacity_bound import BatchShape, OnlineUse, batch_token_bound
+from rainsail.experiment.capacity_bound import BatchShape, OnlineTokens, batch_token_bound
 from rainsail.experiment.measures import OnlineRecord, RunRecord, percentile
 from rainsail.experiment.site_run import SiteRun
 from rainsail.experiment.sites import SITES, SitePreset
@@ -86,7 +86,7 @@
     answer_tokens = sum(item.max_tokens for item in items) / max(1, len(items))
     shape = BatchShape(answer_tokens, site.batch.item.own_tokens)
     window_s = baseline.window_end_s - baseline.window_start_s
-    use = OnlineUse(baseline.generated_tokens, baseline.prefill_tokens)
+    use = OnlineTokens(baseline.generated_tokens, baseline.prefill_tokens)
     return batch_token_bound(site.model_engine, site.model_runners, window_s, use, shape)
 
 
--- a/src/rainsail/gateway/fleet.py
+++ b/src/rainsail/gateway/fleet.py
@@ -15,7 +15,7 @@
 from rainsail.gateway.ejection import may_put_out
 from rainsail.gateway.eligibility import EligibleCache, EligibleRunners
 from rainsail.gateway.engine_feeds import EngineFeeds
-from rainsail.gateway.fleet_follower import FleetFollower
+from rainsail.gateway.fleet_follower import GatewayFleetFollower
 from rainsail.gateway.fleet_listeners import FleetListeners, RunnerListener
 from rainsail.gateway.runner_index import RunnerIndex
 from rainsail.gateway.runner_state import ObservedRunner
@@ -48,7 +48,7 @@
         self._feeds = EngineFeeds(
             engine, clock, random, settings.fleet, self._eligible, self._listeners
         )
-        self._follower = FleetFollower(
+        self._follower = GatewayFleetFollower(
             gateway,
             zone,
             config,
--- a/src/rainsail/gateway/fleet_follower.py
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -23,7 +23,7 @@
 from rainsail.runtime.clock import Clock
 
 
-class FleetFollower:
+class GatewayFleetFollower:
     """Keeps the index of runners as the configuration says."""
 
     def __init__(
