--- a/features/steps/continuation_steps.py
+++ b/features/steps/continuation_steps.py
@@ -15,13 +15,13 @@
     SendTerms,
     decide_send,
     end_after_attempt,
+    forwards_answer,
     give_up_without_runner,
     judge_body,
     judge_head,
     judge_item_body,
     may_leave_silent_runner,
     may_repeat,
-    passes_on,
     refuse_over_quota,
     refuse_overloaded,
     time_out,
@@ -144,7 +144,7 @@
 
 @then('a whole answer that ends as "{end}" is passed on: {passed}')
 def passed_on(context, end, passed):
-    assert passes_on(AttemptEnd(end), context.route, ClientHas.NOTHING) == _is_yes(passed)
+    assert forwards_answer(AttemptEnd(end), context.route, ClientHas.NOTHING) == _is_yes(passed)
 
 
 @when("it is decided on the next sending")
--- a/features/steps/http_connection_steps.py
+++ b/features/steps/http_connection_steps.py
@@ -38,7 +38,7 @@
 
     def noted(exchange):
         context.http_exchanges.append(exchange)
-        exchange.on_left(lambda: context.http_left.append(exchange))
+        exchange.on_disconnect(lambda: context.http_left.append(exchange))
         handler(exchange)
 
     context.http_server = HttpServer(noted, context.http_clock, limits or HttpLimits())
@@ -271,7 +271,7 @@
     context.http_quiet = []
     context.http_server.drain()
     context.http_server.close_idle()
-    context.http_server.when_quiet(lambda: context.http_quiet.append(True))
+    context.http_server.when_drained(lambda: context.http_quiet.append(True))
 
 
 @then("the server is not quiet yet")
--- a/features/steps/http_planned_stop_steps.py
+++ b/features/steps/http_planned_stop_steps.py
@@ -14,7 +14,7 @@
 
 from rainsail.assembly.served_connections import IDLE_READ_S, ServedConnections, has_begun_request
 from rainsail.fleet.listening import listen
-from rainsail.http.planned_close import RESTING_LOOK_PERIOD_S, PlannedClose
+from rainsail.http.graceful_shutdown import RESTING_LOOK_PERIOD_S, GracefulShutdown
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.runtime.sockets import HANDSHAKE_S
 
@@ -87,7 +87,7 @@
         self._server.close_idle()
 
     def close_port(self):
-        PlannedClose(self._server, self._port, self._clock).finish(STOP_LIMIT_S)
+        GracefulShutdown(self._server, self._port, self._clock).finish(STOP_LIMIT_S)
         self._clock.advance(HANDSHAKE_S)
 
     def pass_time(self):
--- a/features/steps/http_reach_steps.py
+++ b/features/steps/http_reach_steps.py
@@ -5,7 +5,7 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 
-from rainsail.http.reach import probe_address
+from rainsail.http.reachability import probe_address
 
 TIMEOUT_S = 5.0
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -9,7 +9,7 @@
 from features.support.relaying import HOST
 
 from rainsail.cluster.messages import RunnerState
-from rainsail.http.reach import Reach
+from rainsail.http.reachability import Reachability
 from rainsail.jobs.messages import QueueLimit
 from rainsail.quarantine.book import QuarantineBook
 from rainsail.quarantine.fingerprint import fingerprint_of
@@ -484,7 +484,7 @@
 
 @given("each probe says that nothing is there")
 def refusing_probes(context):
-    refused = lambda pool, address, told: told(Reach.REFUSED)  # noqa: E731
+    refused = lambda pool, address, told: told(Reachability.REFUSED)  # noqa: E731
     patch = mock.patch.object(RunnerPool, "probe", refused)
     patch.start()
     context.add_cleanup(patch.stop)
--- a/features/steps/relay_choice_steps.py
+++ b/features/steps/relay_choice_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from features.support.relaying import event
 
-from rainsail.relay.split import SplitPicker
+from rainsail.relay.split import WeightedServicePicker
 from rainsail.relay.table import ClientLimits, Route, RouteKind, RoutingTable, ServiceShare
 from rainsail.routing.facts import PromptPart
 from rainsail.routing.prefix_memory import preferred_runner
@@ -86,7 +86,7 @@
 
 @when("{count:d} requests are sent by the split")
 def pick(context, count):
-    picker = SplitPicker(random.Random(3))
+    picker = WeightedServicePicker(random.Random(3))
     context.picked = Counter(picker.service(context.split_route) for _ in range(count))
 
 
--- a/features/steps/zone_drain_waiting_steps.py
+++ b/features/steps/zone_drain_waiting_steps.py
@@ -108,7 +108,7 @@
     method, target = context.call
     request = HttpRequest(method, target, (), b"", 0.0)
     exchange = StandInExchange(request, VirtualClock())
-    exchange.on_left = lambda listener: setattr(exchange, "left", listener)
+    exchange.on_disconnect = lambda listener: setattr(exchange, "left", listener)
     context.exchange = exchange
     context.handle(exchange)
 
--- a/features/support/dying_runners.py
+++ b/features/support/dying_runners.py
@@ -10,7 +10,7 @@
 
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 from rainsail.http.client import AnswerHead, OutgoingRequest
-from rainsail.http.reach import Reach
+from rainsail.http.reachability import Reachability
 from rainsail.simulation.clock import VirtualClock
 
 FATAL_BODY = b"fatal"
@@ -233,14 +233,14 @@
         self._runners.clock.callLater(NETWORK_S, self._runners.take, call)
         return call
 
-    def probe(self, address: str, told: Callable[[Reach], None]) -> None:
+    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
         """Tell whether a runner takes connections."""
         self.probes += 1
         runner = self._runners.at(address)
         if runner.is_dark:
-            self._runners.clock.callLater(CONNECT_TIMEOUT_S, told, Reach.SILENT)
+            self._runners.clock.callLater(CONNECT_TIMEOUT_S, told, Reachability.SILENT)
             return
-        reach = Reach.OPEN if runner.is_up else Reach.REFUSED
+        reach = Reachability.OPEN if runner.is_up else Reachability.REFUSED
         self._runners.clock.callLater(NETWORK_S, told, reach)
 
     def forget(self, address: str) -> None:
--- a/features/support/late_closing_node.py
+++ b/features/support/late_closing_node.py
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 sys.path[:0] = [str(ROOT / "platform"), str(ROOT / "src")]
 
-from rainsail.http import planned_close  # noqa: E402
+from rainsail.http import graceful_shutdown  # noqa: E402
 
 LONG_TURN_S = 0.3
 
@@ -25,6 +25,6 @@
     port.stopListening()
 
 
-planned_close.accept_and_close = close_later
-planned_close.ignore_new_connections = lambda port: None
+graceful_shutdown.accept_and_close = close_later
+graceful_shutdown.ignore_new_connections = lambda port: None
 runpy.run_path(str(ROOT / "platform" / "serve.py"), run_name="__main__")
--- a/features/support/kept_connections.py
+++ b/features/support/persistent_connections.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class KeptConnections:
+class PersistentConnections:
     """One client's connections, one for each server.
 
     After an answer the client closes the connection in so many cases as ``leave_share`` says.
--- a/features/support/process_soak.py
+++ b/features/support/process_soak.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from features.support.kept_connections import KeptConnections
+from features.support.persistent_connections import PersistentConnections
 from features.support.platform_stand_in import (
     CLIENT_PORT,
     CONTROL_PORT,
@@ -285,7 +285,7 @@
 
     def _client(self, seed: float) -> None:
         draw = random.Random(seed)
-        connections = KeptConnections(random.Random(seed), LEAVE_SHARE)
+        connections = PersistentConnections(random.Random(seed), LEAVE_SHARE)
         number = 0
         while not self._over.wait(CLIENT_PAUSE_S):
             number += 1
@@ -299,7 +299,9 @@
             self._read_some_job(gateway, draw)
         connections.close()
 
-    def _request(self, connections: KeptConnections, gateway: str, request: str, kind: str) -> None:
+    def _request(
+        self, connections: PersistentConnections, gateway: str, request: str, kind: str
+    ) -> None:
         sent = request.encode()
         ip, fields = self._platform.nodes[gateway].ip, client_fields(Request_Id=request)
         result = connections.call(ip, CLIENT_PORT, "POST", f"/{kind}/{request}", sent, fields)
--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -102,7 +102,7 @@
         "half an event", (Patch(Attempt, "answer_ended", _end_half_events),)
     ),
     "lets a hole through": Defect(
-        "a hole", (Patch(client_answer, "leaves_hole", _let_holes_through),)
+        "a hole", (Patch(client_answer, "leaves_gap", _let_holes_through),)
     ),
     "tells 503 after a run": Defect(
         "told 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
--- a/features/support/relaying.py
+++ b/features/support/relaying.py
@@ -9,7 +9,7 @@
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.http.client import AnswerHead, OutgoingRequest
 from rainsail.http.exchange import HttpRequest
-from rainsail.http.reach import Reach
+from rainsail.http.reachability import Reachability
 from rainsail.mechanisms import Mechanisms
 from rainsail.relay.context import make_context
 from rainsail.relay.protocol import AnswerVerdict, ItemRequest, RequestFacts, RunnerTarget
@@ -149,9 +149,9 @@
         """Note that idle connections were closed."""
         self.forgotten.append(address)
 
-    def probe(self, address: str, told: Callable[[Reach], None]) -> None:
+    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
         """Every runner takes connections."""
-        told(Reach.OPEN)
+        told(Reachability.OPEN)
 
     def close_stale(self) -> None:
         """Nothing rests here."""
@@ -199,7 +199,7 @@
         assert not self.ended
         self.aborted = True
 
-    def on_left(self, listener: Any) -> None:
+    def on_disconnect(self, listener: Any) -> None:
         """Keep whom to tell when the client leaves."""
         self.left = listener
 
--- a/src/rainsail/assembly/process.py
+++ b/src/rainsail/assembly/process.py
@@ -14,7 +14,7 @@
 from rainsail.errors import Fault
 from rainsail.logs import configure_logs, dump_on_signal, logger
 from rainsail.metrics import CONTENT_TYPE, Metrics
-from rainsail.runtime.collector import exempt_startup_objects
+from rainsail.runtime.garbage_collection import exempt_startup_objects
 from rainsail.settings.model import ProcessSettings
 from rainsail.wire.address import parse_address
 
--- a/src/rainsail/benchmarks/child_process.py
+++ b/src/rainsail/benchmarks/child_process.py
@@ -33,7 +33,7 @@
 )
 from rainsail.benchmarks.samples import MILLISECONDS
 from rainsail.benchmarks.wire import start_receiver
-from rainsail.runtime.collector import exempt_startup_objects
+from rainsail.runtime.garbage_collection import exempt_startup_objects
 
 OPEN_STREAM_TOKENS = 1000
 """At the slow engine's two tokens a second a stream stays open for the whole measurement."""
--- a/src/rainsail/fleet/controller_node.py
+++ b/src/rainsail/fleet/controller_node.py
@@ -10,7 +10,7 @@
 from rainsail.fleet.controller_role import ControllerRole
 from rainsail.fleet.listening import listen
 from rainsail.fleet.port import PlatformPort
-from rainsail.http.planned_close import PlannedClose
+from rainsail.http.graceful_shutdown import GracefulShutdown
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.storage.interface import FileSystem
 
@@ -32,7 +32,7 @@
         self._base = base
         self._port = port
         self._reactor = reactor
-        self._close: PlannedClose | None = None
+        self._close: GracefulShutdown | None = None
         self._role = ControllerRole(base, files, fatal, read_table=port.read_table)
 
     async def start(self) -> Result[None, Fault]:
@@ -46,7 +46,7 @@
         control = listen(self._reactor, server, self._base.settings.listen.control)
         if control.is_error():
             return Error(control.error)
-        self._close = PlannedClose(server, control.ok, self._base.clock)
+        self._close = GracefulShutdown(server, control.ok, self._base.clock)
         return Ok(None)
 
     async def planned_stop(self) -> None:
--- a/src/rainsail/fleet/gateway_node.py
+++ b/src/rainsail/fleet/gateway_node.py
@@ -10,7 +10,7 @@
 from rainsail.fleet.base import NodeBase
 from rainsail.fleet.listening import listen
 from rainsail.fleet.port import PlatformPort
-from rainsail.http.planned_close import PlannedClose
+from rainsail.http.graceful_shutdown import GracefulShutdown
 from rainsail.http.pool import ConnectionPool, PoolSettings
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.jobs.client import JobClient
@@ -91,7 +91,7 @@
         limit_s = self._base.settings.bounds.grace_s - END_BEFORE_GRACE_S
         await sleep(clock, min(limit_s, CLIENTS_LEAVE_AFTER_S))
         if limit_s > CLIENTS_LEAVE_AFTER_S:
-            close = PlannedClose(self._clients, self._client_port, clock)
+            close = GracefulShutdown(self._clients, self._client_port, clock)
             await close.finish(limit_s - CLIENTS_LEAVE_AFTER_S)
         logger.bind(under_way=self._clients.requests_under_way).info("drain_ended")
         self.gateway.stop()
--- a/src/rainsail/fleet/listening.py
+++ b/src/rainsail/fleet/listening.py
@@ -22,5 +22,5 @@
         port = reactor.listenTCP(place.port, server, BACKLOG, place.host)
     except CannotListenError as error:
         return Error(Fault(FaultCode.UNAVAILABLE, "fleet.listen", str(error), address))
-    reactor.addSystemEventTrigger("before", "shutdown", server.break_off)
+    reactor.addSystemEventTrigger("before", "shutdown", server.abort_unframed)
     return Ok(port)
--- a/src/rainsail/fleet/process.py
+++ b/src/rainsail/fleet/process.py
@@ -16,7 +16,7 @@
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.logs import dump_on_signal, logger
 from rainsail.runtime.clock import count_suspended_time
-from rainsail.runtime.collector import exempt_startup_objects
+from rainsail.runtime.garbage_collection import exempt_startup_objects
 from rainsail.settings.node import NodeKind, NodeSettings, load_node_settings
 
 EXIT_DONE = 0
--- a/src/rainsail/http/exchange.py
+++ b/src/rainsail/http/exchange.py
@@ -46,7 +46,7 @@
         """Cut the connection: the answer must not look complete."""
         ...
 
-    def on_left(self, listener: Callable[[], None]) -> None:
+    def on_disconnect(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` when the client closes before the answer has ended."""
         ...
 
@@ -63,7 +63,7 @@
         nonlocal has_left
         has_left = True
 
-    exchange.on_left(left)
+    exchange.on_disconnect(left)
     return lambda: not has_left
 
 
--- a/src/rainsail/http/planned_close.py
+++ b/src/rainsail/http/graceful_shutdown.py
@@ -16,7 +16,7 @@
 RESTING_LOOK_PERIOD_S = 0.1
 
 
-class PlannedClose:
+class GracefulShutdown:
     """Ends one server; ``port`` is the listening port that the reactor gave for it."""
 
     def __init__(self, server: HttpServer, port: Any, clock: Clock) -> None:
@@ -42,7 +42,7 @@
     def _close_port(self, on_quiet: Callable[[], None]) -> None:
         accept_and_close(self._port)
         self._clock.callLater(RESTING_LOOK_PERIOD_S, self._close_resting)
-        self._server.when_quiet(on_quiet)
+        self._server.when_drained(on_quiet)
 
     def _close_resting(self) -> None:
         """Close connections as they come to rest; those that come in meanwhile too."""
--- a/src/rainsail/http/pool.py
+++ b/src/rainsail/http/pool.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from rainsail.http.client import AnswerListener, ClientConnection, OutgoingRequest
-from rainsail.http.reach import Reach, probe_address
+from rainsail.http.reachability import Reachability, probe_address
 from rainsail.http.rest_limit import RestLimit
 from rainsail.runtime.clock import Clock
 from rainsail.wire.address import parse_address
@@ -108,7 +108,7 @@
         self._connect(address, request, call)
         return call
 
-    def probe(self, address: str, told: Callable[[Reach], None]) -> None:
+    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
         """Tell whether an address takes connections; the one that comes up is closed."""
         self.opened += 1
         probe_address(self._reactor, address, self._settings.connect_timeout_s, told)
--- a/src/rainsail/http/reach.py
+++ b/src/rainsail/http/reachability.py
@@ -11,7 +11,7 @@
 from rainsail.wire.address import parse_address
 
 
-class Reach(StrEnum):
+class Reachability(StrEnum):
     """What came of trying to open a connection."""
 
     OPEN = "open"
@@ -32,22 +32,22 @@
     protocol = _ClosesAtOnce
     noisy = False
 
-    def __init__(self, told: Callable[[Reach], None]) -> None:
+    def __init__(self, told: Callable[[Reachability], None]) -> None:
         self._told = told
 
     def buildProtocol(self, addr: Any) -> Any:
         """Note that the connection has come up."""
-        self._told(Reach.OPEN)
+        self._told(Reachability.OPEN)
         return super().buildProtocol(addr)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Tell a refusal from silence."""
         refused = reason.check(ConnectionRefusedError) is not None
-        self._told(Reach.REFUSED if refused else Reach.SILENT)
+        self._told(Reachability.REFUSED if refused else Reachability.SILENT)
 
 
 def probe_address(
-    reactor: Any, address: str, timeout_s: float, told: Callable[[Reach], None]
+    reactor: Any, address: str, timeout_s: float, told: Callable[[Reachability], None]
 ) -> None:
     """Open a connection to ``IP:PORT``, close it, and tell what came of it, once."""
     place = parse_address(address)
--- a/src/rainsail/http/server.py
+++ b/src/rainsail/http/server.py
@@ -99,12 +99,12 @@
             if not connection.awaits_first_request:
                 connection.close_if_idle()
 
-    def break_off(self) -> None:
+    def abort_unframed(self) -> None:
         """Cut the answers that would look complete if their connections were closed in order."""
         for connection in list(self.connections):
-            connection.break_off()
+            connection.abort_unframed()
 
-    def when_quiet(self, listener: Callable[[], None]) -> None:
+    def when_drained(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` once when no connection is left: every answer has been flushed."""
         self._on_quiet = listener
         self.check_quiet()
@@ -329,7 +329,7 @@
         self._lost = True
         self.transport.abortConnection()
 
-    def break_off(self) -> None:
+    def abort_unframed(self) -> None:
         """Cut an answer that a close in order would make look complete."""
         if self._ends_by_close:
             self.abort()
--- a/src/rainsail/http/server_exchange.py
+++ b/src/rainsail/http/server_exchange.py
@@ -78,7 +78,7 @@
             self._over = True
             self._connection.abort()
 
-    def on_left(self, listener: Callable[[], None]) -> None:
+    def on_disconnect(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` when the client closes before the answer has ended."""
         self._listener = listener
 
--- a/src/rainsail/jobs/item_run.py
+++ b/src/rainsail/jobs/item_run.py
@@ -25,7 +25,7 @@
     EventStream,
     first_event,
     is_part_of_stream,
-    leaves_hole,
+    leaves_gap,
 )
 from rainsail.relay.protocol import AnswerVerdict, RelayProtocol
 from rainsail.relay.stream_beginnings import (
@@ -211,7 +211,7 @@
             if begins and not self._begin_text(first_event(event)):
                 return
             unnumbered = event.number is None and bool(event.data)
-            if unnumbered or leaves_hole(event, self.progress.last_event):
+            if unnumbered or leaves_gap(event, self.progress.last_event):
                 self._end(RunEnd.BROKEN, MISSING_EVENT)
                 return
             self.progress.take(event)
--- a/src/rainsail/jobs/item_starter.py
+++ b/src/rainsail/jobs/item_starter.py
@@ -12,7 +12,7 @@
 from rainsail.jobs.item_runs import ItemRuns
 from rainsail.jobs.open_item import OpenItem
 from rainsail.jobs.slot_use import choose_runner
-from rainsail.relay.split import SplitPicker
+from rainsail.relay.split import WeightedServicePicker
 from rainsail.routing.residency import AllowedRegions
 
 
@@ -48,7 +48,7 @@
         self._planner = planner
         self._runs = runs
         self._recorder = recorder
-        self._split = SplitPicker(node.random)
+        self._split = WeightedServicePicker(node.random)
         self._wait_for_reports_until_s = 0.0
 
     def begin_leadership(self) -> None:
--- a/src/rainsail/quarantine/agent.py
+++ b/src/rainsail/quarantine/agent.py
@@ -11,7 +11,7 @@
 
 from rainsail.cluster.follower import FleetFollower
 from rainsail.cluster.messages import RunnerRecord, RunnerState
-from rainsail.http.reach import Reach
+from rainsail.http.reachability import Reachability
 from rainsail.logs import logger
 from rainsail.node_metrics import NodeMetrics
 from rainsail.quarantine.fingerprint import Fingerprint
@@ -29,7 +29,7 @@
 class AddressProbe(Protocol):
     """Tries whether an address takes connections."""
 
-    def probe(self, address: str, told: Callable[[Reach], None]) -> None:
+    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
         """Open a connection, close it again, and tell what came of it."""
         ...
 
@@ -119,12 +119,12 @@
         self._metrics.count("runner_probes")
         self._connections.probe(inquiry.record.address, lambda reach: self._probed(inquiry, reach))
 
-    def _probed(self, inquiry: _Inquiry, reach: Reach) -> None:
-        if reach != Reach.REFUSED and inquiry.probes < len(PROBES_AFTER_S):
+    def _probed(self, inquiry: _Inquiry, reach: Reachability) -> None:
+        if reach != Reachability.REFUSED and inquiry.probes < len(PROBES_AFTER_S):
             self._probe_later(inquiry)
             return
         del self._inquiries[inquiry.record.runner]
-        if reach == Reach.REFUSED:
+        if reach == Reachability.REFUSED:
             self._report(inquiry)
 
     def _report(self, inquiry: _Inquiry) -> None:
--- a/src/rainsail/relay/client_answer.py
+++ b/src/rainsail/relay/client_answer.py
@@ -15,7 +15,7 @@
     UNCONFIRMED_BEGINNING,
     ClientHas,
 )
-from rainsail.relay.events import Event, first_event, is_part_of_stream, leaves_hole
+from rainsail.relay.events import Event, first_event, is_part_of_stream, leaves_gap
 from rainsail.relay.protocol import RelayProtocol
 from rainsail.relay.stream_beginnings import (
     FirstEvent,
@@ -123,7 +123,7 @@
         for event in events:
             number = event.number
             spoilt_before = self._has_unnumbered and number is not None
-            if spoilt_before or leaves_hole(event, self.last_event):
+            if spoilt_before or leaves_gap(event, self.last_event):
                 return False
             if number is None:
                 self._has_unnumbered = self._has_unnumbered or bool(event.data)
--- a/src/rainsail/relay/context.py
+++ b/src/rainsail/relay/context.py
@@ -11,7 +11,7 @@
 from rainsail.relay.placement import Placed
 from rainsail.relay.protocol import RelayProtocol
 from rainsail.relay.settings import RelaySettings
-from rainsail.relay.split import SplitPicker
+from rainsail.relay.split import WeightedServicePicker
 from rainsail.relay.stream_beginnings import StreamBeginnings
 from rainsail.relay.table import Route, RoutingTable
 from rainsail.routing.choice import RunnerChooser
@@ -41,7 +41,7 @@
     loads: RunnerLoads
     prefixes: PrefixMemory
     chooser: RunnerChooser
-    split: SplitPicker
+    split: WeightedServicePicker
     settings: RelaySettings
     overload: OverloadGuard
     regions: RegionMap
@@ -85,7 +85,7 @@
     chooser = RunnerChooser(
         loads, prefixes, random, settings.choice, settings.mechanisms, registry.is_warming
     )
-    split = SplitPicker(random)
+    split = WeightedServicePicker(random)
     return RelayContext(
         zone,
         clock,
--- a/src/rainsail/relay/continuation.py
+++ b/src/rainsail/relay/continuation.py
@@ -215,7 +215,7 @@
     return route.kind == RouteKind.STREAM and client_has == ClientHas.NUMBERED_EVENTS
 
 
-def passes_on(end: AttemptEnd, route: Route, client_has: ClientHas) -> bool:
+def forwards_answer(end: AttemptEnd, route: Route, client_has: ClientHas) -> bool:
     """Tell whether the client gets a whole answer as the runner gave it.
 
     It does not get a failure that another runner may still make good, nor one whose status would
--- a/src/rainsail/relay/early_requests.py
+++ b/src/rainsail/relay/early_requests.py
@@ -49,7 +49,7 @@
         self._last_number += 1
         number = self._last_number
         self._held[number] = exchange
-        exchange.on_left(lambda: self._left(number))
+        exchange.on_disconnect(lambda: self._left(number))
         self._clock.callLater(HELD_FOR_S, self._expire, number)
 
     def _left(self, number: int) -> None:
--- a/src/rainsail/relay/events.py
+++ b/src/rainsail/relay/events.py
@@ -33,7 +33,7 @@
     """The name of a field is not text, so that bytes of something else stand in its line."""
 
 
-def leaves_hole(event: Event, last_event: int | None) -> bool:
+def leaves_gap(event: Event, last_event: int | None) -> bool:
     """Tell whether an event can't come next after the last one: something between is lost.
 
     Numbers rise by one: a run that goes on behind event n begins at n + 1. Data without a number
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -27,11 +27,11 @@
     SendTerms,
     decide_send,
     end_after_attempt,
+    forwards_answer,
     give_up,
     give_up_without_runner,
     may_compare_runs,
     may_leave_silent_runner,
-    passes_on,
     refuse_over_quota,
     refuse_overloaded,
     time_out,
@@ -90,7 +90,7 @@
         self._deadline_s = request.received_s + _time_allowed_s(route, facts)
         self._deadline_timer: Timer | None = None
         self._held_end: HeldEnd | None = None
-        exchange.on_left(self._client_left)
+        exchange.on_disconnect(self._client_left)
 
     @property
     def kind(self) -> RouteKind:
@@ -354,7 +354,7 @@
         self._finish(RequestOutcome.FAILED if attempt.failed else RequestOutcome.COMPLETED)
 
     def _passes_on(self, attempt: Attempt) -> bool:
-        return passes_on(attempt.body_end, self._sender.route, self._answer.client_has)
+        return forwards_answer(attempt.body_end, self._sender.route, self._answer.client_has)
 
     def _leave_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
         """Drop a runner's answer that the client does not get; the request may have run."""
--- a/src/rainsail/relay/split.py
+++ b/src/rainsail/relay/split.py
@@ -5,7 +5,7 @@
 from rainsail.relay.table import Route
 
 
-class SplitPicker:
+class WeightedServicePicker:
     """Smooth weighted round-robin for each route, begun at random so that nodes differ."""
 
     def __init__(self, random: Random) -> None:
