--- a/features/steps/committed_copy_steps.py
+++ b/features/steps/committed_copy_steps.py
@@ -12,7 +12,7 @@
     CommittedCopy,
 )
 from rainsail.cluster.fleet_state import FleetState
-from rainsail.cluster.zone_drains import ZoneDrainBook
+from rainsail.cluster.zone_drains import KnownZoneDrains
 from rainsail.logs import logger
 from rainsail.quarantine.book import QuarantineBook
 from rainsail.simulation.clock import VirtualClock
@@ -91,7 +91,7 @@
 def read_copy(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record), level=0)
-    keeper = CommittedCopies(context.disk, FleetState(), ZoneDrainBook(), QuarantineBook())
+    keeper = CommittedCopies(context.disk, FleetState(), KnownZoneDrains(), QuarantineBook())
     context.read_copy = keeper.load()
     logger.remove(sink)
 
--- a/features/steps/platform_translation_steps.py
+++ b/features/steps/platform_translation_steps.py
@@ -281,7 +281,7 @@
         self.gone = []
         self.reports = self
 
-    def take_end(self, runner, born=None):
+    def take_deregistration(self, runner, born=None):
         """Note a leave."""
         self.gone.append((runner, born))
         return succeed(Ok(None))
--- a/features/steps/relayed_fleet_steps.py
+++ b/features/steps/relayed_fleet_steps.py
@@ -398,7 +398,7 @@
 @then("that gateway has no table and still asks its seeds")
 def stray_goes_on(context):
     follower = context.fleet.nodes["gateway-9"].base.follower
-    assert follower.table_version == 0 and not follower.controllers.heard_any
+    assert follower.table_version == 0 and not follower.controllers.any_answered
     assert len(follower.view().controllers) == 2
 
 
--- a/features/support/compatibility_folders.py
+++ b/features/support/compatibility_folders.py
@@ -29,7 +29,7 @@
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 from rainsail.cluster.runner_journal import RunnerJournal
-from rainsail.cluster.zone_drains import ZoneDrainBook
+from rainsail.cluster.zone_drains import KnownZoneDrains
 from rainsail.consensus.membership import (
     Membership,
     MemberSpec,
@@ -238,7 +238,7 @@
 def _write_committed_copy(rig: StorageRig) -> None:
     state = FleetState()
     apply_fleet_commands(lambda command: state.apply(0, command), "first")
-    drains = ZoneDrainBook()
+    drains = KnownZoneDrains()
     drains.take(state.zone_drains())
     quarantine = QuarantineBook()
     quarantine.take(state.quarantine.snapshot())
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -103,7 +103,7 @@
     def __init__(self, world: "WarmUpWorld", name: str) -> None:
         self.name = name
         self.clock = SkewedClock(world.clock)
-        self.registry = RunnerRegistry(self.clock.seconds, settles_addresses=False)
+        self.registry = RunnerRegistry(self.clock.seconds, resolves_address_conflicts=False)
         self.transport = world.network.transport(name)
         messenger = Messenger(self.transport, self.clock)
         node = NodeRecord(name, name, NodeRole.GATEWAY, "zone-0", 1)
@@ -154,7 +154,7 @@
     def __init__(self, world: "WarmUpWorld", name: str) -> None:
         self.name = name
         self._world = world
-        self.registry = RunnerRegistry(world.clock.seconds, settles_addresses=False)
+        self.registry = RunnerRegistry(world.clock.seconds, resolves_address_conflicts=False)
         self.registry.warm_ups.set_terms(make_table().warm_up_terms())
         self.limiter = WarmUpLimiter(BOUND, self.registry.warm_ups)
         self.service = PlacementService(
--- a/src/rainsail/cli/node.py
+++ b/src/rainsail/cli/node.py
@@ -17,8 +17,8 @@
     if not files:
         raise bad_input("name at least one settings file")
     from rainsail.fleet.process import EXIT_DONE, run_nodes
-    from rainsail.fleet_api.port import make_own_port
+    from rainsail.fleet_api.port import make_native_port
 
-    code = run_nodes([Path(file) for file in files], make_own_port())
+    code = run_nodes([Path(file) for file in files], make_native_port())
     if code != EXIT_DONE:
         raise CommandEnd(ExitCode.FAILED, "a node has failed, see the lines above")
--- a/src/rainsail/cluster/committed_copy.py
+++ b/src/rainsail/cluster/committed_copy.py
@@ -13,7 +13,7 @@
 
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.messages import TableDocument
-from rainsail.cluster.zone_drains import ZoneDrainBook
+from rainsail.cluster.zone_drains import KnownZoneDrains
 from rainsail.errors import Fault, FaultCode
 from rainsail.logs import logger
 from rainsail.quarantine.book import QuarantineBook
@@ -49,7 +49,7 @@
         self,
         files: FileSystem,
         state: FleetState,
-        drains: ZoneDrainBook,
+        drains: KnownZoneDrains,
         quarantine: QuarantineBook,
     ) -> None:
         """``drains`` and ``quarantine`` have what this controller has heard of."""
--- a/src/rainsail/cluster/follower.py
+++ b/src/rainsail/cluster/follower.py
@@ -19,7 +19,7 @@
     NodeBeatReply,
     NodeRecord,
     RunnerPage,
-    RunnerReads,
+    RunnerPrefill,
     RunnerRecord,
     RunnerUpdate,
     TableDocument,
@@ -122,8 +122,8 @@
         for address in self.followed():
             self.beat(address)
         self.controllers.forget_lost()
-        heard_any = self.controllers.heard_any
-        period_s = HEARTBEAT_PERIOD_S if heard_any else FIRST_HEARTBEATS_PERIOD_S
+        any_answered = self.controllers.any_answered
+        period_s = HEARTBEAT_PERIOD_S if any_answered else FIRST_HEARTBEATS_PERIOD_S
         self._clock.callLater(period_s, self._run_periodically)
 
     def beat(self, address: str) -> None:
@@ -209,7 +209,7 @@
         """Have a controller tell the other gateways that a runner is busy with a long prompt."""
         in_touch = self.controllers.in_touch()
         if in_touch:
-            self._messenger.send(in_touch[0], RunnerReads(runner, reading_s))
+            self._messenger.send(in_touch[0], RunnerPrefill(runner, reading_s))
 
     def _want_table(self, address: str, version: int) -> None:
         controller = self.controllers.know(address)
--- a/src/rainsail/cluster/incarnation_tracker.py
+++ b/src/rainsail/cluster/incarnation_tracker.py
@@ -12,7 +12,7 @@
     def __init__(self) -> None:
         self._born: dict[str, int] = {}
 
-    def began(self, record: RunnerRecord) -> bool:
+    def observe_restart(self, record: RunnerRecord) -> bool:
         """Note a report; tell whether its runner has started again since the report before."""
         known = self._born.pop(record.runner, record.born)
         if record.state != RunnerState.GONE:
--- a/src/rainsail/cluster/known_controllers.py
+++ b/src/rainsail/cluster/known_controllers.py
@@ -106,7 +106,7 @@
     # --- who is in touch -----------------------------------------------------------------
 
     @property
-    def heard_any(self) -> bool:
+    def any_answered(self) -> bool:
         """Whether some controller has ever answered."""
         return any(each.was_heard for each in self._by_address.values())
 
@@ -128,9 +128,9 @@
 
         What a quorum of voters knows, one of ``losses + 1`` voters knows.
         """
-        return self.silent_s(count) <= within_s
+        return self.answer_age_s(count) <= within_s
 
-    def silent_s(self, count: int) -> float:
+    def answer_age_s(self, count: int) -> float:
         """Return how long ago so many voters had last answered."""
         voters = self.voters() or self._by_address
         found = [each for name, each in self._by_address.items() if name in voters]
--- a/src/rainsail/cluster/leader_answers.py
+++ b/src/rainsail/cluster/leader_answers.py
@@ -16,7 +16,7 @@
     return Fault(FaultCode.NOT_LEADER, step, detail, group.leader(), Outcome.NOT_RUN)
 
 
-def confirmed(group: GroupDriver, answer: Callable[[], Any]) -> "Deferred[Any]":
+def confirmed_read(group: GroupDriver, answer: Callable[[], Any]) -> "Deferred[Any]":
     """Answer from the state that covers everything committed until now."""
     barrier = group.read_barrier()
     return barrier.addCallback(
--- a/src/rainsail/cluster/messages.py
+++ b/src/rainsail/cluster/messages.py
@@ -288,7 +288,7 @@
 
 @wire_record("RunnerReads")
 @dataclass(frozen=True, slots=True)
-class RunnerReads:
+class RunnerPrefill:
     """A gateway's report that a runner reads a long prompt; a controller hands it to the others."""
 
     runner: str
--- a/src/rainsail/cluster/node_heartbeats.py
+++ b/src/rainsail/cluster/node_heartbeats.py
@@ -15,7 +15,7 @@
     NodeBeat,
     NodeBeatReply,
     NodeRole,
-    RunnerReads,
+    RunnerPrefill,
 )
 from rainsail.logs import logger
 
@@ -37,7 +37,7 @@
         self._prefills = 0
         self._ledger_term = 0
         context.messenger.serve(NodeBeat, self._answer)
-        context.messenger.serve(RunnerReads, self._hand_on_prefill)
+        context.messenger.serve(RunnerPrefill, self._hand_on_prefill)
 
     def _answer(self, source: str, beat: NodeBeat) -> NodeBeatReply:
         self._note(beat)
@@ -71,7 +71,7 @@
         notice = LedgerLeader(beat.node.address, status.term)
         self._context.messenger.send_all(self._context.live_nodes(), notice)
 
-    def _hand_on_prefill(self, source: str, message: RunnerReads) -> None:
+    def _hand_on_prefill(self, source: str, message: RunnerPrefill) -> None:
         """Tell other gateways, in turn, that a runner is busy with a long prompt."""
         context = self._context
         now = context.clock.seconds()
--- a/src/rainsail/cluster/registry.py
+++ b/src/rainsail/cluster/registry.py
@@ -24,7 +24,7 @@
 from rainsail.cluster.incarnation_order import SILENT_S, IncarnationOrder
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 from rainsail.cluster.warm_up import WarmUpClock
-from rainsail.cluster.zone_drains import ZoneDrainBook
+from rainsail.cluster.zone_drains import KnownZoneDrains
 from rainsail.state.cluster_commands import ZoneDrain
 
 _STATE_RANK = {RunnerState.READY: 0, RunnerState.DRAINING: 1, RunnerState.GONE: 2}
@@ -55,17 +55,18 @@
     """Every runner heard of, by id, and a revision that rises with each change."""
 
     def __init__(
-        self, seconds: Callable[[], float] = lambda: 0.0, settles_addresses: bool = True
+        self, seconds: Callable[[], float] = lambda: 0.0, resolves_address_conflicts: bool = True
     ) -> None:
         """``seconds`` reads the steady clock.
 
-        ``settles_addresses``: this registry decides which incarnation holds an address. Controllers
-        do, and tell the other nodes, so that these don't decide by the order of what they hear.
+        ``resolves_address_conflicts``: this registry decides which incarnation holds an address.
+        Controllers do so and publish the result, so that the other nodes do not decide by the order
+        in which reports reach them.
         """
         self.revision = 0
-        self.zone_drains = ZoneDrainBook()
+        self.zone_drains = KnownZoneDrains()
         self.warm_ups = WarmUpClock(seconds)
-        self._settles_addresses = settles_addresses
+        self._resolves_address_conflicts = resolves_address_conflicts
         self.named_services: frozenset[str] | None = None
         """The services of the routing table; None while none is known."""
         self._seconds = seconds
@@ -97,7 +98,7 @@
         known = self._records.get(report.runner)
         if known is not None and self._takes_id(known, report):
             return []
-        if known is not None and self._settles_addresses:
+        if known is not None and self._resolves_address_conflicts:
             silent_s = self._silent_s(known.runner)
             report = self._incarnations.resolve(known, report, silent_s, self._seconds())
         record = merged_record(known, report)
@@ -128,10 +129,14 @@
         if not self._is_named(sender.service):
             return []
         former = self._records.get(self._by_address.get(sender.address, ""))
-        if former is not None and self._settles_addresses and self._holds_against(former, sender):
+        if (
+            former is not None
+            and self._resolves_address_conflicts
+            and self._holds_against(former, sender)
+        ):
             return [self._supersede(sender)]
         self._by_address[sender.address] = sender.runner
-        if former is None or former.runner == sender.runner or not self._settles_addresses:
+        if former is None or former.runner == sender.runner or not self._resolves_address_conflicts:
             return []
         if former.state == RunnerState.GONE or former.is_superseded:
             return []
--- a/src/rainsail/cluster/runner_reports.py
+++ b/src/rainsail/cluster/runner_reports.py
@@ -55,7 +55,9 @@
             return succeed(Ok(None))
         return self._share(now_known)
 
-    def take_end(self, runner: str, born: int | None = None) -> "Deferred[Result[None, Fault]]":
+    def take_deregistration(
+        self, runner: str, born: int | None = None
+    ) -> "Deferred[Result[None, Fault]]":
         """Take the report that a runner is gone; ``born`` names its start, None the one known."""
         return self.take(self._registry.end(runner, born))
 
--- a/src/rainsail/cluster/table_service.py
+++ b/src/rainsail/cluster/table_service.py
@@ -11,7 +11,7 @@
 
 from rainsail.cluster.committed_copy import CommittedCopies
 from rainsail.cluster.controller_context import ControllerContext
-from rainsail.cluster.leader_answers import confirmed, not_leading, reply_to_proposal
+from rainsail.cluster.leader_answers import confirmed_read, not_leading, reply_to_proposal
 from rainsail.cluster.leader_calls import LeaderCaller
 from rainsail.cluster.messages import (
     FetchTable,
@@ -82,7 +82,7 @@
         if not group.is_leader():
             return succeed(not_leading(group, "cluster.replace_table"))
         if message.version <= state.version:
-            return confirmed(group, lambda: TableAccepted(state.version))
+            return confirmed_read(group, lambda: TableAccepted(state.version))
         proposed = group.propose(ReplaceTable(message.version, message.content))
         return proposed.addCallback(reply_to_proposal, TableAccepted(message.version))
 
@@ -90,7 +90,7 @@
         group = self._context.group
         if not group.is_leader():
             return succeed(not_leading(group, "cluster.read_table"))
-        return confirmed(group, self._applied_document)
+        return confirmed_read(group, self._applied_document)
 
     def _applied_document(self) -> TableDocument:
         state = self._context.state
--- a/src/rainsail/cluster/zone_drain_orders.py
+++ b/src/rainsail/cluster/zone_drain_orders.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from rainsail.cluster.fleet_state import FleetState
-from rainsail.cluster.leader_answers import confirmed, not_leading
+from rainsail.cluster.leader_answers import confirmed_read, not_leading
 from rainsail.cluster.leader_calls import LeaderCaller
 from rainsail.cluster.messages import (
     OrderZoneDrain,
@@ -107,7 +107,7 @@
             return succeed(not_leading(self._group, STEP))
         held = self._state.zone_drain(message.zone)
         if held.draining == message.draining or held.revision != message.expected_revision:
-            return confirmed(self._group, lambda: self._answer(message))
+            return confirmed_read(self._group, lambda: self._answer(message))
         command = SetZoneDrain(message.zone, message.draining, message.expected_revision)
         proposed = self._group.propose(command)
         return proposed.addCallback(self._proposed, message)
@@ -122,7 +122,7 @@
     def _read_as_leader(self, message: ReadZoneDrains) -> "Deferred[Any]":
         if not self._group.is_leader():
             return succeed(not_leading(self._group, "cluster.read_zone_drains"))
-        return confirmed(self._group, lambda: ZoneDrainNotice(self._state.zone_drains()))
+        return confirmed_read(self._group, lambda: ZoneDrainNotice(self._state.zone_drains()))
 
 
 def _unclear(detail: str) -> Fault:
--- a/src/rainsail/cluster/zone_drains.py
+++ b/src/rainsail/cluster/zone_drains.py
@@ -9,7 +9,7 @@
 from rainsail.state.cluster_commands import ZoneDrain
 
 
-class ZoneDrainBook:
+class KnownZoneDrains:
     """The newest order on each zone."""
 
     def __init__(self) -> None:
--- a/src/rainsail/fleet/base.py
+++ b/src/rainsail/fleet/base.py
@@ -106,7 +106,7 @@
         random.getrandbits(INCARNATION_BITS),
     )
     is_controller = node.role == NodeRole.CONTROLLER
-    registry = RunnerRegistry(clock.seconds, settles_addresses=is_controller)
+    registry = RunnerRegistry(clock.seconds, resolves_address_conflicts=is_controller)
     follower = FleetFollower(node, settings.seed_controllers(), messenger, clock, registry)
     began_s = clock.seconds() if started_s is None else started_s
     base = NodeBase(
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -173,7 +173,7 @@
 
     def _runners_changed(self, changed: list[RunnerRecord]) -> None:
         for record in changed:
-            if self._incarnations.began(record):
+            if self._incarnations.observe_restart(record):
                 if self._placements is not None:
                     self._placements.on_runner_restarted(record.runner)
                 self.dispatcher.on_runner_restarted(record)
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -91,7 +91,7 @@
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
-        self._answer(exchange, self._controller.reports.take_end(runner, born))
+        self._answer(exchange, self._controller.reports.take_deregistration(runner, born))
 
     def _replace_table(self, exchange: Exchange) -> None:
         content = exchange.request.body
--- a/src/rainsail/fleet_api/port.py
+++ b/src/rainsail/fleet_api/port.py
@@ -11,7 +11,7 @@
 READY = b"/readyz"
 
 
-def make_own_port() -> PlatformPort:
+def make_native_port() -> PlatformPort:
     """Return the port of a fleet that speaks the product's own names."""
     return PlatformPort(
         HeaderProtocol(HeaderNames()),
--- a/src/rainsail/quarantine/control.py
+++ b/src/rainsail/quarantine/control.py
@@ -12,7 +12,7 @@
 
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.follower import FleetFollower
-from rainsail.cluster.leader_answers import confirmed, not_leading
+from rainsail.cluster.leader_answers import confirmed_read, not_leading
 from rainsail.cluster.leader_calls import LeaderCaller
 from rainsail.consensus.driver import GroupDriver
 from rainsail.errors import Fault, FaultCode
@@ -195,7 +195,7 @@
     def _read_as_leader(self, message: ReadQuarantine) -> "Deferred[Any]":
         if not self._group.is_leader():
             return succeed(not_leading(self._group, "quarantine.read"))
-        return confirmed(self._group, self._notice)
+        return confirmed_read(self._group, self._notice)
 
     def _release_as_leader(self, message: OrderRelease) -> "Deferred[Any]":
         if not self._group.is_leader():
--- a/src/rainsail/relay/fleet_updates.py
+++ b/src/rainsail/relay/fleet_updates.py
@@ -10,7 +10,7 @@
 from rainsail.cluster.incarnation_tracker import IncarnationTracker
 from rainsail.cluster.messages import (
     FleetView,
-    RunnerReads,
+    RunnerPrefill,
     RunnerRecord,
     RunnerState,
     TableDocument,
@@ -60,7 +60,7 @@
         follower.on_runners = self._runners_changed
         follower.on_view = self._view_changed
         follower.on_ledger_leader = self._ledger_term_began
-        messenger.serve(RunnerReads, self._take_prefill)
+        messenger.serve(RunnerPrefill, self._take_prefill)
         messenger.serve(ServiceLoad, self._take_load)
         messenger.serve(RunnerUnsound, self._take_ejection)
 
@@ -94,7 +94,7 @@
 
     def _runners_changed(self, changed: list[RunnerRecord]) -> None:
         for record in changed:
-            if self._incarnations.began(record):
+            if self._incarnations.observe_restart(record):
                 self._runner_started_again(record)
             if not record.takes_work:
                 self._runner_left(record)
@@ -112,7 +112,7 @@
         if record.state == RunnerState.GONE:
             self._context.loads.forget(record.runner)
 
-    def _take_prefill(self, source: str, message: RunnerReads) -> None:
+    def _take_prefill(self, source: str, message: RunnerPrefill) -> None:
         """Another gateway has sent a long prompt to a runner."""
         now = self._context.clock.seconds()
         self._context.loads.add_prefill(message.runner, message.reading_s, now)
--- a/src/rainsail/relay/gateway.py
+++ b/src/rainsail/relay/gateway.py
@@ -150,7 +150,7 @@
 
     def _without_controllers_s(self) -> float:
         """Return for how long too few controllers have answered to know of the newest table."""
-        return self._follower.controllers.silent_s(self._context.settings.trusted_controllers)
+        return self._follower.controllers.answer_age_s(self._context.settings.trusted_controllers)
 
     def _refuse_key(
         self, exchange: Exchange, facts: RequestFacts, identity: Identity | None
