--- a/features/steps/cluster_registry_steps.py
+++ b/features/steps/cluster_registry_steps.py
@@ -105,7 +105,7 @@
 
 @step("runner {number:d} says that it is gone")
 def says_gone(context, number):
-    context.registry.take((context.registry.end(f"runner-{number}"),))
+    context.registry.take((context.registry.gone_record(f"runner-{number}"),))
 
 
 @then('runner {number:d} is "{state}"')
--- a/features/steps/large_start_steps.py
+++ b/features/steps/large_start_steps.py
@@ -107,7 +107,7 @@
     rates = _rates(context, "gateway")
     assert max(sent for sent, _ in rates.values()) <= most, rates
     for name in rates:
-        followed = context.fleet.nodes[name].base.follower.followed()
+        followed = context.fleet.nodes[name].base.follower.heartbeat_targets()
         assert len(followed) <= links, followed
 
 
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -319,7 +319,7 @@
 @when('runner "{runner}" born at {born:d} deregisters at the first')
 def deregisters(context, runner, born):
     first = context.registries[0]
-    first.take((first.end(runner, born),))
+    first.take((first.gone_record(runner, born),))
 
 
 @then('runner "{runner}" takes work at both')
--- a/src/rainsail/cluster/committed_copy.py
+++ b/src/rainsail/cluster/committed_copy.py
@@ -57,7 +57,7 @@
         self._state = state
         self._drains = drains
         self._quarantine = quarantine
-        self._told = TableDocument(0, b"")
+        self._received = TableDocument(0, b"")
         self._written = NOTHING
         self._writing = False
 
@@ -76,25 +76,25 @@
                 logger.bind(reason=scanned.damage.reason).warning("committed_copy_unreadable")
         except (OSError, CodecError) as error:
             logger.bind(reason=str(error)).warning("committed_copy_unreadable")
-        self._told = TableDocument(self._written.version, self._written.content)
+        self._received = TableDocument(self._written.version, self._written.content)
         return self._written
 
-    def told(self, document: TableDocument) -> None:
+    def note_table(self, document: TableDocument) -> None:
         """Take a table that another controller told of."""
-        if document.version > self._told.version:
-            self._told = document
+        if document.version > self._received.version:
+            self._received = document
             self.changed()
 
     @property
     def version(self) -> int:
         """The version of the newest table that is surely committed, 0 for none."""
-        return max(self._state.version, self._told.version)
+        return max(self._state.version, self._received.version)
 
     @property
     def content(self) -> bytes:
         """The content of that table."""
-        ahead = self._told.version > self._state.version
-        return self._told.content if ahead else self._state.content
+        ahead = self._received.version > self._state.version
+        return self._received.content if ahead else self._state.content
 
     def changed(self) -> None:
         """Write what is known now, unless that has been done; one writing at a time."""
--- a/src/rainsail/cluster/controller.py
+++ b/src/rainsail/cluster/controller.py
@@ -109,6 +109,6 @@
         context = self._context
         now = context.clock.seconds()
         context.group.open_to(self._views.contacts(), voters_for(context.settings.losses))
-        self._founding.look(now)
+        self._founding.check(now)
         self.quarantine.look()
         context.clock.callLater(PLAN_PERIOD_S, self._plan)
--- a/src/rainsail/cluster/controller_context.py
+++ b/src/rainsail/cluster/controller_context.py
@@ -57,4 +57,4 @@
 
     def live_nodes(self) -> tuple[str, ...]:
         """Return the addresses of all live nodes, to push changes to."""
-        return tuple(self.directory.followers(self.clock.seconds()))
+        return tuple(self.directory.live_addresses(self.clock.seconds()))
--- a/src/rainsail/cluster/directory.py
+++ b/src/rainsail/cluster/directory.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _NodeEntry:
     node: NodeRecord
     at_s: float
     ledger: LedgerStatus | None
@@ -19,13 +19,13 @@
     """The nodes that have sent beats, by address."""
 
     def __init__(self) -> None:
-        self._nodes: dict[str, _Heard] = {}
+        self._nodes: dict[str, _NodeEntry] = {}
 
-    def heard(self, node: NodeRecord, ledger: LedgerStatus | None, now: float) -> bool:
+    def note_heartbeat(self, node: NodeRecord, ledger: LedgerStatus | None, now: float) -> bool:
         """Note a beat; True when the node is new or has come back."""
         known = self._nodes.get(node.address)
         is_new = known is None or now - known.at_s >= NODE_SILENT_AFTER_S
-        self._nodes[node.address] = _Heard(node, now, ledger)
+        self._nodes[node.address] = _NodeEntry(node, now, ledger)
         return is_new
 
     def live(self, role: NodeRole, now: float) -> list[NodeRecord]:
@@ -45,7 +45,7 @@
         """Return the zones of all nodes heard of."""
         return frozenset(heard.node.zone for heard in self._nodes.values())
 
-    def named(self, name: str, role: NodeRole) -> NodeRecord | None:
+    def find(self, name: str, role: NodeRole) -> NodeRecord | None:
         """Return the node of a name that was heard of last."""
         found = [
             heard
@@ -54,7 +54,7 @@
         ]
         return max(found, key=lambda heard: heard.at_s).node if found else None
 
-    def followers(self, now: float) -> list[str]:
+    def live_addresses(self, now: float) -> list[str]:
         """Return the addresses of all live nodes, to push changes to."""
         return [
             address
--- a/src/rainsail/cluster/emptying.py
+++ b/src/rainsail/cluster/emptying.py
@@ -58,7 +58,7 @@
         step = "cluster.empty_node"
         if not self._group.is_leader():
             return not_leading(self._group, step)
-        node = self._directory.named(message.name, NodeRole.STORAGE)
+        node = self._directory.find(message.name, NodeRole.STORAGE)
         if node is None:
             return Fault(FaultCode.NOT_FOUND, step, f"no storage node {message.name}")
         if node.address in self._state.released:
@@ -79,7 +79,7 @@
         step = "cluster.emptying"
         if not self._group.is_leader():
             return not_leading(self._group, step)
-        node = self._directory.named(message.name, NodeRole.STORAGE)
+        node = self._directory.find(message.name, NodeRole.STORAGE)
         if node is None or node.address not in self._state.released:
             return Fault(FaultCode.NOT_FOUND, step, f"{message.name} is not being emptied")
         return EmptyingStatus(message.name, self._is_emptied(node.address))
--- a/src/rainsail/cluster/fleet_views.py
+++ b/src/rainsail/cluster/fleet_views.py
@@ -4,12 +4,12 @@
 here, and, while this controller is outside the group, on what its own follower has heard.
 """
 
-from rainsail.cluster.beat_answers import NumberedView
 from rainsail.cluster.controller_context import ControllerContext
-from rainsail.cluster.followed import MOST_FOLLOWED_WHOLE
+from rainsail.cluster.heartbeat_replies import NumberedView
+from rainsail.cluster.heartbeat_targets import FOLLOW_ALL_LIMIT
 from rainsail.cluster.messages import FleetView, NodeRole
 
-GATEWAYS_ROUNDED_TO = 32
+GATEWAY_COUNT_STEP = 32
 """The count of gateways is rounded up to a multiple of this, so that a view seldom changes.
 
 Not measured; it has to be larger than the number of gateways that start or end in a minute.
@@ -47,7 +47,7 @@
     def is_followed(self) -> bool:
         """Tell whether nodes send heartbeats to this controller, so that its pushes reach them."""
         known = {*self._numbered.view.controllers, *self._heard_controllers()}
-        return self._context.node.address in self.voters() or len(known) <= MOST_FOLLOWED_WHOLE
+        return self._context.node.address in self.voters() or len(known) <= FOLLOW_ALL_LIMIT
 
     def contacts(self) -> tuple[str, ...]:
         """Return the controllers that may join, or whom this one asks to let it join.
@@ -58,7 +58,7 @@
         known = {*self.current().controllers, *self._heard_controllers()}
         members = self._members()
         asked = members or set(context.follower.view().voters)
-        if context.node.address in members or len(known) <= MOST_FOLLOWED_WHOLE or not asked:
+        if context.node.address in members or len(known) <= FOLLOW_ALL_LIMIT or not asked:
             return tuple(sorted(known))
         return tuple(sorted(asked))
 
@@ -95,4 +95,4 @@
 
 
 def _rounded_up(count: int) -> int:
-    return -(-count // GATEWAYS_ROUNDED_TO) * GATEWAYS_ROUNDED_TO
+    return -(-count // GATEWAY_COUNT_STEP) * GATEWAY_COUNT_STEP
--- a/src/rainsail/cluster/follower.py
+++ b/src/rainsail/cluster/follower.py
@@ -15,8 +15,8 @@
     FleetView,
     LedgerLeader,
     LedgerStatus,
-    NodeBeat,
-    NodeBeatReply,
+    NodeHeartbeat,
+    NodeHeartbeatReply,
     NodeRecord,
     RunnerPage,
     RunnerPrefill,
@@ -79,7 +79,7 @@
 
     def start(self) -> None:
         """Begin to send heartbeats."""
-        self.controllers.know_seeds()
+        self.controllers.add_seeds()
         self._run_periodically()
 
     def stop(self) -> None:
@@ -88,15 +88,15 @@
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take other seeds, when the settings name others."""
-        self.controllers.know_seeds(seeds)
+        self.controllers.add_seeds(seeds)
 
-    def followed(self) -> list[str]:
+    def heartbeat_targets(self) -> list[str]:
         """Return the controllers that this node sends heartbeats to now."""
-        return self.controllers.followed(self._rounds)
+        return self.controllers.heartbeat_targets(self._rounds)
 
     def view(self) -> FleetView:
         """Return what all controllers that have answered say together."""
-        views = [each.view for each in self.controllers.heard()]
+        views = [each.view for each in self.controllers.answered()]
         newest = self.controllers.newest_view()
         leaders = [(view.ledger_term, view.ledger_leader) for view in views if view.ledger_leader]
         ledger_term, ledger_leader = max([self._pushed_leader, *leaders], key=_term_of)
@@ -119,36 +119,36 @@
         if self._stopped:
             return
         self._rounds += 1
-        for address in self.followed():
-            self.beat(address)
-        self.controllers.forget_lost()
+        for address in self.heartbeat_targets():
+            self.send_heartbeat(address)
+        self.controllers.forget_unreachable()
         any_answered = self.controllers.any_answered
         period_s = HEARTBEAT_PERIOD_S if any_answered else FIRST_HEARTBEATS_PERIOD_S
         self._clock.callLater(period_s, self._run_periodically)
 
-    def beat(self, address: str) -> None:
+    def send_heartbeat(self, address: str) -> None:
         """Send one heartbeat, unless the last one still waits for its answer."""
-        controller = self.controllers.know(address)
+        controller = self.controllers.get_or_add(address)
         if controller.waiting:
             return
         controller.waiting = True
-        beat = NodeBeat(
+        heartbeat = NodeHeartbeat(
             self._node,
             controller.epoch,
             controller.revision,
             controller.view_number,
             self.ledger_status(),
         )
-        reply: Deferred = self._messenger.call(address, beat, CALL_TIMEOUT_S)
+        reply: Deferred = self._messenger.call(address, heartbeat, CALL_TIMEOUT_S)
         reply.addCallback(self._take_reply, address)
 
     def _take_reply(self, result: object, address: str) -> None:
-        controller = self.controllers.know(address)
+        controller = self.controllers.get_or_add(address)
         controller.waiting = False
         if self._stopped or result.is_error():  # type: ignore[attr-defined]
             return
-        reply: NodeBeatReply = result.ok  # type: ignore[attr-defined]
-        if not controller.was_heard:
+        reply: NodeHeartbeatReply = result.ok  # type: ignore[attr-defined]
+        if not controller.has_answered:
             logger.bind(controller=address, revision=reply.revision).info("controller_found")
         self.controllers.note_answer(controller, reply)
         if reply.view is not None:
@@ -158,7 +158,7 @@
             page: RunnerPage = decode(reply.runners)
             self._merge(page.runners)
         self.on_view(self.view())
-        self._want_table(address, reply.table_version)
+        self._fetch_if_newer(address, reply.table_version)
 
     # --- what controllers say ------------------------------------------------------------
 
@@ -179,7 +179,7 @@
             self.on_runners(changed)
 
     def _take_notice(self, source: str, notice: TableNotice) -> None:
-        self._want_table(source, notice.version)
+        self._fetch_if_newer(source, notice.version)
 
     def _take_drain_notice(self, source: str, notice: ZoneDrainNotice) -> None:
         self.take_zone_drains(notice.zone_drains)
@@ -211,8 +211,8 @@
         if in_touch:
             self._messenger.send(in_touch[0], RunnerPrefill(runner, reading_s))
 
-    def _want_table(self, address: str, version: int) -> None:
-        controller = self.controllers.know(address)
+    def _fetch_if_newer(self, address: str, version: int) -> None:
+        controller = self.controllers.get_or_add(address)
         if version <= max(self.table_version, self._fetching_version) or controller.fetching:
             return
         controller.fetching = True
@@ -221,7 +221,7 @@
         reply.addCallback(self._take_table, address)
 
     def _take_table(self, result: object, address: str) -> None:
-        self.controllers.know(address).fetching = False
+        self.controllers.get_or_add(address).fetching = False
         self._fetching_version = 0
         if self._stopped or result.is_error():  # type: ignore[attr-defined]
             return
--- a/src/rainsail/cluster/founders.py
+++ b/src/rainsail/cluster/founders.py
@@ -2,12 +2,12 @@
 
 from rainsail.cluster.messages import NodeRecord
 
-VOTERS_BESIDE_EACH_LOSS = 2
+EXTRA_VOTERS_PER_LOSS = 2
 
 
 def voters_for(losses: int) -> int:
     """Return how many voters bear the loss of ``losses`` of them."""
-    return VOTERS_BESIDE_EACH_LOSS * losses + 1
+    return EXTRA_VOTERS_PER_LOSS * losses + 1
 
 
 def choose_founders(nodes: list[NodeRecord], wanted: int) -> tuple[str, ...]:
--- a/src/rainsail/cluster/beat_answers.py
+++ b/src/rainsail/cluster/heartbeat_replies.py
@@ -7,7 +7,7 @@
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.wire.codec import encode
 
-VIEW_KEPT_S = 0.05
+VIEW_REFRESH_PERIOD_S = 0.05
 """A view is made anew after this time: hundreds of nodes ask for it each second."""
 
 
@@ -22,7 +22,7 @@
 
     def current(self, now: float) -> FleetView:
         """Return the view of now, or of a moment ago."""
-        if now - self._made_s >= VIEW_KEPT_S:
+        if now - self._made_s >= VIEW_REFRESH_PERIOD_S:
             self._made_s = now
             view = self._make(now)
             if view != self.view or not self.number:
--- a/src/rainsail/cluster/followed.py
+++ b/src/rainsail/cluster/heartbeat_targets.py
@@ -7,35 +7,36 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-MOST_FOLLOWED_WHOLE = 7
+FOLLOW_ALL_LIMIT = 7
 """Up to so many controllers a node follows them all."""
-ASKED_IN_TURN = 2
-SILENT_AFTER_S = 2.5
+PROBES_PER_ROUND = 2
+UNRESPONSIVE_AFTER_S = 2.5
 
 
-def followed_controllers(
-    heard_s: Mapping[str, float],
+def choose_heartbeat_targets(
+    last_answer_s: Mapping[str, float],
     voters: Collection[str],
     seeds: Sequence[str],
     turn: int,
     now: float,
 ) -> list[str]:
-    """Return the controllers to beat to.
+    """Return the controllers to send heartbeats to.
 
-    ``heard_s`` has every controller known and when it last answered; ``turn`` counts the rounds.
+    ``last_answer_s`` holds the time of the last answer of each known controller, ``turn`` the
+    number of the round.
     """
-    known = sorted(heard_s)
-    if len(known) <= MOST_FOLLOWED_WHOLE:
+    known = sorted(last_answer_s)
+    if len(known) <= FOLLOW_ALL_LIMIT:
         return known
     first = [name for name in known if name in (voters or seeds)]
-    fresh = [name for name in first if now - heard_s[name] < SILENT_AFTER_S]
+    fresh = [name for name in first if now - last_answer_s[name] < UNRESPONSIVE_AFTER_S]
     if first and 2 * len(fresh) > len(first):
         return first
     others = [name for name in known if name not in first]
-    return first + in_turn(others, turn, ASKED_IN_TURN)
+    return first + rotating_subset(others, turn, PROBES_PER_ROUND)
 
 
-def in_turn(names: Sequence[str], turn: int, count: int) -> list[str]:
+def rotating_subset(names: Sequence[str], turn: int, count: int) -> list[str]:
     """Return ``count`` of the names, others in each turn until all were named."""
     if len(names) <= count:
         return list(names)
--- a/src/rainsail/cluster/incarnation_order.py
+++ b/src/rainsail/cluster/incarnation_order.py
@@ -21,16 +21,16 @@
 TIME_BITS = 44
 """Bits of a birth that hold a time in milliseconds since 1970: enough for some centuries."""
 TIME_MASK = (1 << TIME_BITS) - 1
-SILENT_S = 4.0
+REPLACEABLE_AFTER_S = 4.0
 """An incarnation that has reported nothing for this long gives way to one that started earlier.
 
 The time of three heartbeats.
 """
-LEAST_REPORTS = 3
+MIN_REPORTS = 3
 """Reports with rising numbers that a new incarnation with an earlier time must have made."""
-LEAST_SPAN_S = 3.0
+MIN_REPORT_SPAN_S = 3.0
 """The time between the first and the last of these reports; what a cut held back comes at once."""
-MOST_FORMER = 8
+MAX_FORMER_INCARNATIONS = 8
 """Former incarnations of a runner whose times of start are remembered."""
 
 
@@ -61,9 +61,9 @@
         """Note that a later incarnation has taken the place of one."""
         self._candidates.pop(former.runner, None)
         known = self._former.get(former.runner, ())
-        self._former[former.runner] = (*known, former.born & TIME_MASK)[-MOST_FORMER:]
+        self._former[former.runner] = (*known, former.born & TIME_MASK)[-MAX_FORMER_INCARNATIONS:]
 
-    def birth_of(self, known: RunnerRecord, born: int) -> int:
+    def ordered_birth(self, known: RunnerRecord, born: int) -> int:
         """Return the birth by which a runner is ordered that says when it started."""
         epoch, time = known.born >> TIME_BITS, known.born & TIME_MASK
         if not epoch or born > TIME_MASK:
@@ -78,7 +78,7 @@
 
         ``silent_s`` is how long nothing was heard of the known incarnation.
         """
-        born = self.birth_of(known, report.born)
+        born = self.ordered_birth(known, report.born)
         if born >= known.born:
             return report if born == report.born else replace(report, born=born)
         if not self._is_new(known, report, silent_s, now):
@@ -94,7 +94,7 @@
         is_former = report.born in self._former.get(runner, ())
         if not report.born or report.born > TIME_MASK or is_former:
             return False
-        if report.state != RunnerState.READY or silent_s < SILENT_S:
+        if report.state != RunnerState.READY or silent_s < REPLACEABLE_AFTER_S:
             self._candidates.pop(runner, None)
             return False
         candidate = self._candidates.get(runner)
@@ -104,4 +104,4 @@
         if report.sequence > candidate.sequence:
             candidate.sequence = report.sequence
             candidate.reports += 1
-        return candidate.reports >= LEAST_REPORTS and now - candidate.first_s >= LEAST_SPAN_S
+        return candidate.reports >= MIN_REPORTS and now - candidate.first_s >= MIN_REPORT_SPAN_S
--- a/src/rainsail/cluster/incarnation_tracker.py
+++ b/src/rainsail/cluster/incarnation_tracker.py
@@ -2,7 +2,7 @@
 
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 
-MOST_KEPT = 20_000
+MAX_RUNNERS = 20_000
 """So many runners are remembered, those heard of last. One that crashes for good never says so."""
 
 
@@ -17,6 +17,6 @@
         known = self._born.pop(record.runner, record.born)
         if record.state != RunnerState.GONE:
             self._born[record.runner] = max(known, record.born)
-        if len(self._born) > MOST_KEPT:
+        if len(self._born) > MAX_RUNNERS:
             del self._born[next(iter(self._born))]
         return record.born > known
--- a/src/rainsail/cluster/known_controllers.py
+++ b/src/rainsail/cluster/known_controllers.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass
 
-from rainsail.cluster.followed import followed_controllers
-from rainsail.cluster.messages import FleetView, NodeBeatReply
+from rainsail.cluster.heartbeat_targets import choose_heartbeat_targets
+from rainsail.cluster.messages import FleetView, NodeHeartbeatReply
 from rainsail.runtime.clock import Clock
 
 NEVER_S = float("-inf")
@@ -15,7 +15,7 @@
 
 Not measured; whatever a lost push left out is made good after this time.
 """
-FRESH_WITHIN_S = 2 * HEARTBEAT_PERIOD_S
+IN_TOUCH_WITHIN_S = 2 * HEARTBEAT_PERIOD_S
 """A controller counts as in touch for two heartbeats: a single one may get lost."""
 FORGOTTEN_AFTER_S = 30.0
 """A controller that nobody names and that answers nothing is forgotten after this time.
@@ -29,15 +29,16 @@
 class KnownController:
     """One controller, as far as this node has heard of it.
 
-    ``epoch``, ``revision`` and ``view_number`` say what this node has of its state. ``heard_s`` is
-    when it last answered, ``asked_s`` when this node first knew its address.
+    ``epoch``, ``revision`` and ``view_number`` say which of its state this node has.
+    ``last_answer_s`` is when it last answered, ``known_since_s`` when this node first knew its
+    address.
     """
 
-    asked_s: float
+    known_since_s: float
     epoch: int = 0
     revision: int = 0
     view_number: int = 0
-    heard_s: float = NEVER_S
+    last_answer_s: float = NEVER_S
     waiting: bool = False
     """Whether a heartbeat waits for its answer."""
     fetching: bool = False
@@ -45,9 +46,9 @@
     view: FleetView = EMPTY_VIEW
 
     @property
-    def was_heard(self) -> bool:
+    def has_answered(self) -> bool:
         """Whether it has ever answered."""
-        return self.heard_s > NEVER_S
+        return self.last_answer_s > NEVER_S
 
 
 class KnownControllers:
@@ -60,14 +61,14 @@
         self._clock = clock
         self._by_address: dict[str, KnownController] = {}
 
-    def know_seeds(self, seeds: tuple[str, ...] | None = None) -> None:
+    def add_seeds(self, seeds: tuple[str, ...] | None = None) -> None:
         """Know the seeds, or others that the settings name now."""
         if seeds is not None:
             self._seeds = seeds
         for address in self._seeds:
-            self.know(address)
+            self.get_or_add(address)
 
-    def know(self, address: str) -> KnownController:
+    def get_or_add(self, address: str) -> KnownController:
         """Return the controller of an address, one more if it was not known."""
         known = self._by_address.get(address)
         if known is None:
@@ -82,25 +83,25 @@
         """Return the addresses of all known controllers, in order."""
         return tuple(sorted(self._by_address))
 
-    def note_answer(self, controller: KnownController, reply: NodeBeatReply) -> None:
-        """Note the answer to a heartbeat, and know the controllers that it names."""
-        controller.heard_s = self._clock.seconds()
+    def note_answer(self, controller: KnownController, reply: NodeHeartbeatReply) -> None:
+        """Note the answer to a heartbeat, and add the controllers that it names."""
+        controller.last_answer_s = self._clock.seconds()
         controller.epoch = reply.epoch
         controller.revision = reply.revision
         controller.view_number = reply.view_number
         if reply.view is not None:
             controller.view = reply.view
             for name in reply.view.controllers:
-                self.know(name)
+                self.get_or_add(name)
 
-    def forget_lost(self) -> None:
+    def forget_unreachable(self) -> None:
         """Forget those that nobody names any more and that have answered nothing for long."""
         now = self._clock.seconds()
-        named = {name for each in self.heard()[-1:] for name in each.view.controllers}
+        named = {name for each in self.answered()[-1:] for name in each.view.controllers}
         for address, controller in list(self._by_address.items()):
             if address in self._seeds or address in named:
                 continue
-            if now - max(controller.heard_s, controller.asked_s) > FORGOTTEN_AFTER_S:
+            if now - max(controller.last_answer_s, controller.known_since_s) > FORGOTTEN_AFTER_S:
                 del self._by_address[address]
 
     # --- who is in touch -----------------------------------------------------------------
@@ -108,9 +109,9 @@
     @property
     def any_answered(self) -> bool:
         """Whether some controller has ever answered."""
-        return any(each.was_heard for each in self._by_address.values())
+        return any(each.has_answered for each in self._by_address.values())
 
-    def heard_lately(self) -> int:
+    def count_in_touch(self) -> int:
         """Return how many controllers have answered within the last two heartbeats."""
         return len(self.in_touch())
 
@@ -120,10 +121,10 @@
         return [
             address
             for address, each in self._by_address.items()
-            if now - each.heard_s < FRESH_WITHIN_S
+            if now - each.last_answer_s < IN_TOUCH_WITHIN_S
         ]
 
-    def hears(self, count: int, within_s: float) -> bool:
+    def answered_within(self, count: int, within_s: float) -> bool:
         """Tell whether so many voters have answered within a time.
 
         What a quorum of voters knows, one of ``losses + 1`` voters knows.
@@ -134,32 +135,34 @@
         """Return how long ago so many voters had last answered."""
         voters = self.voters() or self._by_address
         found = [each for name, each in self._by_address.items() if name in voters]
-        heard = sorted((each.heard_s for each in found), reverse=True)
-        if len(heard) < count:
+        answered_s = sorted((each.last_answer_s for each in found), reverse=True)
+        if len(answered_s) < count:
             return float("inf")
-        return self._clock.seconds() - heard[count - 1]
+        return self._clock.seconds() - answered_s[count - 1]
 
-    def followed(self, round_number: int) -> list[str]:
+    def heartbeat_targets(self, round_number: int) -> list[str]:
         """Return the controllers to send heartbeats to in a round."""
-        heard_s = {
-            name: each.heard_s
+        last_answer_s = {
+            name: each.last_answer_s
             for name, each in self._by_address.items()
             if name != self._own_address
         }
         now = self._clock.seconds()
-        return followed_controllers(heard_s, self.voters(), self._seeds, round_number, now)
+        return choose_heartbeat_targets(
+            last_answer_s, self.voters(), self._seeds, round_number, now
+        )
 
     # --- what they say -------------------------------------------------------------------
 
-    def heard(self) -> list[KnownController]:
+    def answered(self) -> list[KnownController]:
         """Return those that have ever answered, the one heard of last at the end."""
-        heard = [each for each in self._by_address.values() if each.was_heard]
-        return sorted(heard, key=lambda each: each.heard_s)
+        answered = [each for each in self._by_address.values() if each.has_answered]
+        return sorted(answered, key=lambda each: each.last_answer_s)
 
     def newest_view(self) -> FleetView:
         """Return the view of the controller heard of last."""
-        heard = self.heard()
-        return heard[-1].view if heard else EMPTY_VIEW
+        answered = self.answered()
+        return answered[-1].view if answered else EMPTY_VIEW
 
     def voters(self) -> tuple[str, ...]:
         """Return the voters of the root group as the controller heard of last names them."""
--- a/src/rainsail/cluster/ledger_founding.py
+++ b/src/rainsail/cluster/ledger_founding.py
@@ -26,7 +26,7 @@
         self._leads_since_s: float | None = None
         self._proposed = False
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Found the ledger if this controller leads and enough storage nodes are there."""
         if not self._group.is_leader():
             self._leads_since_s = None
--- a/src/rainsail/cluster/messages.py
+++ b/src/rainsail/cluster/messages.py
@@ -63,7 +63,7 @@
     born: int = 0
 
     @property
-    def age(self) -> tuple[int, int]:
+    def report_order(self) -> tuple[int, int]:
         """What orders its reports: first the incarnation that says it, then the count within it."""
         return self.born, self.sequence
 
@@ -118,7 +118,7 @@
 
 @wire_record("NodeBeat")
 @dataclass(frozen=True, slots=True)
-class NodeBeat:
+class NodeHeartbeat:
     """Says that a node is there, and up to where it knows this controller's registry.
 
     ``epoch`` and ``revision`` are those of the last reply or update from this controller, ``view``
@@ -134,7 +134,7 @@
 
 @wire_record("NodeBeatReply")
 @dataclass(frozen=True, slots=True)
-class NodeBeatReply:
+class NodeHeartbeatReply:
     """The fleet, and the runners that have changed since the revision that the node knows.
 
     ``view`` is None when the node knows the newest one, of number ``view_number``. ``runners`` is
--- a/src/rainsail/cluster/node_heartbeats.py
+++ b/src/rainsail/cluster/node_heartbeats.py
@@ -5,21 +5,21 @@
 new leader of the ledger, and runners that are busy with a long prompt.
 """
 
-from rainsail.cluster.beat_answers import RunnerPages
 from rainsail.cluster.committed_copy import CommittedCopies
 from rainsail.cluster.controller_context import ControllerContext
 from rainsail.cluster.fleet_views import FleetViews
-from rainsail.cluster.followed import in_turn
+from rainsail.cluster.heartbeat_replies import RunnerPages
+from rainsail.cluster.heartbeat_targets import rotating_subset
 from rainsail.cluster.messages import (
     LedgerLeader,
-    NodeBeat,
-    NodeBeatReply,
+    NodeHeartbeat,
+    NodeHeartbeatReply,
     NodeRole,
     RunnerPrefill,
 )
 from rainsail.logs import logger
 
-MOST_NOTICES_OF_A_PREFILL = 64
+MAX_PREFILL_NOTICES = 64
 """Gateways that hear of a runner's long prefill: in a larger fleet each of them sends that runner
 so little that the notice is worth less than it costs."""
 
@@ -36,47 +36,47 @@
         self._pages = RunnerPages(context.registry)
         self._prefills = 0
         self._ledger_term = 0
-        context.messenger.serve(NodeBeat, self._answer)
-        context.messenger.serve(RunnerPrefill, self._hand_on_prefill)
+        context.messenger.serve(NodeHeartbeat, self._answer)
+        context.messenger.serve(RunnerPrefill, self._relay_prefill)
 
-    def _answer(self, source: str, beat: NodeBeat) -> NodeBeatReply:
-        self._note(beat)
+    def _answer(self, source: str, heartbeat: NodeHeartbeat) -> NodeHeartbeatReply:
+        self._note(heartbeat)
         context = self._context
-        same_epoch = beat.epoch == context.epoch
+        same_epoch = heartbeat.epoch == context.epoch
         view = self._views.current()
-        knows_view = same_epoch and beat.view == self._views.number
-        return NodeBeatReply(
+        knows_view = same_epoch and heartbeat.view == self._views.number
+        return NodeHeartbeatReply(
             None if knows_view else view,
             self._views.number,
             self._committed.version,
             context.epoch,
             context.registry.revision,
-            self._pages.since(beat.revision if same_epoch else 0),
+            self._pages.since(heartbeat.revision if same_epoch else 0),
         )
 
-    def _note(self, beat: NodeBeat) -> None:
+    def _note(self, heartbeat: NodeHeartbeat) -> None:
         now = self._context.clock.seconds()
-        if self._context.directory.heard(beat.node, beat.ledger, now):
-            node = beat.node
+        if self._context.directory.note_heartbeat(heartbeat.node, heartbeat.ledger, now):
+            node = heartbeat.node
             log = logger.bind(node=node.name, address=node.address, role=node.role.value)
             log.info("node_heard")
-        self._notice_ledger_leader(beat)
+        self._notice_ledger_leader(heartbeat)
 
-    def _notice_ledger_leader(self, beat: NodeBeat) -> None:
+    def _notice_ledger_leader(self, heartbeat: NodeHeartbeat) -> None:
         """Push the ledger's new leader at once: gateways report to it what they have running."""
-        status = beat.ledger
+        status = heartbeat.ledger
         if status is None or not status.leads or status.term <= self._ledger_term:
             return
         self._ledger_term = status.term
-        notice = LedgerLeader(beat.node.address, status.term)
+        notice = LedgerLeader(heartbeat.node.address, status.term)
         self._context.messenger.send_all(self._context.live_nodes(), notice)
 
-    def _hand_on_prefill(self, source: str, message: RunnerPrefill) -> None:
+    def _relay_prefill(self, source: str, message: RunnerPrefill) -> None:
         """Tell other gateways, in turn, that a runner is busy with a long prompt."""
         context = self._context
         now = context.clock.seconds()
         gateways = context.directory.addresses(NodeRole.GATEWAY, now)
         others = [address for address in gateways if address != source]
         self._prefills += 1
-        told = in_turn(others, self._prefills, MOST_NOTICES_OF_A_PREFILL)
+        told = rotating_subset(others, self._prefills, MAX_PREFILL_NOTICES)
         context.messenger.send_all(told, message)
--- a/src/rainsail/cluster/push_queue.py
+++ b/src/rainsail/cluster/push_queue.py
@@ -9,7 +9,7 @@
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.runtime.clock import Clock
 
-REST_PER_FOLLOWER_S = 0.0015
+PUSH_INTERVAL_PER_FOLLOWER_S = 0.0015
 """Time between two pushes for each follower: several times what one message takes."""
 
 
@@ -27,7 +27,7 @@
         self._push = push
         self._waiting: dict[str, RunnerRecord] = {}
         self._planned = False
-        self._rests_until_s = float("-inf")
+        self._next_push_s = float("-inf")
 
     def add(self, records: list[RunnerRecord]) -> None:
         """Have records pushed, now or with the next batch."""
@@ -36,7 +36,7 @@
             self._waiting[record.runner] = record
         if self._planned:
             return
-        wait_s = self._rests_until_s - self._clock.seconds()
+        wait_s = self._next_push_s - self._clock.seconds()
         if wait_s <= 0:
             self._flush()
             return
@@ -46,7 +46,7 @@
     def _flush(self) -> None:
         self._planned = False
         waiting, self._waiting = self._waiting, {}
-        rest_s = REST_PER_FOLLOWER_S * self._followers()
-        self._rests_until_s = self._clock.seconds() + rest_s
+        rest_s = PUSH_INTERVAL_PER_FOLLOWER_S * self._followers()
+        self._next_push_s = self._clock.seconds() + rest_s
         if waiting:
             self._push(tuple(waiting.values()))
--- a/src/rainsail/cluster/quorum_wait.py
+++ b/src/rainsail/cluster/quorum_wait.py
@@ -17,16 +17,16 @@
         self._open = calls
         self._step = step
         self._fired = False
-        self._judge()
+        self._check()
 
     def take(self, result: Result[Any, Fault]) -> None:
         """Note the end of one call."""
         self._open -= 1
         if result.is_ok():
             self._needed -= 1
-        self._judge()
+        self._check()
 
-    def _judge(self) -> None:
+    def _check(self) -> None:
         if self._fired:
             return
         if self._needed <= 0:
--- a/src/rainsail/cluster/registry.py
+++ b/src/rainsail/cluster/registry.py
@@ -21,14 +21,14 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from rainsail.cluster.incarnation_order import SILENT_S, IncarnationOrder
+from rainsail.cluster.incarnation_order import REPLACEABLE_AFTER_S, IncarnationOrder
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 from rainsail.cluster.warm_up import WarmUpClock
 from rainsail.cluster.zone_drains import KnownZoneDrains
 from rainsail.state.cluster_commands import ZoneDrain
 
 _STATE_RANK = {RunnerState.READY: 0, RunnerState.DRAINING: 1, RunnerState.GONE: 2}
-GONE_KEPT = 2_000
+MAX_GONE_RUNNERS = 2_000
 """Runners that are gone and still remembered, so that a late report doesn't bring them back."""
 
 
@@ -75,14 +75,14 @@
         self._records: dict[str, RunnerRecord] = {}
         self._by_address: dict[str, str] = {}
         self._changed_at: dict[str, int] = {}
-        self._recalled: set[str] = set()
+        self._restored: set[str] = set()
         """Runners known from the disk alone: nothing was heard of them since the start."""
 
-    def recall(self, records: Iterable[RunnerRecord]) -> None:
+    def restore(self, records: Iterable[RunnerRecord]) -> None:
         """Take what this process knew before its start, and has perhaps told more of since."""
-        recalled = list(records)
-        self.take(recalled)
-        self._recalled.update(record.runner for record in recalled)
+        restored = list(records)
+        self.take(restored)
+        self._restored.update(record.runner for record in restored)
 
     def take(self, reports: Iterable[RunnerRecord]) -> list[RunnerRecord]:
         """Merge reports; return the records that others must hear of."""
@@ -96,7 +96,7 @@
     def _merge(self, report: RunnerRecord) -> list[RunnerRecord]:
         """Merge one report; return the records that others must hear of."""
         known = self._records.get(report.runner)
-        if known is not None and self._takes_id(known, report):
+        if known is not None and self._would_hijack_id(known, report):
             return []
         if known is not None and self._resolves_address_conflicts:
             silent_s = self._silent_s(known.runner)
@@ -108,21 +108,26 @@
             return []
         self._records[report.runner] = record
         changed: list[RunnerRecord] = []
-        if known is None or refutes or report.runner in self._recalled or matters(known, record):
+        if (
+            known is None
+            or refutes
+            or report.runner in self._restored
+            or is_significant_change(known, record)
+        ):
             changed.append(record)
-        self._recalled.discard(report.runner)
+        self._restored.discard(report.runner)
         if known is not None and record.born > known.born:
             self.warm_ups.forget(record.runner)
             self._incarnations.on_replaced(known)
-        if known is None or record.age > known.age:
-            self.warm_ups.heard(record)
+        if known is None or record.report_order > known.report_order:
+            self.warm_ups.note_report(record)
             self._heard_s[record.runner] = self._seconds()
-            changed += self._give_address(record)
+            changed += self._assign_address(record)
         for each in changed:
             self._note_change(each.runner)
         return changed
 
-    def _give_address(self, sender: RunnerRecord) -> list[RunnerRecord]:
+    def _assign_address(self, sender: RunnerRecord) -> list[RunnerRecord]:
         """Take the address from the incarnation before; return what changed by that."""
         if sender.state == RunnerState.GONE or sender.is_superseded:
             return []
@@ -132,7 +137,7 @@
         if (
             former is not None
             and self._resolves_address_conflicts
-            and self._holds_against(former, sender)
+            and self._keeps_address_from(former, sender)
         ):
             return [self._supersede(sender)]
         self._by_address[sender.address] = sender.runner
@@ -142,17 +147,17 @@
             return []
         return [self._supersede(former)]
 
-    def _takes_id(self, known: RunnerRecord, report: RunnerRecord) -> bool:
+    def _would_hijack_id(self, known: RunnerRecord, report: RunnerRecord) -> bool:
         """Tell whether a report would make a runner in use one that nothing can be sent to."""
         if report.state == RunnerState.GONE or self._is_named(report.service):
             return False
         return self._is_named(known.service)
 
-    def _holds_against(self, younger: RunnerRecord, sender: RunnerRecord) -> bool:
+    def _keeps_address_from(self, younger: RunnerRecord, sender: RunnerRecord) -> bool:
         """Tell whether a runner was born after the sender, and has reported lately."""
         if sender.born >= younger.born or sender.runner == younger.runner:
             return False
-        return self._silent_s(younger.runner) <= SILENT_S
+        return self._silent_s(younger.runner) <= REPLACEABLE_AFTER_S
 
     def _silent_s(self, runner: str) -> float:
         """Return for how long nothing new was heard of a runner's incarnation in force."""
@@ -176,19 +181,19 @@
         newer = self.zone_drains.take(drains)
         for drain in newer:
             if not drain.draining:
-                self.warm_ups.presume(
+                self.warm_ups.assume_cold(
                     record for record in self._records.values() if record.zone == drain.zone
                 )
         return newer
 
-    def end(self, runner: str, born: int | None = None) -> RunnerRecord:
+    def gone_record(self, runner: str, born: int | None = None) -> RunnerRecord:
         """Return the record of a runner that says it is gone, also one never heard of.
 
         ``born`` is the incarnation that says so; None stands for the one that is known.
         """
         known = self._records.get(runner)
         if known is not None and born is not None:
-            born = self._incarnations.birth_of(known, born)
+            born = self._incarnations.ordered_birth(known, born)
         if known is None or (born is not None and born != known.born):
             return RunnerRecord(runner, "", "", "", 0, RunnerState.GONE, 0.0, 0, born=born or 0)
         return replace(known, state=RunnerState.GONE, warm_up_left_s=0.0)
@@ -241,7 +246,7 @@
         return frozenset(record.zone for record in self._records.values())
 
     def _forget_oldest_gone(self) -> None:
-        if len(self._records) <= GONE_KEPT:
+        if len(self._records) <= MAX_GONE_RUNNERS:
             return
         gone = [
             record.runner
@@ -250,10 +255,10 @@
             or record.is_superseded
             or not self._is_named(record.service)
         ]
-        for runner in gone[: max(0, len(gone) - GONE_KEPT)]:
+        for runner in gone[: max(0, len(gone) - MAX_GONE_RUNNERS)]:
             record = self._records.pop(runner)
             self._changed_at.pop(runner, None)
-            self._recalled.discard(runner)
+            self._restored.discard(runner)
             self._heard_s.pop(runner, None)
             self._incarnations.forget(runner)
             self.warm_ups.forget(runner)
@@ -261,7 +266,7 @@
                 del self._by_address[record.address]
 
 
-def matters(before: RunnerRecord, after: RunnerRecord) -> bool:
+def is_significant_change(before: RunnerRecord, after: RunnerRecord) -> bool:
     """Tell whether a newer report says more than that the runner is still there.
 
     A runner's warm-up runs down by itself at every node; one that begins anew is news.
--- a/src/rainsail/cluster/runner_journal.py
+++ b/src/rainsail/cluster/runner_journal.py
@@ -36,8 +36,8 @@
 NO_GROUP = 0
 SYNC_AFTER_S = 0.5
 """Reports that nobody waits for are synced this long after the first of them."""
-LEAST_REWRITE_BYTES = 256 * 1024
-GROWN_TIMES = 4
+MIN_REWRITE_BYTES = 256 * 1024
+REWRITE_GROWTH_FACTOR = 4
 """The journal is written anew once it has so many times the bytes of its last rewriting."""
 
 
@@ -141,7 +141,7 @@
 
     def _has_grown(self) -> bool:
         assert self._file is not None
-        limit = max(LEAST_REWRITE_BYTES, GROWN_TIMES * self._rewritten_bytes)
+        limit = max(MIN_REWRITE_BYTES, REWRITE_GROWTH_FACTOR * self._rewritten_bytes)
         return self._file.size() > limit
 
     async def _rewrite(self) -> Result[None, Fault]:
--- a/src/rainsail/cluster/runner_reports.py
+++ b/src/rainsail/cluster/runner_reports.py
@@ -59,7 +59,7 @@
         self, runner: str, born: int | None = None
     ) -> "Deferred[Result[None, Fault]]":
         """Take the report that a runner is gone; ``born`` names its start, None the one known."""
-        return self.take(self._registry.end(runner, born))
+        return self.take(self._registry.gone_record(runner, born))
 
     def _register(self, record: RunnerRecord) -> list[RunnerRecord]:
         """Register a report from anywhere; return the records that others must hear of."""
--- a/src/rainsail/cluster/table_service.py
+++ b/src/rainsail/cluster/table_service.py
@@ -101,7 +101,7 @@
 
     def _take_followed(self, document: TableDocument) -> None:
         """Take a table that another controller has told of, while this one is outside the group."""
-        self._committed.told(document)
+        self._committed.note_table(document)
         self._name_services()
 
     def _name_services(self) -> None:
--- a/src/rainsail/cluster/warm_up.py
+++ b/src/rainsail/cluster/warm_up.py
@@ -34,7 +34,7 @@
         self._seconds = seconds
         self._terms: Mapping[str, WarmUpTerms] = {}
         self._warm_at_s: dict[str, float] = {}
-        self._presumed_until_s: dict[str, float] = {}
+        self._assumed_cold_until_s: dict[str, float] = {}
 
     def set_terms(self, terms: Mapping[str, WarmUpTerms]) -> None:
         """Take the terms of each service, as the routing table has them."""
@@ -44,25 +44,25 @@
         """Return the terms of a service."""
         return self._terms.get(service, NO_TERMS)
 
-    def heard(self, record: RunnerRecord) -> None:
+    def note_report(self, record: RunnerRecord) -> None:
         """Take a runner's own report; while it is presumed to warm up only a longer time counts."""
         now = self._seconds()
         warm_at_s = now + record.warm_up_left_s
-        presumed_s = self._presumed_until_s.get(record.runner, now)
+        presumed_s = self._assumed_cold_until_s.get(record.runner, now)
         self._warm_at_s[record.runner] = max(warm_at_s, presumed_s)
 
-    def presume(self, records: Iterable[RunnerRecord]) -> None:
+    def assume_cold(self, records: Iterable[RunnerRecord]) -> None:
         """Take runners as warming up anew: they may have gone cold after their last heartbeat."""
         now = self._seconds()
         for record in records:
             until_s = now + self.terms(record.service).lasts_s
-            self._presumed_until_s[record.runner] = until_s
+            self._assumed_cold_until_s[record.runner] = until_s
             self._warm_at_s[record.runner] = max(until_s, self._warm_at_s.get(record.runner, now))
 
     def forget(self, runner: str) -> None:
         """Drop a runner that is not kept any more."""
         self._warm_at_s.pop(runner, None)
-        self._presumed_until_s.pop(runner, None)
+        self._assumed_cold_until_s.pop(runner, None)
 
     def left_s(self, runner: str) -> float:
         """Return how much longer a runner warms up, 0 when it is warm."""
--- a/src/rainsail/fleet/controller_node.py
+++ b/src/rainsail/fleet/controller_node.py
@@ -14,7 +14,7 @@
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.storage.interface import FileSystem
 
-LAST_ANSWERS_LIMIT_S = 1.5
+LAST_REPLIES_TIMEOUT_S = 1.5
 """Calls under way at a planned stop are answered within this time, or cut."""
 
 
@@ -53,5 +53,5 @@
         """Answer the calls that have come, hand leadership over, then stop."""
         if self._close is not None:
             # An operator whose order is cut can't tell whether it is in force.
-            await self._close.finish(LAST_ANSWERS_LIMIT_S)
+            await self._close.finish(LAST_REPLIES_TIMEOUT_S)
         await self._role.planned_stop()
--- a/src/rainsail/fleet/controller_role.py
+++ b/src/rainsail/fleet/controller_role.py
@@ -16,7 +16,7 @@
 from rainsail.errors import Fault
 from rainsail.fleet.base import NodeBase
 from rainsail.fleet.group_folder import GroupFolder
-from rainsail.fleet.leaving import hand_over
+from rainsail.fleet.leadership_handover import hand_over
 from rainsail.relay.table_reader import TableReader
 from rainsail.state.command_basics import ROOT_GROUP
 from rainsail.storage.interface import FileSystem
@@ -57,7 +57,7 @@
             return Error(made.error)
         self.driver = driver = made.ok
         driver.on_fatal(self._fatal)
-        base.registry.recall(self._journal.load())
+        base.registry.restore(self._journal.load())
         committed = self._committed.load()
         base.follower.take_zone_drains(committed.zone_drains)
         base.follower.take_quarantine(committed.quarantine)
--- a/src/rainsail/fleet/gateway_node.py
+++ b/src/rainsail/fleet/gateway_node.py
@@ -23,9 +23,9 @@
 from rainsail.runtime.clock import sleep
 
 LEDGER_CALL_TIMEOUT_S = 1.6
-CLIENTS_LEAVE_AFTER_S = 2.3
+CLIENT_DRAIN_DELAY_S = 2.3
 """After SIGTERM new clients still come until two readiness checks have been missed."""
-END_BEFORE_GRACE_S = 0.4
+GRACE_MARGIN_S = 0.4
 MILLISECONDS_PER_S = 1000.0
 
 
@@ -88,11 +88,11 @@
         self.gateway.draining = True
         self._clients.drain()
         clock = self._base.clock
-        limit_s = self._base.settings.bounds.grace_s - END_BEFORE_GRACE_S
-        await sleep(clock, min(limit_s, CLIENTS_LEAVE_AFTER_S))
-        if limit_s > CLIENTS_LEAVE_AFTER_S:
+        limit_s = self._base.settings.bounds.grace_s - GRACE_MARGIN_S
+        await sleep(clock, min(limit_s, CLIENT_DRAIN_DELAY_S))
+        if limit_s > CLIENT_DRAIN_DELAY_S:
             close = PlannedClose(self._clients, self._client_port, clock)
-            await close.finish(limit_s - CLIENTS_LEAVE_AFTER_S)
+            await close.finish(limit_s - CLIENT_DRAIN_DELAY_S)
         logger.bind(under_way=self._clients.requests_under_way).info("drain_ended")
         self.gateway.stop()
 
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -12,7 +12,7 @@
 from rainsail.errors import Fault
 from rainsail.fleet.base import NodeBase
 from rainsail.fleet.group_folder import GroupFolder
-from rainsail.fleet.leaving import hand_over
+from rainsail.fleet.leadership_handover import hand_over
 from rainsail.http.pool import ConnectionPool
 from rainsail.jobs.context import DispatchNode, Ledger
 from rainsail.jobs.dispatcher import Dispatcher
@@ -36,7 +36,7 @@
 
 LEDGER_GROUP: GroupId = 1
 HOUSEKEEPING_PERIOD_S = 1.0
-CONTROLLERS_HEARD_WITHIN_S = 1.6
+CONTROLLER_ANSWER_MAX_AGE_S = 1.6
 """A beat and its answer; what a runner or an operator says must count within two seconds."""
 
 
@@ -113,7 +113,7 @@
             base.clock,
             PlacementFleet(base.registry, self.dispatcher.online, self._warm_ups, self._regions),
             ItemsAtRunners(self.dispatcher.items_at, self.dispatcher.preempt_at),
-            self._places,
+            self._may_place,
             base.random,
             base.metrics,
         )
@@ -122,7 +122,7 @@
         if not self._folder.is_empty():
             self._start_group(())
         base.follower.start()
-        self._keep_house()
+        self._run_housekeeping()
         return Ok(None)
 
     def _start_group(self, founders: tuple[str, ...]) -> None:
@@ -141,11 +141,11 @@
     def _may_start_items(self) -> bool:
         """Tell whether items may go out: under the leader's lease, and hearing of controllers."""
         needed = self._base.settings.node.losses + 1
-        return self._leads() and self._base.follower.controllers.hears(
-            needed, CONTROLLERS_HEARD_WITHIN_S
+        return self._leads() and self._base.follower.controllers.answered_within(
+            needed, CONTROLLER_ANSWER_MAX_AGE_S
         )
 
-    def _places(self) -> bool:
+    def _may_place(self) -> bool:
         """Tell whether this node may place requests: it leads, and knows a table."""
         return self._leads() and self.dispatcher.table_version > 0
 
@@ -169,7 +169,7 @@
             self._outcomes.stop()
         for address in self._base.follower.view().controllers:
             if address != self._base.node.address:
-                self._base.follower.beat(address)
+                self._base.follower.send_heartbeat(address)
 
     def _runners_changed(self, changed: list[RunnerRecord]) -> None:
         for record in changed:
@@ -214,7 +214,7 @@
             return
         self.dispatcher.set_table(read.ok)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         if self._stopped:
             return
         self._pool.close_stale()
@@ -222,7 +222,7 @@
         if self.driver is not None and self.driver.is_leader():
             for command in self._retention.due(self._base.clock.seconds()):
                 self.driver.propose(command)
-        self._base.clock.callLater(HOUSEKEEPING_PERIOD_S, self._keep_house)
+        self._base.clock.callLater(HOUSEKEEPING_PERIOD_S, self._run_housekeeping)
 
     async def planned_stop(self) -> None:
         """Hand leadership over, then stop."""
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -74,7 +74,7 @@
             exchange,
             done,  # type: ignore[arg-type]
             lambda _: EMPTY,
-            unclear_status=STATUS_UNAVAILABLE,
+            unknown_outcome_status=STATUS_UNAVAILABLE,
         )
 
     def _take_heartbeat(self, exchange: Exchange, runner: str) -> None:
@@ -128,7 +128,7 @@
             }
 
         done = self._controller.zone_drains.read()
-        reply_when_done(exchange, done, body, unclear_status=STATUS_UNAVAILABLE)
+        reply_when_done(exchange, done, body, unknown_outcome_status=STATUS_UNAVAILABLE)
 
     def _emptying(self, exchange: Exchange, method: str, name: str) -> None:
         if method == "PUT":
--- a/src/rainsail/fleet_api/heartbeats.py
+++ b/src/rainsail/fleet_api/heartbeats.py
@@ -14,13 +14,13 @@
 from rainsail.fleet_api.json_fields import A_WHOLE_NUMBER, FieldError
 from rainsail.wire.address import parse_address
 
-LONGEST_TEXT = 256
+MAX_TEXT_LENGTH = 256
 """Characters of a name. Not measured; chosen far above the names in use."""
-LARGEST_NUMBER = 2**63 - 1
+MAX_NUMBER = 2**63 - 1
 """The largest number that the wire between nodes carries (a long of Avro)."""
-MOST_SLOTS = 1_000_000
+MAX_SLOTS = 1_000_000
 """Slots of a runner. Not measured; chosen far above what an accelerator runs at once."""
-LONGEST_WARM_UP_S = 1e6
+MAX_WARM_UP_S = 1e6
 """Not measured; chosen far above any warm-up, and small enough for sums of times."""
 
 
@@ -30,8 +30,8 @@
     return address
 
 
-Text = Annotated[str, Field(min_length=1, max_length=LONGEST_TEXT)]
-Whole = Annotated[int, Field(ge=0, le=LARGEST_NUMBER)]
+Text = Annotated[str, Field(min_length=1, max_length=MAX_TEXT_LENGTH)]
+Whole = Annotated[int, Field(ge=0, le=MAX_NUMBER)]
 
 
 class HeartbeatBody(BaseModel):
@@ -41,10 +41,10 @@
 
     service: Text
     address: Annotated[Text, AfterValidator(_listening)]
-    zone: str = Field(default="", max_length=LONGEST_TEXT)
-    slots: int = Field(default=1, ge=1, le=MOST_SLOTS)
+    zone: str = Field(default="", max_length=MAX_TEXT_LENGTH)
+    slots: int = Field(default=1, ge=1, le=MAX_SLOTS)
     state: RunnerState = Field(default=RunnerState.READY, strict=False)
-    warm_up_left_s: float = Field(default=0.0, ge=0, le=LONGEST_WARM_UP_S, allow_inf_nan=False)
+    warm_up_left_s: float = Field(default=0.0, ge=0, le=MAX_WARM_UP_S, allow_inf_nan=False)
     sequence: Whole
     born: Whole = 0
 
@@ -59,8 +59,8 @@
 
 def read_heartbeat(runner: str, fields: Any) -> RunnerRecord:
     """Return the record of a runner's heartbeat; raises one of ``json_fields.UNREADABLE``."""
-    if not runner or len(runner) > LONGEST_TEXT:
-        raise ValueError(f"the runner's id: expected 1 to {LONGEST_TEXT} characters")
+    if not runner or len(runner) > MAX_TEXT_LENGTH:
+        raise ValueError(f"the runner's id: expected 1 to {MAX_TEXT_LENGTH} characters")
     body = HeartbeatBody.model_validate(fields)
     return RunnerRecord(
         runner,
--- a/src/rainsail/fleet_api/jobs.py
+++ b/src/rainsail/fleet_api/jobs.py
@@ -22,10 +22,10 @@
 
 def client_handler(gateway: RelayGateway, jobs: JobClient) -> Handler:
     """Return the handler of a gateway's address for clients."""
-    return job_calls.client_handler(gateway, jobs, OwnJobCalls())
+    return job_calls.client_handler(gateway, jobs, NativeJobCalls())
 
 
-class OwnJobCalls:
+class NativeJobCalls:
     """Implements ``rainsail.fleet_api.job_calls.JobCallFormat`` under ``/v1/relayed-jobs/JOB``."""
 
     def read_call(self, request: HttpRequest) -> JobCall | None:
--- a/src/rainsail/fleet_api/quarantine.py
+++ b/src/rainsail/fleet_api/quarantine.py
@@ -20,7 +20,9 @@
     method = exchange.request.method
     path = exchange.request.target.decode("latin-1").partition("?")[0]
     if path == HELD_REQUESTS and method == b"GET":
-        reply_when_done(exchange, quarantine.read(), _list, unclear_status=STATUS_UNAVAILABLE)
+        reply_when_done(
+            exchange, quarantine.read(), _list, unknown_outcome_status=STATUS_UNAVAILABLE
+        )
         return True
     if path.startswith(f"{HELD_REQUESTS}/") and method == b"DELETE":
         _release(exchange, quarantine, path.rpartition("/")[2])
@@ -44,7 +46,7 @@
         reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.quarantine", detail))
         return
     done = quarantine.release(fingerprint, watch_client(exchange))
-    reply_when_done(exchange, done, _list, unclear_status=STATUS_UNAVAILABLE)
+    reply_when_done(exchange, done, _list, unknown_outcome_status=STATUS_UNAVAILABLE)
 
 
 def _fingerprint(name: str) -> Fingerprint | None:
--- a/src/rainsail/fleet_api/replies.py
+++ b/src/rainsail/fleet_api/replies.py
@@ -19,7 +19,7 @@
 STATUS_CONFLICT = 409
 STATUS_OVER_LIMIT = 429
 STATUS_UNAVAILABLE = 503
-STATUS_UNCLEAR = 504
+STATUS_OUTCOME_UNKNOWN = 504
 RETRY_AFTER_S = 0.5
 _STATUSES = {
     FaultCode.INVALID: STATUS_INVALID,
@@ -43,7 +43,9 @@
     reply(exchange, status, json.dumps(body, separators=(",", ":")).encode())
 
 
-def reply_fault(exchange: Exchange, fault: Fault, unclear_status: int = STATUS_UNCLEAR) -> None:
+def reply_fault(
+    exchange: Exchange, fault: Fault, unknown_outcome_status: int = STATUS_OUTCOME_UNKNOWN
+) -> None:
     """Answer a fault; 429 and 503, with the time to come back, only where nothing was done."""
     status = _STATUSES.get(fault.code)
     if status is not None:
@@ -53,7 +55,7 @@
         refused = STATUS_OVER_LIMIT if over else STATUS_UNAVAILABLE
         reply(exchange, refused, retry_after_s=RETRY_AFTER_S)
     else:
-        reply(exchange, unclear_status)
+        reply(exchange, unknown_outcome_status)
 
 
 def reply_when_done(
@@ -61,7 +63,7 @@
     done: "Deferred[Result[Any, Fault]]",
     body: Callable[[Any], Any],
     status: int = STATUS_OK,
-    unclear_status: int = STATUS_UNCLEAR,
+    unknown_outcome_status: int = STATUS_OUTCOME_UNKNOWN,
 ) -> None:
     """Answer with ``body`` of the result, or with its fault."""
 
@@ -69,6 +71,6 @@
         if result.is_ok():
             reply_json(exchange, status, body(result.ok))
         else:
-            reply_fault(exchange, result.error, unclear_status)
+            reply_fault(exchange, result.error, unknown_outcome_status)
 
     done.addCallback(answer)
--- a/src/rainsail/quarantine/agent.py
+++ b/src/rainsail/quarantine/agent.py
@@ -136,4 +136,4 @@
 
     def _tell(self, message: RunnerEnded | RequestAnswered) -> None:
         """Tell every controller that this node follows: whichever leads next knows it too."""
-        self._messenger.send_all(self._follower.followed(), message)
+        self._messenger.send_all(self._follower.heartbeat_targets(), message)
