--- a/src/rainsail/cluster/incarnation_tracker.py
+++ b/src/rainsail/cluster/incarnation_tracker.py
@@ -2,7 +2,7 @@
 
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 
-MOST_KEPT = 20_000
+MAX_RUNNERS = 20_000
 """So many runners are remembered, those heard of last. One that crashes for good never says so."""
 
 
@@ -12,11 +12,11 @@
     def __init__(self) -> None:
         self._born: dict[str, int] = {}
 
-    def began(self, record: RunnerRecord) -> bool:
+    def observe_restart(self, record: RunnerRecord) -> bool:
         """Note a report; tell whether its runner has started again since the report before."""
         known = self._born.pop(record.runner, record.born)
         if record.state != RunnerState.GONE:
             self._born[record.runner] = max(known, record.born)
-        if len(self._born) > MOST_KEPT:
+        if len(self._born) > MAX_RUNNERS:
             del self._born[next(iter(self._born))]
         return record.born > known
--- a/src/rainsail/cluster/runner_reports.py
+++ b/src/rainsail/cluster/runner_reports.py
@@ -55,9 +55,11 @@
             return succeed(Ok(None))
         return self._share(now_known)
 
-    def take_end(self, runner: str, born: int | None = None) -> "Deferred[Result[None, Fault]]":
+    def take_deregistration(
+        self, runner: str, born: int | None = None
+    ) -> "Deferred[Result[None, Fault]]":
         """Take the report that a runner is gone; ``born`` names its start, None the one known."""
-        return self.take(self._registry.end(runner, born))
+        return self.take(self._registry.gone_record(runner, born))
 
     def _register(self, record: RunnerRecord) -> list[RunnerRecord]:
         """Register a report from anywhere; return the records that others must hear of."""
--- a/src/rainsail/fleet/base.py
+++ b/src/rainsail/fleet/base.py
@@ -106,7 +106,7 @@
         random.getrandbits(INCARNATION_BITS),
     )
     is_controller = node.role == NodeRole.CONTROLLER
-    registry = RunnerRegistry(clock.seconds, settles_addresses=is_controller)
+    registry = RunnerRegistry(clock.seconds, resolves_address_conflicts=is_controller)
     follower = FleetFollower(node, settings.seed_controllers(), messenger, clock, registry)
     began_s = clock.seconds() if started_s is None else started_s
     base = NodeBase(
@@ -118,5 +118,5 @@
     base.metrics.gauge("runners_warming", lambda: float(count_warming(registry)))
     base.metrics.gauge("zones_draining", lambda: float(len(registry.zone_drains.draining())))
     base.metrics.gauge("requests_held", lambda: float(len(follower.quarantine.held)))
-    base.metrics.gauge("controllers_heard", lambda: float(follower.controllers.heard_lately()))
+    base.metrics.gauge("controllers_heard", lambda: float(follower.controllers.count_in_touch()))
     return base
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -74,7 +74,7 @@
             exchange,
             done,  # type: ignore[arg-type]
             lambda _: EMPTY,
-            unclear_status=STATUS_UNAVAILABLE,
+            unknown_outcome_status=STATUS_UNAVAILABLE,
         )
 
     def _take_heartbeat(self, exchange: Exchange, runner: str) -> None:
@@ -91,7 +91,7 @@
         except UNREADABLE as error:
             reply_fault(exchange, Fault(FaultCode.INVALID, "fleet_api.runner", explain(error)))
             return
-        self._answer(exchange, self._controller.reports.take_end(runner, born))
+        self._answer(exchange, self._controller.reports.take_deregistration(runner, born))
 
     def _replace_table(self, exchange: Exchange) -> None:
         content = exchange.request.body
@@ -128,7 +128,7 @@
             }
 
         done = self._controller.zone_drains.read()
-        reply_when_done(exchange, done, body, unclear_status=STATUS_UNAVAILABLE)
+        reply_when_done(exchange, done, body, unknown_outcome_status=STATUS_UNAVAILABLE)
 
     def _emptying(self, exchange: Exchange, method: str, name: str) -> None:
         if method == "PUT":
