--- a/features/steps/committed_copy_steps.py
+++ b/features/steps/committed_copy_steps.py
@@ -14,7 +14,7 @@
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.zone_drains import ZoneDrainBook
 from rainsail.logs import logger
-from rainsail.quarantine.book import QuarantineBook
+from rainsail.quarantine.view import QuarantineView
 from rainsail.simulation.clock import VirtualClock
 from rainsail.simulation.disk import SimulatedDisk
 from rainsail.state.cluster_commands import NO_QUARANTINE
@@ -91,7 +91,7 @@
 def read_copy(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record), level=0)
-    keeper = CommittedCopies(context.disk, FleetState(), ZoneDrainBook(), QuarantineBook())
+    keeper = CommittedCopies(context.disk, FleetState(), ZoneDrainBook(), QuarantineView())
     context.read_copy = keeper.load()
     logger.remove(sink)
 
--- a/features/steps/compatibility_folder_steps.py
+++ b/features/steps/compatibility_folder_steps.py
@@ -24,7 +24,7 @@
 from rainsail.cluster.fleet_state import FleetState
 from rainsail.cluster.runner_journal import RunnerJournal
 from rainsail.cluster.zone_drains import ZoneDrainBook
-from rainsail.quarantine.book import QuarantineBook
+from rainsail.quarantine.view import QuarantineView
 from rainsail.simulation.clock import VirtualClock
 from rainsail.state.commands import Command
 from rainsail.state.fleet_commands import FleetCommand
@@ -160,7 +160,7 @@
 @then("the controller's copy of what is committed reads")
 def step_committed(context):
     copies = CommittedCopies(
-        context.read_folder.files, FleetState(), ZoneDrainBook(), QuarantineBook()
+        context.read_folder.files, FleetState(), ZoneDrainBook(), QuarantineView()
     )
     copy = copies.load()
     lines = [f"table {copy.version}: {copy.content.decode()}"]
--- a/features/steps/fleet_broken_off_steps.py
+++ b/features/steps/fleet_broken_off_steps.py
@@ -4,7 +4,7 @@
 import socket
 
 from behave import given, then, when
-from features.support.breaking_runner import BreakingRunner
+from features.support.aborting_runner import AbortingRunner
 from features.support.http_reader import AnswerReader
 from features.support.own_fleet import EXAMPLES, OwnFleet, wait_until
 
@@ -37,7 +37,7 @@
 @given("a runner that begins an answer {framing} and says no more")
 def run_runner(context, framing):
     ip = context.own.address(4, 1)
-    context.runner = BreakingRunner(ip, RUNNER, framing)
+    context.runner = AbortingRunner(ip, RUNNER, framing)
     context.add_cleanup(context.runner.close)
     word = {"service": "tracker", "address": f"{ip}:{RUNNER}", "slots": 4, "sequence": 1}
     wait_until(lambda: _control(context, "/v1/runners/r-1", word), "the word")
--- a/features/steps/platform_translation_steps.py
+++ b/features/steps/platform_translation_steps.py
@@ -23,7 +23,7 @@
 from rainsail.relay.table import Route, RouteKind, ServiceShare
 from rainsail.settings.node import load_node_settings
 from rainsail.simulation.clock import VirtualClock
-from rainsail.tenancy.tenants import NOBODY
+from rainsail.tenancy.tenants import ANONYMOUS
 
 EXAMPLE = {
     "version": 7,
@@ -225,7 +225,7 @@
 )
 def translate(context, runner, seconds, event):
     target = RunnerTarget(runner, "10.0.0.1:80")
-    context.outgoing = PlatformHeaders().relayed(context.request, target, seconds, event, NOBODY)
+    context.outgoing = PlatformHeaders().relayed(context.request, target, seconds, event, ANONYMOUS)
 
 
 @then("the runner gets these fields")
@@ -418,7 +418,7 @@
         "r", "h.example", "/jobs/", RouteKind.BATCH, shares, 30.0, 1.0, max_queued_tokens=500
     )
     facts = PlatformHeaders().describe(context.exchange.request)
-    gateway.on_batch(context.exchange, route, facts, NOBODY)
+    gateway.on_batch(context.exchange, route, facts, ANONYMOUS)
 
 
 @when("a gateway gets the job '{body}'")
--- a/features/steps/quarantine_soak_steps.py
+++ b/features/steps/quarantine_soak_steps.py
@@ -6,7 +6,7 @@
 from features.support.quarantine_soak import QuarantineSoak
 
 from rainsail.quarantine.agent import QuarantineAgent
-from rainsail.quarantine.suspects import SuspectBook
+from rainsail.quarantine.suspects import SuspectTracker
 
 DEFECTS = {
     "nobody tells controllers what ended a runner": (
@@ -14,7 +14,7 @@
         "_report",
         lambda agent, inquiry: None,
     ),
-    "answers clear nobody": (SuspectBook, "answered", lambda book, fingerprint, now: None),
+    "answers clear nobody": (SuspectTracker, "answered", lambda book, fingerprint, now: None),
     "held requests are sent all the same": (
         QuarantineAgent,
         "holds",
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from behave import given, step, then, when
-from features.support.dying_runners import FATAL_BODY, RunnerPool
+from features.support.crashing_runners import FATAL_BODY, RunnerPool
 from features.support.fatal_request_fleet import PATH, FatalRequestFleet
 from features.support.relayed_fleet import JOB_PATH
 from features.support.relaying import HOST
@@ -11,9 +11,9 @@
 from rainsail.cluster.messages import RunnerState
 from rainsail.http.reach import Reach
 from rainsail.jobs.messages import QueueLimit
-from rainsail.quarantine.book import QuarantineBook
 from rainsail.quarantine.fingerprint import fingerprint_of
-from rainsail.quarantine.suspects import SuspectBook
+from rainsail.quarantine.suspects import SuspectTracker
+from rainsail.quarantine.view import QuarantineView
 from rainsail.state.job_commands import RelayedItem
 from rainsail.state.quarantine import QuarantineState
 
@@ -546,7 +546,7 @@
 
 @when("words on {ends:d} ends of runners with {count:d} requests each come to a controller")
 def many_ends(context, ends, count):
-    context.book = SuspectBook()
+    context.book = SuspectTracker()
     for end in range(ends):
         bodies = [fingerprint(b"%d %d" % (end, number)) for number in range(count)]
         context.book.ended(f"runner-{end}", bodies, float(end), float(end))
@@ -560,7 +560,7 @@
 
 @given("a node that was told of a suspect")
 def told_of_suspect(context):
-    context.book = QuarantineBook()
+    context.book = QuarantineView()
     context.book.watch((FATAL,), 0.0)
 
 
--- a/features/steps/tenancy_lent_shares_steps.py
+++ b/features/steps/tenancy_lent_shares_steps.py
@@ -8,7 +8,7 @@
 from rainsail.control.messages import QuotaReport, TenantDemand
 from rainsail.resources.specs import TenantSpec
 from rainsail.tenancy.lender import QuotaLender, ShareTerms
-from rainsail.tenancy.lent_shares import GatewayShare, Grant, TenantBook
+from rainsail.tenancy.lent_shares import GatewayShare, Grant, TenantShares
 
 SHARE_S = 4.0
 LENDABLE = 800.0
@@ -20,7 +20,7 @@
     """A tenant's lent shares beside plain shares that are added up anew at every step."""
 
     def __init__(self) -> None:
-        self.lent = TenantBook()
+        self.lent = TenantShares()
         self.shares: dict[str, GatewayShare] = {}
         self.now_s = 0.0
         self.errors: list[float] = []
--- a/features/support/breaking_runner.py
+++ b/features/support/aborting_runner.py
@@ -17,7 +17,7 @@
 }
 
 
-class BreakingRunner:
+class AbortingRunner:
     """Takes connections one after the other in a thread and begins the same answer on each."""
 
     def __init__(self, ip: str, port: int, framing: str) -> None:
--- a/features/support/compatibility_folders.py
+++ b/features/support/compatibility_folders.py
@@ -39,7 +39,7 @@
 from rainsail.fleet.base import FLEET
 from rainsail.fleet.storage_node import LEDGER_GROUP
 from rainsail.jobs.job_state import JobState
-from rainsail.quarantine.book import QuarantineBook
+from rainsail.quarantine.view import QuarantineView
 from rainsail.state.command_basics import ROOT_GROUP, NoOperation, command_of
 from rainsail.state.commands import encode_command
 from rainsail.state.durable_schemas import durable_fingerprint
@@ -240,7 +240,7 @@
     apply_fleet_commands(lambda command: state.apply(0, command), "first")
     drains = ZoneDrainBook()
     drains.take(state.zone_drains())
-    quarantine = QuarantineBook()
+    quarantine = QuarantineView()
     quarantine.take(state.quarantine.snapshot())
     CommittedCopies(rig.disk, state, drains, quarantine).changed()
     rig.clock.advance(1.0)
--- a/features/support/dying_runners.py
+++ b/features/support/crashing_runners.py
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class DyingRunner:
+class CrashingRunner:
     """One address and the incarnation there; ``ends`` are the moments at which one ended."""
 
     number: int
@@ -60,7 +60,7 @@
         return f"runner-{self.number}" + (f"-{self.lives}" if self.number % 2 else "")
 
 
-class DyingRunners:
+class CrashingRunners:
     """All runners of a fleet; each pool that this makes is one node's connections to them."""
 
     def __init__(
@@ -78,7 +78,7 @@
         self._immune_service = immune_service
         self.clock = clock
         self._tell = tell
-        self.runners = [DyingRunner(number) for number in range(1, count + 1)]
+        self.runners = [CrashingRunner(number) for number in range(1, count + 1)]
         self.fatal_runs: list[FatalRun] = []
         self.fatal_bodies = {FATAL_BODY}
         self.broken_share = 0.0
@@ -94,17 +94,17 @@
         """The moments at which a runner ended, in order."""
         return sorted(moment for runner in self.runners for moment in runner.ends)
 
-    def at(self, address: str) -> DyingRunner:
+    def at(self, address: str) -> CrashingRunner:
         """Return the runner of an address."""
         return next(runner for runner in self.runners if runner.address == address)
 
-    def _beat(self, runner: DyingRunner, life: int) -> None:
+    def _beat(self, runner: CrashingRunner, life: int) -> None:
         if not runner.is_up or runner.lives != life or runner.has_left:
             return
         self.say(runner, RunnerState.READY)
         self.clock.callLater(HEARTBEAT_PERIOD_S, self._beat, runner, life)
 
-    def say(self, runner: DyingRunner, state: RunnerState) -> None:
+    def say(self, runner: CrashingRunner, state: RunnerState) -> None:
         """Have a runner say what it is about to do."""
         runner.has_left = state != RunnerState.READY
         runner.sequence += 1
@@ -121,7 +121,7 @@
             )
         )
 
-    def _is_immune(self, runner: DyingRunner) -> bool:
+    def _is_immune(self, runner: CrashingRunner) -> bool:
         return bool(self._immune_service) and runner.number % 2 == 0
 
     # --- requests ------------------------------------------------------------------------
@@ -145,7 +145,7 @@
         if not call.cancelled:
             call.listener.request_unsent(reason)
 
-    def _begin(self, runner: DyingRunner, call: StandInCall) -> None:
+    def _begin(self, runner: CrashingRunner, call: StandInCall) -> None:
         if call.cancelled or call not in runner.calls:
             return
         call.listener.answer_begun(AnswerHead(200, STREAM_FIELDS))
@@ -158,7 +158,7 @@
         first = int(call.field(b"after-event") or 0) + 1
         self.clock.callLater(EVENT_PERIOD_S, self._send_event, runner, call, first)
 
-    def _send_event(self, runner: DyingRunner, call: StandInCall, number: int) -> None:
+    def _send_event(self, runner: CrashingRunner, call: StandInCall, number: int) -> None:
         if call.cancelled or call not in runner.calls:
             return
         call.listener.answer_data(event(number))
@@ -176,7 +176,7 @@
 
     # --- ends ----------------------------------------------------------------------------
 
-    def end(self, runner: DyingRunner, life: int, back_after_s: float = BACK_AFTER_S) -> None:
+    def end(self, runner: CrashingRunner, life: int, back_after_s: float = BACK_AFTER_S) -> None:
         """End a runner: each connection to it closes in order."""
         if not runner.is_up or runner.lives != life:
             return
@@ -191,14 +191,14 @@
                 call.listener.answer_failed("connection closed")
         self.clock.callLater(back_after_s, self._come_back, runner)
 
-    def go_dark(self, runner: DyingRunner, for_s: float) -> None:
+    def go_dark(self, runner: CrashingRunner, for_s: float) -> None:
         """Cut a runner's power: nothing is heard of it, connections neither close nor open."""
         runner.is_up = False
         runner.is_dark = True
         runner.calls.clear()
         self.clock.callLater(for_s, self._come_back, runner)
 
-    def _come_back(self, runner: DyingRunner) -> None:
+    def _come_back(self, runner: CrashingRunner) -> None:
         runner.is_dark = runner.has_left = False
         runner.is_up = True
         runner.lives += 1
@@ -209,7 +209,7 @@
 class RunnerPool:
     """One node's connections to the runners."""
 
-    def __init__(self, runners: DyingRunners, sender: str) -> None:
+    def __init__(self, runners: CrashingRunners, sender: str) -> None:
         self._runners = runners
         self._sender = sender
         self._calls: list[StandInCall] = []
--- a/features/support/fatal_request_fleet.py
+++ b/features/support/fatal_request_fleet.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from expression import Ok
-from features.support.dying_runners import FATAL_BODY, DyingRunners, RunnerPool
+from features.support.crashing_runners import FATAL_BODY, CrashingRunners, RunnerPool
 from features.support.relayed_fleet import COMPLETION_S, JOB_PREFIX, RelayedFleet
 from features.support.relaying import HOST, SERVICE, PlainProtocol, StandInExchange
 
@@ -87,14 +87,14 @@
         self.relays: dict[str, RelayGateway] = {}
         self.jobs: dict[str, JobClient] = {}
         self.runner_pools: dict[str, _LatePool] = {}
-        self.runners: DyingRunners | None = None
+        self.runners: CrashingRunners | None = None
         self.exchanges: list[StandInExchange] = []
         self._draw = random.Random(seed)
         self._sent = 0
         super().__init__(seed, gateways=gateways)
         self.leader("controller")
         self.leader("storage")
-        self.runners = DyingRunners(self.clock, runners, self._heartbeat, immune_service)
+        self.runners = CrashingRunners(self.clock, runners, self._heartbeat, immune_service)
         self.put_table(1)
         self.run_for(2.0)
 
--- a/features/support/quarantine_soak.py
+++ b/features/support/quarantine_soak.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from features.support.dying_runners import DyingRunner
+from features.support.crashing_runners import CrashingRunner
 from features.support.fatal_request_fleet import PATH, FatalRequestFleet
 from features.support.relaying import HOST
 
@@ -91,7 +91,7 @@
         names = [name for name in sorted(self.fleet.names(kind)) if name not in self._down]
         return self._draw.choice(names) if len(names) > 1 else None
 
-    def _runner(self) -> DyingRunner | None:
+    def _runner(self) -> CrashingRunner | None:
         up = [each for each in self._runners.runners if each.is_up and not each.has_left]
         return self._draw.choice(up) if len(up) > 2 else None
 
--- a/features/support/quota_world.py
+++ b/features/support/quota_world.py
@@ -8,7 +8,7 @@
 from rainsail.routing.token_bucket import TokenBucket
 from rainsail.simulation.clock import SkewedClock, VirtualClock
 from rainsail.simulation.network import LinkConditions, SimulatedNetwork
-from rainsail.tenancy.keeper import QuotaKeeper
+from rainsail.tenancy.quota_allocator import QuotaAllocator
 from rainsail.tenancy.quota_client import QuotaClient
 from rainsail.tenancy.quota_service import QuotaService
 from rainsail.tenancy.quota_terms import QuotaTerms
@@ -73,7 +73,7 @@
 
     def _start_keeper(self, name: str) -> None:
         messenger = Messenger(self.network.transport(name), self.clock)
-        keeper = QuotaKeeper(self.terms)
+        keeper = QuotaAllocator(self.terms)
         leads = lambda: self.leading == name  # noqa: E731
         self.services[name] = QuotaService(messenger, self.clock, keeper, leads)
 
@@ -89,21 +89,21 @@
 
     def _tell(self, name: str) -> None:
         for gateway in self.gateways:
-            gateway.client.set_keeper(name)
+            gateway.client.set_allocator(name)
 
     def restart(self, number: int) -> None:
         """Have a gateway's process end and another begin; it knows the keeper at once."""
         self.gateways[number].stop()
         name = self.gateways[number].name
         self.gateways[number] = QuotaGateway(self, name)
-        self.gateways[number].client.set_keeper(self.leading)
+        self.gateways[number].client.set_allocator(self.leading)
 
     def set_limit(self, limit: RateLimit) -> None:
         """Put another limit in force at all gateways."""
         self.version += 1
         self.limit = limit
         self.limits.append((self.clock.seconds(), limit))
-        self._ideal.set_share(limit.rate_per_s, limit.burst, self.clock.seconds())
+        self._ideal.set_rate(limit.rate_per_s, limit.burst, self.clock.seconds())
         for gateway in self.gateways:
             gateway.client.table_version = self.version
 
--- a/features/support/relaying.py
+++ b/features/support/relaying.py
@@ -18,7 +18,7 @@
 from rainsail.relay.table import ClientLimits, Route, RouteKind, RoutingTable, Service, ServiceShare
 from rainsail.routing.facts import PromptPart, ServerLoad
 from rainsail.simulation.clock import VirtualClock
-from rainsail.tenancy.tenants import NOBODY, Identity
+from rainsail.tenancy.tenants import ANONYMOUS, Identity
 
 SERVICE = "model"
 HOST = "a.example"
@@ -46,7 +46,7 @@
         target: RunnerTarget,
         deadline_left_s: float | None,
         after_event: int | None,
-        identity: Identity = NOBODY,
+        identity: Identity = ANONYMOUS,
     ) -> OutgoingRequest:
         """Send the deadline left and the event to go on behind."""
         fields = [(b"runner", target.runner.encode())]
--- a/src/rainsail/cluster/committed_copy.py
+++ b/src/rainsail/cluster/committed_copy.py
@@ -16,7 +16,7 @@
 from rainsail.cluster.zone_drains import ZoneDrainBook
 from rainsail.errors import Fault, FaultCode
 from rainsail.logs import logger
-from rainsail.quarantine.book import QuarantineBook
+from rainsail.quarantine.view import QuarantineView
 from rainsail.state.cluster_commands import NO_QUARANTINE, Quarantine, ZoneDrain
 from rainsail.storage.interface import FileSystem
 from rainsail.storage.records import RecordKind, encode_record, scan
@@ -50,7 +50,7 @@
         files: FileSystem,
         state: FleetState,
         drains: ZoneDrainBook,
-        quarantine: QuarantineBook,
+        quarantine: QuarantineView,
     ) -> None:
         """``drains`` and ``quarantine`` have what this controller has heard of."""
         self._files = files
--- a/src/rainsail/cluster/follower.py
+++ b/src/rainsail/cluster/follower.py
@@ -28,8 +28,8 @@
 )
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.logs import logger
-from rainsail.quarantine.book import QuarantineBook
 from rainsail.quarantine.messages import QuarantineNotice
+from rainsail.quarantine.view import QuarantineView
 from rainsail.runtime.clock import Clock
 from rainsail.state.cluster_commands import Quarantine, ZoneDrain
 from rainsail.wire.codec import decode
@@ -59,7 +59,7 @@
         self._messenger = messenger
         self._clock = clock
         self.registry = registry
-        self.quarantine = QuarantineBook()
+        self.quarantine = QuarantineView()
         self.controllers = KnownControllers(node.address, seeds, clock)
         self._stopped = False
         self._rounds = 0
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -31,7 +31,7 @@
 from rainsail.routing.warm_up_limiter import WarmUpLimiter
 from rainsail.state.command_basics import GroupId
 from rainsail.storage.interface import FileSystem
-from rainsail.tenancy.keeper import QuotaKeeper
+from rainsail.tenancy.quota_allocator import QuotaAllocator
 from rainsail.tenancy.quota_service import QuotaService
 
 LEDGER_GROUP: GroupId = 1
@@ -71,7 +71,7 @@
         base.follower.on_runners = self._runners_changed
         self._incarnations = IncarnationTracker()
         self._placements: PlacementService | None = None
-        keeper = QuotaKeeper(base.settings.quota.terms())
+        keeper = QuotaAllocator(base.settings.quota.terms())
         self._quotas = QuotaService(base.messenger, base.clock, keeper, self._leads)
         base.metrics.gauge("jobs_kept", lambda: float(len(self.state.jobs)))
         self._retention = Retention(self.state, base.settings.bounds.results_kept_s)
--- a/src/rainsail/fleet_api/quarantine.py
+++ b/src/rainsail/fleet_api/quarantine.py
@@ -6,7 +6,7 @@
 from rainsail.fleet_api.replies import STATUS_UNAVAILABLE, reply_fault, reply_when_done
 from rainsail.http.exchange import Exchange, watch_client
 from rainsail.quarantine.control import QuarantineControl
-from rainsail.quarantine.fingerprint import DIGEST_BYTES, Fingerprint, name_of
+from rainsail.quarantine.fingerprint import DIGEST_BYTES, Fingerprint, fingerprint_hex
 from rainsail.quarantine.messages import QuarantineNotice
 
 HELD_REQUESTS = "/v1/held-requests"
@@ -31,7 +31,7 @@
 def _list(notice: QuarantineNotice) -> dict[str, Any]:
     """Return each request's fingerprint, whether it is held now, and how often it was."""
     requests = [
-        {"fingerprint": name_of(each.fingerprint), "held": each.held, "times": each.times}
+        {"fingerprint": fingerprint_hex(each.fingerprint), "held": each.held, "times": each.times}
         for each in notice.quarantine.requests
     ]
     return {"requests": requests}
--- a/src/rainsail/gateway/quota.py
+++ b/src/rainsail/gateway/quota.py
@@ -137,7 +137,7 @@
         if bucket is None:
             bucket = self._buckets[tenant] = TokenBucket(rate, burst, now_s)
         elif (bucket.rate, bucket.burst) != (rate, burst):
-            bucket.set_share(rate, burst, now_s)
+            bucket.set_rate(rate, burst, now_s)
         return bucket
 
     def _share(self, tenant: str, now_s: float) -> tuple[float, float]:
--- a/src/rainsail/jobs/item_guard.py
+++ b/src/rainsail/jobs/item_guard.py
@@ -4,7 +4,7 @@
 from rainsail.jobs.item_routes import ItemRoutes
 from rainsail.jobs.job_state import JobState
 from rainsail.jobs.open_item import OpenItem
-from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_of, name_of
+from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_hex, fingerprint_of
 from rainsail.quarantine.guard import RequestGuard
 
 ITEM_METHOD = b"POST"
@@ -20,7 +20,7 @@
 
     def fingerprint_name(self, item: OpenItem, service: str) -> str:
         """Return an item's fingerprint at a service as logs write it."""
-        return name_of(self._fingerprint(item, service))
+        return fingerprint_hex(self._fingerprint(item, service))
 
     def _fingerprint(self, item: OpenItem, service: str) -> Fingerprint:
         """Return the fingerprint that an item shares with its repetitions at a service."""
--- a/src/rainsail/quarantine/control.py
+++ b/src/rainsail/quarantine/control.py
@@ -17,7 +17,7 @@
 from rainsail.consensus.driver import GroupDriver
 from rainsail.errors import Fault, FaultCode
 from rainsail.logs import logger
-from rainsail.quarantine.fingerprint import Fingerprint, name_of
+from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_hex
 from rainsail.quarantine.messages import (
     OrderRelease,
     QuarantineNotice,
@@ -26,7 +26,7 @@
     RequestsWatched,
     RunnerEnded,
 )
-from rainsail.quarantine.suspects import REPORTS_SETTLE_S, SuspectBook
+from rainsail.quarantine.suspects import REPORTS_SETTLE_S, SuspectTracker
 from rainsail.runtime.clock import Clock
 from rainsail.state.cluster_commands import (
     NO_QUARANTINE,
@@ -70,7 +70,7 @@
         self._follower = follower
         self._calls = calls
         self._followers = followers
-        self._suspects = SuspectBook()
+        self._suspects = SuspectTracker()
         self._applied = NO_QUARANTINE
         self._held_since_s: dict[Fingerprint, float] = {}
         self._proposed: set[Fingerprint] = set()
@@ -151,10 +151,12 @@
         now = self._clock.seconds()
         held = {each.fingerprint: each for each in quarantine.requests if each.held}
         for fingerprint in sorted(held.keys() - self._held_since_s.keys()):
-            log = logger.bind(fingerprint=name_of(fingerprint), times=held[fingerprint].times)
+            log = logger.bind(
+                fingerprint=fingerprint_hex(fingerprint), times=held[fingerprint].times
+            )
             log.warning("quarantine_held")
         for fingerprint in sorted(self._held_since_s.keys() - held.keys()):
-            logger.bind(fingerprint=name_of(fingerprint)).info("quarantine_released")
+            logger.bind(fingerprint=fingerprint_hex(fingerprint)).info("quarantine_released")
         self._held_since_s = {name: self._held_since_s.get(name, now) for name in held}
 
     # --- operators -----------------------------------------------------------------------
@@ -185,7 +187,7 @@
         if known.is_error():
             return Error(known.error)
         if not is_awaited():
-            log = logger.bind(fingerprint=name_of(fingerprint))
+            log = logger.bind(fingerprint=fingerprint_hex(fingerprint))
             log.warning("quarantine_release_dropped")
             return Error(Fault(FaultCode.UNAVAILABLE, STEP, "the operator has left"))
         left_s = max(0.0, deadline_s - self._clock.seconds())
@@ -202,7 +204,7 @@
             return succeed(not_leading(self._group, STEP))
         times = self._times_held(message.fingerprint)
         if not times:
-            detail = f"request {name_of(message.fingerprint)} is not held"
+            detail = f"request {fingerprint_hex(message.fingerprint)} is not held"
             return succeed(Fault(FaultCode.NOT_FOUND, STEP, detail))
         self._suspects.answered(message.fingerprint, self._clock.seconds())
         proposed = self._group.propose(ReleaseRequest(message.fingerprint, times, forget=True))
--- a/src/rainsail/quarantine/fingerprint.py
+++ b/src/rainsail/quarantine/fingerprint.py
@@ -35,6 +35,6 @@
     return digest.digest()
 
 
-def name_of(fingerprint: Fingerprint) -> str:
+def fingerprint_hex(fingerprint: Fingerprint) -> str:
     """Return a fingerprint as logs and operators write it: in hexadecimal digits."""
     return fingerprint.hex()
--- a/src/rainsail/quarantine/suspects.py
+++ b/src/rainsail/quarantine/suspects.py
@@ -46,7 +46,7 @@
     explained: bool = False
 
 
-class SuspectBook:
+class SuspectTracker:
     """The ends of runners that are not explained, and the requests that were there."""
 
     def __init__(self) -> None:
--- a/src/rainsail/quarantine/book.py
+++ b/src/rainsail/quarantine/view.py
@@ -12,7 +12,7 @@
 body: 4 us, and 5 us more for each kB."""
 
 
-class QuarantineBook:
+class QuarantineView:
     """The newest report of the controllers, in whatever order it comes."""
 
     def __init__(self) -> None:
--- a/src/rainsail/relay/fleet_updates.py
+++ b/src/rainsail/relay/fleet_updates.py
@@ -101,7 +101,7 @@
 
     def _runner_started_again(self, record: RunnerRecord) -> None:
         """Forget what held of the incarnation before, which had its own state and connections."""
-        self._context.loads.runner_started_again(record.runner)
+        self._context.loads.runner_restarted(record.runner)
         self._context.prefixes.forget(record.runner)
         self._context.pool.forget(record.address)
 
@@ -135,7 +135,7 @@
             return
         self._ledger_leader = address
         self._placements.set_leader(address)
-        self._quotas.set_keeper(address)
+        self._quotas.set_allocator(address)
         self._reporter.set_leader(address)
         self._reporter.plan()
         self.on_ledger_leader(address)
--- a/src/rainsail/relay/recorder.py
+++ b/src/rainsail/relay/recorder.py
@@ -8,7 +8,7 @@
 
 from rainsail.http.exchange import HttpRequest
 from rainsail.logs import logger
-from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_of, name_of
+from rainsail.quarantine.fingerprint import Fingerprint, fingerprint_hex, fingerprint_of
 from rainsail.relay.attempt import Attempt
 from rainsail.relay.client_answer import ClientAnswer
 from rainsail.relay.context import RelayContext
@@ -111,7 +111,7 @@
         logger.bind(
             request=self._facts.request,
             runner=attempt.record.runner,
-            fingerprint=name_of(self.fingerprint),
+            fingerprint=fingerprint_hex(self.fingerprint),
             reason=reason,
             last_event=last_event,
         ).info("attempt_broke")
@@ -155,7 +155,7 @@
             answers=_summaries(sender.attempts),
             last_event=answer.last_event,
             reason="" if outcome == RequestOutcome.COMPLETED else self.reason,
-            fingerprint=name_of(self._fingerprints.get(self.split_service, b"")),
+            fingerprint=fingerprint_hex(self._fingerprints.get(self.split_service, b"")),
             first_ms=None if first_s is None else round(first_s * MILLISECONDS_PER_S),
             took_ms=round(self._elapsed_s() * MILLISECONDS_PER_S),
         ).info(f"request_{outcome.value}")
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -45,7 +45,7 @@
 from rainsail.relay.table import Route, RouteKind
 from rainsail.routing.messages import Placement
 from rainsail.runtime.clock import Timer
-from rainsail.tenancy.tenants import NOBODY, Identity
+from rainsail.tenancy.tenants import ANONYMOUS, Identity
 
 CLIENT_LEFT = "the client left"
 
@@ -63,7 +63,7 @@
         facts: RequestFacts,
         route: Route,
         ended: Callable[["RelayRun"], None],
-        identity: Identity = NOBODY,
+        identity: Identity = ANONYMOUS,
     ) -> None:
         """``ended`` is called once, when the client has got all that it will get."""
         request = exchange.request
--- a/src/rainsail/relay/table.py
+++ b/src/rainsail/relay/table.py
@@ -5,7 +5,7 @@
 
 from rainsail.cluster.warm_up import NO_TERMS, WarmUpTerms
 from rainsail.routing.residency import AllowedRegions, allowed_regions
-from rainsail.tenancy.tenants import NOBODY, PUBLIC, Identity, KeyDigest, TenantDirectory
+from rainsail.tenancy.tenants import ANONYMOUS, PUBLIC, Identity, KeyDigest, TenantDirectory
 
 
 class RouteKind(StrEnum):
@@ -127,7 +127,7 @@
     def identify(self, route: Route, key: KeyDigest | None) -> Identity | None:
         """Return on whose behalf a request on a route comes; None when its key is nobody's."""
         if self.tenants is None:
-            return NOBODY
+            return ANONYMOUS
         return PUBLIC if route.public else self.tenants.identify(key)
 
     def identify_job_call(self, host: str, key: KeyDigest | None) -> Identity | None:
@@ -136,7 +136,7 @@
         Without a key it can only be about a job of a public route.
         """
         if self.tenants is None:
-            return NOBODY
+            return ANONYMOUS
         if key is not None or not self._has_public_batch(host):
             return self.tenants.identify(key)
         return PUBLIC
--- a/src/rainsail/routing/load.py
+++ b/src/rainsail/routing/load.py
@@ -103,7 +103,7 @@
         if load is not None and load.in_flight == 0:
             del self._loads[runner]
 
-    def runner_started_again(self, runner: str) -> None:
+    def runner_restarted(self, runner: str) -> None:
         """Forget what was known of a runner that has started again, but for what is under way.
 
         Requests of the incarnation before have yet to end here; their ends are counted.
--- a/src/rainsail/routing/token_bucket.py
+++ b/src/rainsail/routing/token_bucket.py
@@ -17,7 +17,7 @@
         self._level = min(self.burst, self._level + elapsed_s * self.rate)
         self._updated_s = now_s
 
-    def set_share(self, rate: float, burst: float, now_s: float) -> None:
+    def set_rate(self, rate: float, burst: float, now_s: float) -> None:
         """Take a new rate and burst; the level does not rise by it."""
         self._advance(now_s)
         self.rate = rate
--- a/src/rainsail/tenancy/lender.py
+++ b/src/rainsail/tenancy/lender.py
@@ -11,7 +11,7 @@
 
 from rainsail.control.messages import QuotaReport, QuotaShare, QuotaShares, TenantDemand
 from rainsail.resources.specs import TenantSpec
-from rainsail.tenancy.lent_shares import Grant, TenantBook
+from rainsail.tenancy.lent_shares import Grant, TenantShares
 
 DEMAND_SMOOTHING = 0.5
 """Weight of the newest report in a gateway's smoothed demand (1.0: only the newest)."""
@@ -47,7 +47,7 @@
 
     def __init__(self, terms: ShareTerms) -> None:
         self._terms = terms
-        self._lent: dict[str, TenantBook] = {}
+        self._lent: dict[str, TenantShares] = {}
         self._lends_from_s = 0.0
 
     def begin(self, now_s: float) -> None:
@@ -73,7 +73,7 @@
     def _lend_one(
         self, report: QuotaReport, demand: TenantDemand, limit: TenantSpec, now_s: float
     ) -> QuotaShare:
-        book = self._lent.setdefault(demand.tenant, TenantBook())
+        book = self._lent.setdefault(demand.tenant, TenantShares())
         book.drop_expired(now_s)
         gateway = report.gateway
         wanted = _rate(demand, report.period_s)
--- a/src/rainsail/tenancy/lent_shares.py
+++ b/src/rainsail/tenancy/lent_shares.py
@@ -44,7 +44,7 @@
         self.grants.append(grant)
 
 
-class TenantBook:
+class TenantShares:
     """All gateways' shares of one tenant's rate."""
 
     def __init__(self) -> None:
--- a/src/rainsail/tenancy/local_share.py
+++ b/src/rainsail/tenancy/local_share.py
@@ -45,5 +45,5 @@
         if bucket is None:
             bucket = self._buckets[tenant] = TokenBucket(rate, burst, now)
         elif (bucket.rate, bucket.burst) != (rate, burst):
-            bucket.set_share(rate, burst, now)
+            bucket.set_rate(rate, burst, now)
         return bucket
--- a/src/rainsail/tenancy/keeper.py
+++ b/src/rainsail/tenancy/quota_allocator.py
@@ -45,7 +45,7 @@
         return min(1.0, own / whole) if whole > 0 else 0.0
 
 
-class QuotaKeeper:
+class QuotaAllocator:
     """Grants tenants' requests to gateways, first come, first served."""
 
     def __init__(self, terms: QuotaTerms) -> None:
@@ -81,5 +81,5 @@
             quota = self._quotas[tenant] = _TenantQuota(bucket, version)
         elif version > quota.table_version:
             quota.table_version = version
-            quota.bucket.set_share(limit.rate_per_s, capacity, now)
+            quota.bucket.set_rate(limit.rate_per_s, capacity, now)
         return quota
--- a/src/rainsail/tenancy/quota_client.py
+++ b/src/rainsail/tenancy/quota_client.py
@@ -57,7 +57,7 @@
         self._closed_until_s: dict[str, float] = {}
         self.table_version = 0
 
-    def set_keeper(self, address: str) -> None:
+    def set_allocator(self, address: str) -> None:
         """Ask this node from now on; empty when none is known."""
         self._keeper = address
         self._ask_after_s = float("-inf")
--- a/src/rainsail/tenancy/quota_service.py
+++ b/src/rainsail/tenancy/quota_service.py
@@ -4,8 +4,8 @@
 
 from rainsail.errors import Fault, FaultCode
 from rainsail.runtime.clock import Clock
-from rainsail.tenancy.keeper import QuotaKeeper
 from rainsail.tenancy.messages import QuotaAsk, QuotaGrants
+from rainsail.tenancy.quota_allocator import QuotaAllocator
 from rainsail.wire.messenger import Messenger
 
 
@@ -13,7 +13,7 @@
     """Serves a keeper over the messenger."""
 
     def __init__(
-        self, messenger: Messenger, clock: Clock, keeper: QuotaKeeper, leads: Callable[[], bool]
+        self, messenger: Messenger, clock: Clock, keeper: QuotaAllocator, leads: Callable[[], bool]
     ) -> None:
         """``leads`` tells whether this node leads under its lease: then no other keeper grants."""
         self._clock = clock
--- a/src/rainsail/tenancy/tenants.py
+++ b/src/rainsail/tenancy/tenants.py
@@ -65,7 +65,7 @@
     allowed_regions: frozenset[str] = frozenset()
 
 
-NOBODY = Identity()
+ANONYMOUS = Identity()
 """A request under a table without tenants."""
 PUBLIC = Identity(keyed=True)
 """A request on a public route under a table with tenants."""
