--- a/src/rainsail/batch/settings.py
+++ b/src/rainsail/batch/settings.py
@@ -2,9 +2,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-GUAYAQUIL_BATCH_WEIGHT = 0.8
+THROUGHPUT_BATCH_WEIGHT = 0.8
 """Preset of the site that weighs throughput first: its reports must all land overnight."""
-TAOYUAN_BATCH_WEIGHT = 0.2
+LATENCY_BATCH_WEIGHT = 0.2
 """Preset of the site that weighs the online tail first: a late answer leaves guests waiting."""
 
 
--- a/src/rainsail/demo/site.py
+++ b/src/rainsail/demo/site.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from rainsail.batch.settings import GUAYAQUIL_BATCH_WEIGHT
+from rainsail.batch.settings import THROUGHPUT_BATCH_WEIGHT
 from rainsail.control.operator_auth import key_hash
 from rainsail.resources.specs import Kind, RequestClass
 from rainsail.settings.model import ProcessSettings
@@ -105,7 +105,7 @@
             "data_folder": data_folder,
         },
         control={"operator_key_hashes": (key_hash(operator_key),)},
-        batch={"batch_weight": GUAYAQUIL_BATCH_WEIGHT},
+        batch={"batch_weight": THROUGHPUT_BATCH_WEIGHT},
         controllers={"max_concurrent_loads": REPORTS_RUNNERS + POSITIONS_RUNNERS},
         engine={"tokens_per_chunk": _TOKENS_PER_CHUNK},
         weight_store={"bytes_per_second": _WEIGHT_STORE_BYTES_PER_S},
@@ -195,7 +195,7 @@
         "active_version": version,
         "runners": runners,
         "default_class": default_class.value,
-        "batch_weight": GUAYAQUIL_BATCH_WEIGHT,
+        "batch_weight": THROUGHPUT_BATCH_WEIGHT,
     }
     return [
         DemoResource(Kind.MODEL_VERSION, version, weights),
--- a/src/rainsail/experiment/sites.py
+++ b/src/rainsail/experiment/sites.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from rainsail.batch.settings import GUAYAQUIL_BATCH_WEIGHT, TAOYUAN_BATCH_WEIGHT
+from rainsail.batch.settings import LATENCY_BATCH_WEIGHT, THROUGHPUT_BATCH_WEIGHT
 from rainsail.emulator.settings import EngineSettings
 
 CHUNK_TOKENS = 32
@@ -108,7 +108,7 @@
         items_per_job=90,
         item=RequestShape(template_tokens=256, own_tokens=192, answer_tokens=320),
     ),
-    batch_weight=GUAYAQUIL_BATCH_WEIGHT,
+    batch_weight=THROUGHPUT_BATCH_WEIGHT,
 )
 
 TAOYUAN = SitePreset(
@@ -142,7 +142,7 @@
         items_per_job=120,
         item=RequestShape(template_tokens=256, own_tokens=448, answer_tokens=360),
     ),
-    batch_weight=TAOYUAN_BATCH_WEIGHT,
+    batch_weight=LATENCY_BATCH_WEIGHT,
 )
 
 SITES: dict[str, SitePreset] = {site.name: site for site in (GUAYAQUIL, TAOYUAN)}
--- a/src/rainsail/simulation/site_plan.py
+++ b/src/rainsail/simulation/site_plan.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, replace
 
-from rainsail.batch.settings import GUAYAQUIL_BATCH_WEIGHT, TAOYUAN_BATCH_WEIGHT
+from rainsail.batch.settings import LATENCY_BATCH_WEIGHT, THROUGHPUT_BATCH_WEIGHT
 from rainsail.emulator.settings import EngineSettings
 from rainsail.resources.specs import RequestClass
 from rainsail.simulation.actors.callers import CallerMix
@@ -72,7 +72,7 @@
         ),
         jobs=JobMix("reports", 10.0, 3, 12, 800, 60, 0.15, 3600.0),
         tenants=("tenant-exporter", "tenant-broker", "tenant-agent"),
-        batch_weight=GUAYAQUIL_BATCH_WEIGHT,
+        batch_weight=THROUGHPUT_BATCH_WEIGHT,
     )
 
 
@@ -95,7 +95,7 @@
         ),
         jobs=JobMix("assistant", 10.0, 3, 12, 700, 50, 0.15, 3600.0),
         tenants=("tenant-north", "tenant-city", "tenant-dock"),
-        batch_weight=TAOYUAN_BATCH_WEIGHT,
+        batch_weight=LATENCY_BATCH_WEIGHT,
     )
 
 
