--- a/features/steps/item_decision_steps.py
+++ b/features/steps/item_decision_steps.py
@@ -6,7 +6,7 @@
     ItemOver,
     RunAgain,
     decide_after_run,
-    item_pause_s,
+    item_backoff_s,
     runner_pause_s,
 )
 from rainsail.jobs.item_run import RunEnd
@@ -45,7 +45,7 @@
 
 @then("an item waits {pause_s:g} s after {runs:d} runs in a row that brought no event")
 def item_waits(context, pause_s, runs):
-    assert item_pause_s(runs) == pause_s, item_pause_s(runs)
+    assert item_backoff_s(runs) == pause_s, item_backoff_s(runs)
 
 
 @given(
--- a/features/steps/job_urgency_steps.py
+++ b/features/steps/job_urgency_steps.py
@@ -56,14 +56,14 @@
 
 
 @when('item "{name}" has run for {ran_s:d} s and was put back')
-def put_back(context, name, ran_s):
+def requeue(context, name, ran_s):
     work = context.works[name]
     before = [each for key, each in context.works.items() if key[0] == name[0] and each is not work]
     context.waiting.drop(lambda job: job != work.job)
     context.waiting.add_job(work.job, before)
     work.ran_s = float(ran_s)
     work.progress.texts = ["text"] * (ran_s * EVENTS_PER_S)
-    context.waiting.put_back(work)
+    context.waiting.requeue(work)
 
 
 @when('job "{job}" ends')
@@ -75,7 +75,7 @@
 def order_is(context, now, names):
     waiting = context.waiting
     context.order.begin_plan()
-    context.order.plan(SERVICE, waiting.fresh(), waiting.put_back_items, float(now))
+    context.order.plan(SERVICE, waiting.fresh(), waiting.requeued_items, float(now))
     order = []
     for work in context.waiting.by_urgency(context.order):
         order.append(f"{work.job}{work.index}")
--- a/features/support/drawn_load.py
+++ b/features/support/drawn_load.py
@@ -84,11 +84,11 @@
     def plan(self, service, fresh, begun, now):
         """Give up each item that needs more time than there is."""
         for each in fresh:
-            if now + self.lengths.left_s(0) > self.due.due_s(each.job):
-                self._fresh_kept[each.job] = 0
+            if now + self.lengths.remaining_s(0) > self.due.due_s(each.job):
+                self._fresh_admitted[each.job] = 0
         for work in begun:
-            if now + self.lengths.left_s(work.events) > self.due.due_s(work.job):
-                self._given_up.add((work.job, work.index))
+            if now + self.lengths.remaining_s(work.events) > self.due.due_s(work.job):
+                self._infeasible.add((work.job, work.index))
 
 
 @dataclass
@@ -151,7 +151,7 @@
         order, waiting = self._order, self._waiting
         order.begin_plan()
         order.on_slots_seen(SERVICE, free, now)
-        begun = [*waiting.put_back_items, *self._running]
+        begun = [*waiting.requeued_items, *self._running]
         order.plan(SERVICE, waiting.fresh(), begun, now)
 
     def _plan_reserve(self, free, now):
@@ -165,7 +165,7 @@
         self._running.sort(key=self._order.urgency)
         for work in self._running[free:]:
             self._cuts += 1
-            self._waiting.put_back(work)
+            self._waiting.requeue(work)
         del self._running[free:]
 
     def _fill(self, free):
--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -20,9 +20,9 @@
 from rainsail.batch.item_returns import ItemReturns
 from rainsail.batch.item_runner import LeasedItemRun, LeasedRunEnd
 from rainsail.batch.item_runs import LeasedItemRuns
-from rainsail.batch.lease_keeper import LeaseKeeper
 from rainsail.batch.lease_pool import LeasePool
 from rainsail.batch.lease_pools import LeasePools
+from rainsail.batch.lease_renewer import LeaseRenewer
 from rainsail.batch.prefill_meter import OnlinePrefillMeter
 from rainsail.batch.result_committer import ResultCommitter
 from rainsail.batch.settings import BatchSettings
@@ -75,7 +75,7 @@
         self.counts = DispatchCounts()
         self.committer = ResultCommitter(holder, control, clock, random, settings)
         self.returns = ItemReturns(holder, control, clock, random, settings)
-        self._keeper = LeaseKeeper(
+        self._leases = LeaseRenewer(
             holder,
             control,
             clock,
@@ -85,7 +85,7 @@
             self._lease_lapsed,
             self._note_backlog,
         )
-        note_leased = self._keeper.note_leased
+        note_leased = self._leases.note_leased
         self._pools = LeasePools(
             lambda service: LeasePool(
                 service, holder, control, clock, random, settings, note_leased
@@ -128,7 +128,7 @@
         return len(self._runs)
 
     def _tick(self) -> None:
-        self._keeper.check()
+        self._leases.check()
         runners = self._runners()
         self._allowances = {name: self._allowances.get(name, 0) for name in runners}
         for runner in runners:
@@ -140,7 +140,7 @@
         self._schedule(self._settings.tick_s, self._tick)
 
     def _renew(self) -> None:
-        self._keeper.renew_all()
+        self._leases.renew_all()
         self._schedule(self._settings.lease_renewal_period_s, self._renew)
 
     def _schedule(self, delay_s: float, call: Callable[[], None]) -> None:
@@ -160,7 +160,7 @@
 
     def _runner_changed(self, runner: str) -> None:
         if self._running and runner != self._evaluating:
-            self._keeper.check()
+            self._leases.check()
             self._evaluate(runner)
 
     def _engine_changed(self, address: str) -> None:
@@ -215,7 +215,7 @@
         self._not_before_s[runner] = max(resume_s, self._not_before_s.get(runner, 0.0))
         for run in preemption.choose_victims(self._runs.of_runner(runner), count):
             self.counts.preempted += 1
-            self._pools.put_back(self._runs.stop(run))
+            self._pools.requeue(self._runs.stop(run))
 
     def _fill(self, runner: str, count: int) -> None:
         spec = self._spec(runner)
@@ -225,7 +225,7 @@
         taken = 0
         while taken < count and (held := pool.take(runner)) is not None:
             taken += 1
-            if self._keeper.valid(held.group):
+            if self._leases.valid(held.group):
                 self.counts.started += 1
                 self._runs.start(runner, spec, held, self._priority())
         if taken and pool.low():
@@ -262,13 +262,13 @@
             self.counts.not_run += 1
             delay_s = max(retry_after_s, self._settings.tick_s)
             self._not_before_s[run.runner] = self._clock.seconds() + delay_s
-            self._keep(held)
+            self._requeue_or_return(held)
         if self._running:
             self._evaluate(run.runner)
 
-    def _keep(self, held: HeldItem) -> None:
+    def _requeue_or_return(self, held: HeldItem) -> None:
         if self._running:
-            self._pools.put_back(held)
+            self._pools.requeue(held)
         else:
             self.returns.add(held)
 
--- a/src/rainsail/batch/item_runner.py
+++ b/src/rainsail/batch/item_runner.py
@@ -65,7 +65,7 @@
         self._clock = clock
         self._on_end = on_end
         self._texts: list[str] = []
-        self._ahead: dict[int, Chunk] = {}
+        self._out_of_order: dict[int, Chunk] = {}
         self._next_sequence = 0
         self._resumes = 0
         self._cancels = 0
@@ -113,16 +113,16 @@
         if chunk.attempt_id != self.attempt_id or self.ended:
             return
         if self.stopped:
-            self._cancel_again()
+            self._retry_cancel()
             return
         if chunk.sequence < self._next_sequence:
             return
-        self._ahead[chunk.sequence] = chunk
+        self._out_of_order[chunk.sequence] = chunk
         self._join_chunks()
 
     def _join_chunks(self) -> None:
-        while self._next_sequence in self._ahead:
-            chunk = self._ahead.pop(self._next_sequence)
+        while self._next_sequence in self._out_of_order:
+            chunk = self._out_of_order.pop(self._next_sequence)
             self._next_sequence += 1
             self._texts.append(chunk.text)
             self.tokens = chunk.offset + chunk.tokens
@@ -132,7 +132,7 @@
         """Take the attempt's end."""
         if end.attempt_id != self.attempt_id or self.ended:
             return
-        if self._asks_again(end):
+        if self._resume_if_incomplete(end):
             return
         self.ended = True
         if self.stopped:
@@ -140,7 +140,7 @@
         run_end, detail = self._judge(end)
         self._on_end(self, run_end, detail, end.retry_after_s)
 
-    def _asks_again(self, end: EngineAttemptEnd) -> bool:
+    def _resume_if_incomplete(self, end: EngineAttemptEnd) -> bool:
         """Resume the stream of a finished answer that lacks chunks; tell whether that was done."""
         finished = end.reason in (EndReason.STOP, EndReason.LENGTH)
         whole = self._next_sequence >= end.chunk_count
@@ -160,7 +160,7 @@
             return LeasedRunEnd.FAILED, f"link to {self.runner} lost: {end.detail}"
         return LeasedRunEnd.NOT_RUN, end.detail
 
-    def _cancel_again(self) -> None:
+    def _retry_cancel(self) -> None:
         since_s = self._clock.seconds() - self._cancel_sent_at_s
         if since_s >= CANCEL_RETRY_DELAY_S and self._cancels < CANCEL_ATTEMPTS:
             self._send_cancel()
--- a/src/rainsail/batch/lease_pool.py
+++ b/src/rainsail/batch/lease_pool.py
@@ -79,7 +79,7 @@
                 return held
         return self._items.popleft()
 
-    def put_back(self, held: HeldItem) -> None:
+    def requeue(self, held: HeldItem) -> None:
         """Put an item that did not finish first in line."""
         self._items.appendleft(held)
 
--- a/src/rainsail/batch/lease_pools.py
+++ b/src/rainsail/batch/lease_pools.py
@@ -25,9 +25,9 @@
         """Return every service that has a pool, and the pool."""
         return list(self._pools.items())
 
-    def put_back(self, held: HeldItem) -> None:
+    def requeue(self, held: HeldItem) -> None:
         """Put an item that did not finish first in its service's line."""
-        self.of_service(held.service).put_back(held)
+        self.of_service(held.service).requeue(held)
 
     def refs(self, group: GroupId) -> list[ItemRef]:
         """Return the items of a group that are held in pools."""
--- a/src/rainsail/batch/lease_keeper.py
+++ b/src/rainsail/batch/lease_renewer.py
@@ -26,7 +26,7 @@
     renewing: bool = False
 
 
-class LeaseKeeper:
+class LeaseRenewer:
     """Keeps the leases of every group alive while items are held.
 
     ``refs_of(group)`` names the items held; ``on_stop(group, refs)`` hears what must be
--- a/src/rainsail/batch/policies/preemptive.py
+++ b/src/rainsail/batch/policies/preemptive.py
@@ -20,7 +20,7 @@
 Trials, share of the bound / harm: 0.854 / 1.092 with 512, 0.871 / 1.079 with 1000
 (docs/design/batch.md).
 """
-HELD_BACK_ITEMS = 8
+MAX_ENGINE_QUEUED_ITEMS = 8
 """Most running items that an engine may hold back in its own queue while online work runs.
 
 Trials, share of the bound / harm: 0.964 / 1.208 without it, 0.984 / 1.197 with 8
@@ -45,12 +45,12 @@
         """Return the slots left by online work, fewer while long online prompts wait."""
         free = max(0, view.slots - view.online_running)
         if view.online_prefill_tokens > LONG_PROMPT_TOKENS:
-            kept = min(free, self.kept_beside_prompts(view))
+            kept = min(free, self.items_during_prefill(view))
             return BatchAllowance(min(kept, view.batch_running), "long online prompts wait")
-        held_back = min(free, HELD_BACK_ITEMS, max(0, view.batch_running - free))
-        return BatchAllowance(free + held_back, f"{view.online_running} online")
+        queued = min(free, MAX_ENGINE_QUEUED_ITEMS, max(0, view.batch_running - free))
+        return BatchAllowance(free + queued, f"{view.online_running} online")
 
-    def kept_beside_prompts(self, view: BatchRunnerView) -> int:
+    def items_during_prefill(self, view: BatchRunnerView) -> int:
         """Return how many items may lengthen the iterations that read the waiting prompts.
 
         A longer prompt needs more iterations and has more requests behind it: what is kept
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -97,7 +97,7 @@
             state=self.state,
             time=ledger_time,
             list_outcome=self._outcomes.add,
-            keep_progress=self._propose,
+            commit_progress=self._propose,
             may_start=self._may_start_items,
         )
         return Dispatcher(node, ledger)
--- a/src/rainsail/jobs/__init__.py
+++ b/src/rainsail/jobs/__init__.py
@@ -14,7 +14,7 @@
 * ``item_runs`` sends items, ends runs that bring nothing, and acts on the end of each run as
   ``after_run`` decides; ``item_run`` is one run, ``item_recorder`` logs, counts and lists;
 * ``item_starter`` starts waiting items by urgency (``slot_use.choose_runner``);
-* ``progress_keeper`` commits how far items have come, for the next leader.
+* ``progress_committer`` commits how far items have come, for the next leader.
 
 Who owns which state:
 
--- a/src/rainsail/jobs/after_run.py
+++ b/src/rainsail/jobs/after_run.py
@@ -5,7 +5,7 @@
 
 from rainsail.jobs.item_run import RunEnd
 
-FIRST_REST_S = 0.1
+RUNNER_BACKOFF_MIN_S = 0.1
 """A runner at which a run has failed takes no item for this long; it doubles with each further
 run in a row that fails there.
 
@@ -14,13 +14,13 @@
 Measured with the process soak, in which 4 runs in 100 break: a rest of 1.5 s after each left 100 to
 190 of some 550 jobs unfinished 40 s after the last fault.
 """
-LONGEST_REST_S = 1.5
+RUNNER_BACKOFF_MAX_S = 1.5
 """No rest is longer.
 
 Not measured; longer than the 1.2 s between two heartbeats of a runner, so that the next one tells
 whether it is still there.
 """
-AVOIDED_AFTER_FAILURE_S = 5.0
+RUNNER_AVOIDANCE_S = 5.0
 """An item that a runner answered with a failure goes to other ready runners only, for this long.
 
 Not measured; chosen longer than most items run, so that a slot elsewhere becomes free meanwhile,
@@ -31,12 +31,12 @@
 
 Not measured; chosen so that a full runner is asked four times a second, not at each plan.
 """
-FRUITLESS_RUNS_AT_ONCE = 3
+RUNS_BEFORE_ITEM_BACKOFF = 3
 """From this many runs in a row that brought no event an item waits before it runs again.
 
 Not measured by itself; chosen so that a runner or two that fail do not delay an item.
 """
-FIRST_FRUITLESS_PAUSE_S = 0.5
+ITEM_BACKOFF_MIN_S = 0.5
 """An item's first wait after such runs; it doubles with each further one.
 
 Measured with the two limits beside it: an item whose answer nobody can read runs 4 to 14 times in
@@ -47,7 +47,7 @@
 
 Items that run beside it begin meanwhile, and so confirm it.
 """
-LONGEST_FRUITLESS_PAUSE_S = 8.0
+ITEM_BACKOFF_MAX_S = 8.0
 """The wait grows no longer; not measured, chosen to be short against the time that jobs have."""
 
 
@@ -64,12 +64,12 @@
     """The item waits for another run."""
 
 
-def tells_of_failing_runner(end: RunEnd) -> bool:
+def indicates_runner_failure(end: RunEnd) -> bool:
     """Tell whether the end of a run speaks against its runner, though it may not be at fault."""
     return end in (RunEnd.BROKEN, RunEnd.UNREACHED, RunEnd.FAILED)
 
 
-def runner_rest_s(failed_runs: int) -> float:
+def runner_backoff_s(failed_runs: int) -> float:
     """Return how long a runner rests after so many runs in a row that failed there.
 
     What fails now and then costs next to nothing, while what fails always gets few items: each rest
@@ -77,7 +77,7 @@
     """
     if failed_runs < 1:
         return 0.0
-    return min(LONGEST_REST_S, FIRST_REST_S * 2 ** (failed_runs - 1))
+    return min(RUNNER_BACKOFF_MAX_S, RUNNER_BACKOFF_MIN_S * 2 ** (failed_runs - 1))
 
 
 def runner_pause_s(end: RunEnd, failed_runs: int) -> float:
@@ -88,12 +88,12 @@
     """
     match end:
         case RunEnd.BROKEN:
-            return runner_rest_s(failed_runs)
+            return runner_backoff_s(failed_runs)
         case RunEnd.UNREACHED:
-            return max(NOT_RUN_PAUSE_S, runner_rest_s(failed_runs))
+            return max(NOT_RUN_PAUSE_S, runner_backoff_s(failed_runs))
         case RunEnd.FAILED:
             # The first failure in a row may be the item's own.
-            return runner_rest_s(failed_runs - 1)
+            return runner_backoff_s(failed_runs - 1)
         case RunEnd.NOT_RUN:
             return NOT_RUN_PAUSE_S
         case RunEnd.WHOLE | RunEnd.UNCONFIRMED | RunEnd.CONFIRMED | RunEnd.IMPOSSIBLE:
@@ -119,13 +119,13 @@
             return RunAgain()
 
 
-def item_pause_s(fruitless_runs: int) -> float:
+def item_backoff_s(runs_without_event: int) -> float:
     """Return how long an item waits after so many runs in a row that broke without an event.
 
     Without it an item whose answer no run can read would take slots without end, and pause each
     runner in turn for all other items.
     """
-    doublings = fruitless_runs - FRUITLESS_RUNS_AT_ONCE
+    doublings = runs_without_event - RUNS_BEFORE_ITEM_BACKOFF
     if doublings < 0:
         return 0.0
-    return min(FIRST_FRUITLESS_PAUSE_S * 2**doublings, LONGEST_FRUITLESS_PAUSE_S)
+    return min(ITEM_BACKOFF_MIN_S * 2**doublings, ITEM_BACKOFF_MAX_S)
--- a/src/rainsail/jobs/client.py
+++ b/src/rainsail/jobs/client.py
@@ -17,12 +17,12 @@
 )
 from rainsail.state.job_commands import RelayedItem
 
-SUBMIT_WITHIN_S = 3.4
+SUBMIT_TIMEOUT_S = 3.4
 """Time within which a job is committed or ended, over all tries.
 
 Not measured; chosen so that the ledger may change its leader meanwhile.
 """
-READ_WITHIN_S = 2.0
+READ_TIMEOUT_S = 2.0
 """Time within which a read is answered, beside the wait that it asks for.
 
 Not measured; chosen shorter than a commit's, since a read goes out again without harm.
@@ -57,21 +57,21 @@
         The fault is OVER_LIMIT when the job does not fit the route's limit and was not taken.
         """
         message = SubmitRelayedJob(scoped_id(tenant, job), tenant, host, path, items, limit)
-        return self._calls.call(message, None, SUBMIT_WITHIN_S, repeatable=True)
+        return self._calls.call(message, None, SUBMIT_TIMEOUT_S, repeatable=True)
 
     def read(
         self, tenant: str, job: str, after: int, wait_s: float
     ) -> "Deferred[Result[Any, Fault]]":
         """Return a ``ResultPage``."""
         message = ReadResults(scoped_id(tenant, job), after, wait_s)
-        return self._calls.call(message, None, READ_WITHIN_S + wait_s, repeatable=True)
+        return self._calls.call(message, None, READ_TIMEOUT_S + wait_s, repeatable=True)
 
     def read_body(self, tenant: str, job: str, item: str) -> "Deferred[Result[Any, Fault]]":
         """Return an ``ItemBodyFound``."""
         message = ReadItemBody(scoped_id(tenant, job), item)
-        return self._calls.call(message, None, READ_WITHIN_S, repeatable=True)
+        return self._calls.call(message, None, READ_TIMEOUT_S, repeatable=True)
 
     def end(self, tenant: str, job: str) -> "Deferred[Result[Any, Fault]]":
         """End a job: what is listed stays, nothing more of it runs."""
         message = EndJobCall(scoped_id(tenant, job))
-        return self._calls.call(message, None, SUBMIT_WITHIN_S, repeatable=True)
+        return self._calls.call(message, None, SUBMIT_TIMEOUT_S, repeatable=True)
--- a/src/rainsail/jobs/context.py
+++ b/src/rainsail/jobs/context.py
@@ -24,7 +24,7 @@
 ListOutcome = Callable[[str, ItemOutcome], None]
 """Commits the outcome of an item of a job; called once an item."""
 
-KeepProgress = Callable[[NoteProgress], "Deferred[Any]"]
+CommitProgress = Callable[[NoteProgress], "Deferred[Any]"]
 """Commits the progress of items; fires with a fault when that is refused or unclear."""
 
 MayStart = Callable[[], bool]
@@ -58,7 +58,7 @@
     state: JobState
     time: LedgerTime
     list_outcome: ListOutcome
-    keep_progress: KeepProgress
+    commit_progress: CommitProgress
     may_start: MayStart
 
     def job_of(self, item: OpenItem) -> RelayedJob | None:
--- a/src/rainsail/jobs/dispatcher.py
+++ b/src/rainsail/jobs/dispatcher.py
@@ -15,7 +15,7 @@
 from rainsail.jobs.job_state import StateObserver
 from rainsail.jobs.open_jobs import OpenJobs
 from rainsail.jobs.preemptor import Preemptor
-from rainsail.jobs.progress_keeper import ProgressKeeper
+from rainsail.jobs.progress_committer import ProgressCommitter
 from rainsail.relay.table import RoutingTable
 from rainsail.routing.online_use import OnlineUseTracker
 
@@ -39,7 +39,7 @@
         self._preemptor = Preemptor(node, state, planner.order, recorder)
         self._runs = runs = ItemRuns(node, ledger, state, recorder)
         self._starter = ItemStarter(node, ledger, state, planner, runs, recorder)
-        self._progress = ProgressKeeper(node, ledger, state)
+        self._progress = ProgressCommitter(node, ledger, state)
         self._active = False
         node.metrics.gauge("items_waiting", lambda: float(len(state.waiting)))
         node.metrics.gauge("items_running", lambda: float(len(state.running)))
@@ -68,7 +68,7 @@
     def _run_periodically(self) -> None:
         if not self._active:
             return
-        self._jobs.take_up_new()
+        self._jobs.enqueue_new()
         self._jobs.drop_ended(self._node.clock.seconds())
         self._planner.plan_if_due()
         self._preemptor.preempt_everywhere()
--- a/src/rainsail/jobs/feasibility.py
+++ b/src/rainsail/jobs/feasibility.py
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """``count`` items that are due together and need ``left_s`` of one slot each."""
+    """``count`` items that are due together and need ``remaining_s`` of one slot each."""
 
     key: str
     due_s: float
-    left_s: float
+    remaining_s: float
     count: int = 1
 
 
 class _Admitted(NamedTuple):
     """An admitted demand; the first in this order is the first to be given up."""
 
-    negative_left_s: float
+    negative_remaining_s: float
     due_s: float
     key: str
 
@@ -44,11 +44,11 @@
     admission = _Admission()
     for demand in sorted(demands, key=lambda each: each.due_s):
         time_s = demand.due_s - now
-        if demand.left_s > time_s:
+        if demand.remaining_s > time_s:
             admission.counts[demand.key] = 0
             continue
         admission.admit(demand)
-        admission.give_up_beyond(slots * time_s)
+        admission.reject_beyond(slots * time_s)
     return admission.counts
 
 
@@ -63,17 +63,17 @@
     def admit(self, demand: Demand) -> None:
         """Admit all items of a demand."""
         self.counts[demand.key] = demand.count
-        self._needed_s += demand.left_s * demand.count
-        heapq.heappush(self._longest, _Admitted(-demand.left_s, demand.due_s, demand.key))
+        self._needed_s += demand.remaining_s * demand.count
+        heapq.heappush(self._longest, _Admitted(-demand.remaining_s, demand.due_s, demand.key))
 
-    def give_up_beyond(self, given_s: float) -> None:
+    def reject_beyond(self, given_s: float) -> None:
         """Give up the longest items until the others need no more than the given slot time."""
         while self._longest and self._needed_s > given_s + ROUNDING:
             longest = self._longest[0]
-            left_s = -longest.negative_left_s
-            surplus = ceil((self._needed_s - given_s) / left_s - ROUNDING)
-            given_up = max(1, min(self.counts[longest.key], surplus))
-            self.counts[longest.key] -= given_up
-            self._needed_s -= given_up * left_s
+            remaining_s = -longest.negative_remaining_s
+            surplus = ceil((self._needed_s - given_s) / remaining_s - ROUNDING)
+            rejected = max(1, min(self.counts[longest.key], surplus))
+            self.counts[longest.key] -= rejected
+            self._needed_s -= rejected * remaining_s
             if not self.counts[longest.key]:
                 heapq.heappop(self._longest)
--- a/src/rainsail/jobs/item_order.py
+++ b/src/rainsail/jobs/item_order.py
@@ -18,7 +18,7 @@
 from rainsail.jobs.slot_meter import SlotMeter
 from rainsail.mechanisms import DEFAULTS, Mechanisms
 
-COUNTED_ON_SHARE = 1.2
+ADMISSION_FACTOR = 1.2
 """Items are admitted for this share of the slots that they got lately on average.
 
 An item that is admitted too much is given up later, one that was given up too early is lost.
@@ -30,8 +30,8 @@
 class Urgency(NamedTuple):
     """Sorts items, most urgent first."""
 
-    given_up: bool
-    left_s: float
+    infeasible: bool
+    remaining_s: float
     """The time that the item still runs; 0 while everything fits, and once it is given up."""
     due_s: float
     is_fresh: bool
@@ -49,12 +49,12 @@
     """Decides now and then which items fit, and orders all items by that."""
 
     def __init__(self, mechanisms: Mechanisms = DEFAULTS) -> None:
-        self._gives_up = mechanisms.overload_order
+        self._overload_order = mechanisms.overload_order
         self.due = DueTimes()
         self.lengths = RunLengths()
         self._meters: dict[str, SlotMeter] = {}
-        self._fresh_kept: dict[str, int] = {}
-        self._given_up: set[tuple[str, int]] = set()
+        self._fresh_admitted: dict[str, int] = {}
+        self._infeasible: set[tuple[str, int]] = set()
         self._overloaded = False
         self._needed: dict[str, float] = {}
 
@@ -64,8 +64,8 @@
 
     def begin_plan(self) -> None:
         """Forget the last plan; one ``plan`` for each service follows."""
-        self._fresh_kept.clear()
-        self._given_up.clear()
+        self._fresh_admitted.clear()
+        self._infeasible.clear()
         self._overloaded = False
         self._needed.clear()
 
@@ -77,8 +77,8 @@
         demands = [self._demand(key, item.job, item.events) for key, item in items.items()]
         demands += [self._demand(each.job, each.job, 0, each.count) for each in fresh]
         timed = [demand for demand in demands if demand.due_s != float("inf")]
-        slots = COUNTED_ON_SHARE * self._average_slots(service)
-        counts = feasible_counts(timed, slots if self._gives_up else float("inf"), now)
+        slots = ADMISSION_FACTOR * self._average_slots(service)
+        counts = feasible_counts(timed, slots if self._overload_order else float("inf"), now)
         all_fit = all(counts[demand.key] == demand.count for demand in timed)
         self._overloaded |= not all_fit
         if all_fit and self.lengths.known:
@@ -86,9 +86,9 @@
         for key, count in counts.items():
             item = items.get(key)
             if item is None:
-                self._fresh_kept[key] = count
+                self._fresh_admitted[key] = count
             elif not count:
-                self._given_up.add((item.job, item.index))
+                self._infeasible.add((item.job, item.index))
 
     def _plan_slots(self, service: str, demands: list[Demand], now: float) -> None:
         needed = slots_needed(demands, now)
@@ -101,26 +101,26 @@
         return float("inf") if average is None else average
 
     def _demand(self, key: str, job: str, events: int, count: int = 1) -> Demand:
-        return Demand(key, self.due.due_s(job), self.lengths.left_s(events), count)
+        return Demand(key, self.due.due_s(job), self.lengths.remaining_s(events), count)
 
     def slots_needed(self, service: str) -> float | None:
         """Return the slots on which all items end well in time; None when there are none such."""
         return self._needed.get(service)
 
-    def fresh_kept(self, job: str) -> int | None:
+    def fresh_admitted(self, job: str) -> int | None:
         """Return how many of a job's fresh items fit, None when all may."""
-        return self._fresh_kept.get(job)
+        return self._fresh_admitted.get(job)
 
     def urgency(self, item: OpenItem) -> Urgency:
         """Return the urgency of an item that has begun or is running."""
-        given_up = (item.job, item.index) in self._given_up
-        return self._urgency(item.job, item.events, given_up)
+        infeasible = (item.job, item.index) in self._infeasible
+        return self._urgency(item.job, item.events, infeasible)
 
-    def fresh_urgency(self, job: str, given_up: bool) -> Urgency:
+    def fresh_urgency(self, job: str, infeasible: bool) -> Urgency:
         """Return the urgency of a job's items that have not begun."""
-        return self._urgency(job, 0, given_up)
+        return self._urgency(job, 0, infeasible)
 
-    def _urgency(self, job: str, events: int, given_up: bool) -> Urgency:
-        by_length = self._overloaded and not given_up
-        left_s = self.lengths.left_s(events) if by_length else 0.0
-        return Urgency(given_up, left_s, self.due.due_s(job), not events)
+    def _urgency(self, job: str, events: int, infeasible: bool) -> Urgency:
+        by_length = self._overloaded and not infeasible
+        remaining_s = self.lengths.remaining_s(events) if by_length else 0.0
+        return Urgency(infeasible, remaining_s, self.due.due_s(job), not events)
--- a/src/rainsail/jobs/item_planner.py
+++ b/src/rainsail/jobs/item_planner.py
@@ -81,7 +81,7 @@
         self._planned_s = now
         self.order.begin_plan()
         fresh = self._routes.by_service(self._waiting.fresh())
-        begun = self._routes.by_service(chain(self._waiting.put_back_items, self._running))
+        begun = self._routes.by_service(chain(self._waiting.requeued_items, self._running))
         for service in sorted({*self._routes.batch_services(), *fresh, *begun}):
             records = self._node.registry.ready(service)
             slots = sum(self._slots.slots_for_items(record, now) for record in records)
--- a/src/rainsail/jobs/item_run.py
+++ b/src/rainsail/jobs/item_run.py
@@ -38,7 +38,7 @@
 from rainsail.routing.facts import ServerLoad
 
 NO_EVENTS = "no stream of events"
-LIKE_RUNS_BELIEVED = 3
+MATCHING_RUNS_ACCEPTED = 3
 """So many runs of one item that begin alike show that it does begin so, whatever others begin with.
 
 Not measured; chosen so that an item whose answer has no event ends after few runs, while three
@@ -92,11 +92,11 @@
     """The id of the event of each text."""
     failures: int = 0
     impossible: int = 0
-    doubted: Counter[FirstEvent] = field(default_factory=Counter)
+    rejected_beginnings: Counter[FirstEvent] = field(default_factory=Counter)
     """How many runs were given up for their beginning, by their first event."""
     unconfirmed: UnconfirmedText | None = None
     """An earlier run's text that the item's next run from the start is compared with."""
-    is_inherited: bool = False
+    from_previous_leader: bool = False
     """What has come was received by an earlier leader."""
 
     def take(self, event: Event) -> None:
@@ -219,19 +219,19 @@
     def _begin_text(self, first: FirstEvent) -> bool:
         """Judge the first event of a run from the start; False: that has ended the run."""
         beginning = StreamBeginning(self._source, first)
-        is_believed = self._is_believed(beginning)
+        is_accepted = self._is_accepted(beginning)
         self._beginnings.observe(beginning)
-        if not is_believed:
+        if not is_accepted:
             self._end(RunEnd.BROKEN, LOST_BEGINNING)
             return False
         return self._compare_with_unconfirmed(first)
 
-    def _is_believed(self, beginning: StreamBeginning) -> bool:
+    def _is_accepted(self, beginning: StreamBeginning) -> bool:
         """Tell whether the item's text may begin so; count the run if it may not."""
         if not self._beginnings.is_lost(beginning):
             return True
-        self.progress.doubted[beginning.first] += 1
-        return self.progress.doubted[beginning.first] >= LIKE_RUNS_BELIEVED
+        self.progress.rejected_beginnings[beginning.first] += 1
+        return self.progress.rejected_beginnings[beginning.first] >= MATCHING_RUNS_ACCEPTED
 
     def _compare_with_unconfirmed(self, first: FirstEvent) -> bool:
         """Judge an earlier run's text by how this run begins; False: that has ended this run."""
@@ -274,7 +274,7 @@
         Runs of other items, or those of an earlier leader, may have told only meanwhile.
         """
         has_events = beginning.first is not None
-        if has_events and not self._is_believed(beginning):
+        if has_events and not self._is_accepted(beginning):
             self.progress.start_anew()
             self._end(RunEnd.BROKEN, LOST_BEGINNING)
         elif self._is_unconfirmed(beginning):
@@ -285,8 +285,8 @@
 
     def _is_unconfirmed(self, beginning: StreamBeginning) -> bool:
         """Tell whether neither other streams nor runs of this item tell that the text is whole."""
-        like_runs = self.progress.doubted[beginning.first] + 1
-        if like_runs >= LIKE_RUNS_BELIEVED:
+        matching_runs = self.progress.rejected_beginnings[beginning.first] + 1
+        if matching_runs >= MATCHING_RUNS_ACCEPTED:
             return False
         return self._beginnings.judge(beginning) == BeginningVerdict.UNKNOWN
 
--- a/src/rainsail/jobs/item_runs.py
+++ b/src/rainsail/jobs/item_runs.py
@@ -6,10 +6,10 @@
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.jobs.after_run import (
     CONFIRMATION_PAUSE_S,
-    LONGEST_REST_S,
+    RUNNER_BACKOFF_MAX_S,
     ItemOver,
     decide_after_run,
-    item_pause_s,
+    item_backoff_s,
     runner_pause_s,
 )
 from rainsail.jobs.context import DispatchNode, Ledger
@@ -57,7 +57,7 @@
             RunnerTarget(record.runner, record.address),
         )
         source = self._source_of(item, job, record)
-        self._learn_from_inherited(item, source)
+        self._learn_from_previous_leader(item, source)
         item.begin_run(record.runner, now)
         self._slots.on_item_started(record, now)
         self._running.add(item)
@@ -69,12 +69,12 @@
         route = self._routes.of_item(job, item.index)
         return StreamSource(record.service, "" if route is None else route.name)
 
-    def _learn_from_inherited(self, item: OpenItem, source: StreamSource) -> None:
+    def _learn_from_previous_leader(self, item: OpenItem, source: StreamSource) -> None:
         """Learn how streams begin from what an earlier leader has received of an item."""
         progress = item.progress
-        if progress.is_inherited and progress.first_event is not None:
+        if progress.from_previous_leader and progress.first_event is not None:
             self._beginnings.observe(StreamBeginning(source, progress.first_event))
-        progress.is_inherited = False
+        progress.from_previous_leader = False
 
     def _new_run(self, item: OpenItem, item_name: str, source: StreamSource) -> ItemRun:
         runner = item.runner
@@ -102,14 +102,14 @@
             if item.idle_s(now) > IDLE_TIMEOUT_S and item.run is not None:
                 self._on_run_ended(item, RunEnd.BROKEN, "silent")
                 # Each further item would wait there for as long before it is known.
-                self._slots.pause(item.runner, now + LONGEST_REST_S)
+                self._slots.pause(item.runner, now + RUNNER_BACKOFF_MAX_S)
 
     def list_confirmed(self) -> None:
         """List the waiting items whose texts the beginnings of other streams have confirmed.
 
         A text that turns out to lack its beginning is dropped; its item runs again.
         """
-        for item in list(self._waiting.put_back_items):
+        for item in list(self._waiting.requeued_items):
             unconfirmed = item.progress.unconfirmed
             if unconfirmed is None:
                 continue
@@ -138,9 +138,9 @@
             self._recorder.run_ended_early(item, end, reason, fingerprint_name)
         failed_runs = self._slots.count_run_end(item.runner, end)
         self._slots.pause(item.runner, now + runner_pause_s(end, failed_runs))
-        self._list_or_put_back(item, end, now)
+        self._list_or_requeue(item, end, now)
 
-    def _list_or_put_back(self, item: OpenItem, end: RunEnd, now: float) -> None:
+    def _list_or_requeue(self, item: OpenItem, end: RunEnd, now: float) -> None:
         """Have an item listed that is over; let any other wait for its next run."""
         if end == RunEnd.FAILED:
             item.progress.failures += 1
@@ -152,7 +152,7 @@
             return
         item.ready_at_s = now
         if end == RunEnd.BROKEN:
-            item.ready_at_s += item_pause_s(item.count_fruitless_runs())
+            item.ready_at_s += item_backoff_s(item.count_runs_without_event())
         elif end == RunEnd.UNCONFIRMED:
             item.ready_at_s += CONFIRMATION_PAUSE_S
-        self._waiting.put_back(item)
+        self._waiting.requeue(item)
--- a/src/rainsail/jobs/item_starter.py
+++ b/src/rainsail/jobs/item_starter.py
@@ -78,7 +78,7 @@
 
     def _keep_waiting(self, item: OpenItem, now: float) -> None:
         """Let an item wait that the quarantine holds, and give it up once its route allows that."""
-        self._waiting.set_aside(item)
+        self._waiting.skip(item)
         job = self._ledger.job_of(item)
         kept_s = 0.0 if job is None else self._routes.kept_s(job)
         if job is None or not kept_s:
--- a/src/rainsail/jobs/open_item.py
+++ b/src/rainsail/jobs/open_item.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from rainsail.http.pool import Call
-from rainsail.jobs.after_run import AVOIDED_AFTER_FAILURE_S
+from rainsail.jobs.after_run import RUNNER_AVOIDANCE_S
 from rainsail.jobs.item_run import ItemProgress, ItemRun
 from rainsail.jobs.job_state import NO_EVENT, RelayedJob
 from rainsail.quarantine.fingerprint import Fingerprint
@@ -33,10 +33,10 @@
     """The events there were when the run was last looked at."""
     last_event_s: float = 0.0
     """When a new event was last seen, or the run began."""
-    events_kept: int = 0
+    events_committed: int = 0
     """How many events the ledger keeps, or has been asked to keep and has not refused."""
     events_at_start: int = 0
-    fruitless_runs: int = 0
+    runs_without_event: int = 0
     """How many runs in a row broke without a new event."""
     failed_at_s: dict[str, float] = field(default_factory=dict)
     """When each runner last answered the item with a failure."""
@@ -66,7 +66,7 @@
     def avoids(self, runner: str, now: float) -> bool:
         """Tell whether the item goes to another ready runner if there is one."""
         failed_s = self.failed_at_s.get(runner)
-        return failed_s is not None and now - failed_s < AVOIDED_AFTER_FAILURE_S
+        return failed_s is not None and now - failed_s < RUNNER_AVOIDANCE_S
 
     def idle_s(self, now: float) -> float:
         """Return how long the run has brought no event; to be asked regularly."""
@@ -75,11 +75,11 @@
             self.last_event_s = now
         return now - self.last_event_s
 
-    def count_fruitless_runs(self) -> int:
+    def count_runs_without_event(self) -> int:
         """Count a run that broke; return how many in a row have broken without a new event."""
         brought_events = self.events > self.events_at_start
-        self.fruitless_runs = 0 if brought_events else self.fruitless_runs + 1
-        return self.fruitless_runs
+        self.runs_without_event = 0 if brought_events else self.runs_without_event + 1
+        return self.runs_without_event
 
     def forget_dropped_events(self) -> None:
         """Count only events that are still there: a run may have been dropped from its start.
@@ -87,7 +87,7 @@
         The ledger may keep a note of the dropped events. It takes no other note of the item then,
         and a new leader that goes on from there judges the beginning again at the end.
         """
-        self.events_kept = min(self.events_kept, self.events)
+        self.events_committed = min(self.events_committed, self.events)
 
     def close_run(self, now: float) -> None:
         """Close the run's connection; nothing of this run is taken any more."""
@@ -108,17 +108,17 @@
         item.progress.last_event = note.last_event
         item.progress.texts = list(note.texts)
         item.progress.numbers = [note.last_event] * len(note.texts)
-        item.progress.is_inherited = True
-        item.events_kept = len(note.texts)
+        item.progress.from_previous_leader = True
+        item.events_committed = len(note.texts)
     return item
 
 
 def take_new_progress(item: OpenItem) -> ItemNote | None:
     """Return what has come since the last call and count it as kept; None when nothing has."""
     progress = item.progress
-    texts = tuple(progress.texts[item.events_kept :])
+    texts = tuple(progress.texts[item.events_committed :])
     if not texts or progress.last_event is None:
         return None
-    after = progress.numbers[item.events_kept - 1] if item.events_kept else NO_EVENT
-    item.events_kept = len(progress.texts)
+    after = progress.numbers[item.events_committed - 1] if item.events_committed else NO_EVENT
+    item.events_committed = len(progress.texts)
     return ItemNote(item.job, item.index, after, progress.last_event, texts)
--- a/src/rainsail/jobs/open_jobs.py
+++ b/src/rainsail/jobs/open_jobs.py
@@ -14,18 +14,18 @@
         self._running = state.running
         self._waiting = state.waiting
         self._planner = planner
-        self._taken_up: set[str] = set()
+        self._enqueued: set[str] = set()
 
     def clear(self) -> None:
         """Forget which jobs were taken up, so that all are taken up anew."""
-        self._taken_up.clear()
+        self._enqueued.clear()
 
-    def take_up_new(self) -> None:
+    def enqueue_new(self) -> None:
         """Let the unlisted items of each job wait that was not taken up before."""
         for job in self._ledger.state.jobs.values():
-            if job.job in self._taken_up:
+            if job.job in self._enqueued:
                 continue
-            self._taken_up.add(job.job)
+            self._enqueued.add(job.job)
             if job.ended:
                 continue
             self._planner.update_due_time(job)
@@ -39,5 +39,5 @@
 
     def forget_dropped(self) -> None:
         """Forget jobs that the ledger does not keep any more."""
-        self._taken_up.intersection_update(self._ledger.state.jobs)
+        self._enqueued.intersection_update(self._ledger.state.jobs)
         self._planner.order.due.keep_only(self._ledger.state.jobs)
--- a/src/rainsail/jobs/other_callers.py
+++ b/src/rainsail/jobs/other_callers.py
@@ -9,7 +9,7 @@
 
 from rainsail.routing.facts import ServerLoad
 
-FADES_WITHIN_S = 4.0
+REPORT_DECAY_S = 4.0
 """Time after which a report no longer counts.
 
 Not measured by itself; chosen so that an item that was running at the report has probably ended.
@@ -46,5 +46,5 @@
         report = self._reports.get(runner)
         if report is None:
             return 0
-        remaining_share = max(0.0, 1.0 - (now - report.reported_s) / FADES_WITHIN_S)
+        remaining_share = max(0.0, 1.0 - (now - report.reported_s) / REPORT_DECAY_S)
         return round(report.requests * remaining_share)
--- a/src/rainsail/jobs/outcome_batcher.py
+++ b/src/rainsail/jobs/outcome_batcher.py
@@ -7,7 +7,7 @@
 from rainsail.runtime.clock import Clock
 from rainsail.state.job_commands import ItemOutcome, ListOutcomes
 
-GATHER_S = 0.02
+BATCHING_DELAY_S = 0.02
 """Outcomes that come within this time share a command.
 
 Not measured; chosen to be short against the run of an item.
@@ -41,7 +41,7 @@
     def add(self, job: str, outcome: ItemOutcome) -> None:
         """Commit an outcome soon."""
         self._gathered.setdefault(job, []).append(outcome)
-        self._plan(GATHER_S)
+        self._plan(BATCHING_DELAY_S)
 
     def _plan(self, delay_s: float) -> None:
         if not self._planned:
--- a/src/rainsail/jobs/placement_service.py
+++ b/src/rainsail/jobs/placement_service.py
@@ -31,7 +31,7 @@
 Not measured by itself (with the whole of placement, worth 0.672 before and 0.806 after on one day);
 chosen so that gateways ask before the slots run out.
 """
-COUNTED_EVERY_S = 0.04
+LOAD_COUNT_PERIOD_S = 0.04
 """A service's load is counted once in this time for reports, however many gateways report.
 
 Not measured; chosen as two periods of the gateways' reports (20 ms).
@@ -173,7 +173,7 @@
     def _count(self, service: str) -> _CountedLoad:
         now = self._clock.seconds()
         load = self._loads.get(service)
-        if load is None or now - load.counted_s >= COUNTED_EVERY_S:
+        if load is None or now - load.counted_s >= LOAD_COUNT_PERIOD_S:
             self._fleet.online.expire(now)
             online, slots = self._placer.load(self._fleet.registry.ready(service))
             load = self._loads[service] = _CountedLoad(now, online, slots)
--- a/src/rainsail/jobs/preemptor.py
+++ b/src/rainsail/jobs/preemptor.py
@@ -52,5 +52,5 @@
         if settings.mechanisms.yield_pause:
             self._slots.pause(item.runner, now + settings.preemption_pause_s)
         item.ready_at_s = now
-        self._waiting.put_back(item)
+        self._waiting.requeue(item)
         self._recorder.item_preempted(item)
--- a/src/rainsail/jobs/progress_keeper.py
+++ b/src/rainsail/jobs/progress_committer.py
@@ -7,11 +7,11 @@
 from rainsail.jobs.open_item import OpenItem, take_new_progress
 from rainsail.state.job_commands import ItemNote, NoteProgress
 
-EventsKept = list[tuple[OpenItem, int]]
+CommittedCounts = list[tuple[OpenItem, int]]
 """Items, each with the number of its events that the ledger kept before a command went out."""
 
 
-class ProgressKeeper:
+class ProgressCommitter:
     """Commits the progress of all running items every ``progress_period_s``."""
 
     def __init__(self, node: DispatchNode, ledger: Ledger, state: DispatchState) -> None:
@@ -24,43 +24,43 @@
     def start(self) -> None:
         """Commit the progress now and periodically from now on."""
         self._active = True
-        self._keep_periodically()
+        self._commit_periodically()
 
     def stop(self) -> None:
         """Commit no more."""
         self._active = False
 
-    def _keep_periodically(self) -> None:
+    def _commit_periodically(self) -> None:
         if not self._active:
             return
-        self._keep_progress()
-        self._node.clock.callLater(self._node.settings.progress_period_s, self._keep_periodically)
+        self._commit_progress()
+        self._node.clock.callLater(self._node.settings.progress_period_s, self._commit_periodically)
 
-    def _keep_progress(self) -> None:
+    def _commit_progress(self) -> None:
         """Commit what has come since the last time.
 
         While items only wait, the ledger's time alone is committed: the next leader has to know
         how old they are.
         """
         notes: list[ItemNote] = []
-        kept_before: EventsKept = []
+        committed_before: CommittedCounts = []
         if self._node.settings.mechanisms.progress_notes:
             for item in self._running:
-                kept_before.append((item, item.events_kept))
+                committed_before.append((item, item.events_committed))
                 note = take_new_progress(item)
                 if note is not None:
                     notes.append(note)
         if notes or len(self._waiting):
             ledger_s = self._ledger.time.at(self._node.clock.seconds())
-            kept = self._ledger.keep_progress(NoteProgress(tuple(notes), ledger_s))
-            kept.addCallback(self._on_answer, kept_before)
+            kept = self._ledger.commit_progress(NoteProgress(tuple(notes), ledger_s))
+            kept.addCallback(self._on_answer, committed_before)
 
-    def _on_answer(self, result: Any, kept_before: EventsKept) -> None:
+    def _on_answer(self, result: Any, committed_before: CommittedCounts) -> None:
         """Commit what was refused again with the next command: the ledger takes no gaps.
 
         An unclear answer is treated alike. It comes only when this node no longer leads, and then
         these runs are over.
         """
         if result.is_error():
-            for item, events_kept in kept_before:
-                item.events_kept = min(item.events_kept, events_kept)
+            for item, events_committed in committed_before:
+                item.events_committed = min(item.events_committed, events_committed)
--- a/src/rainsail/jobs/reserve.py
+++ b/src/rainsail/jobs/reserve.py
@@ -16,7 +16,7 @@
 
 from rainsail.jobs.feasibility import Demand
 
-PEAK_KEPT_S = 10.0
+PEAK_WINDOW_S = 10.0
 """A peak of online work counts for this long.
 
 Not measured by itself; chosen to cover the pause between two bursts of some seconds.
@@ -28,7 +28,7 @@
 Measured on four seeds of one site's days, mean worth: 0.807 without a reserve, 0.796 with a share
 of 0.5, 0.799 with 0.35, 0.822 with 0.2; on drawn loads 0.2 costs no items and 0.5 up to 4 %.
 """
-UNTIMED_DUE_S = 60.0
+PLANNING_HORIZON_S = 60.0
 """Items without a due time are planned as if they were due so much later.
 
 Not measured; chosen so that they go on while online work is calm.
@@ -41,13 +41,13 @@
     Infinite when some item has no time left.
     """
     most = 0.0
-    left_s = 0.0
+    remaining_s = 0.0
     for demand in sorted(demands, key=lambda each: each.due_s):
-        time_s = PLANNED_TIME_SHARE * min(demand.due_s - now, UNTIMED_DUE_S)
+        time_s = PLANNED_TIME_SHARE * min(demand.due_s - now, PLANNING_HORIZON_S)
         if time_s <= 0:
             return float("inf")
-        left_s += demand.left_s * demand.count
-        most = max(most, left_s / time_s)
+        remaining_s += demand.remaining_s * demand.count
+        most = max(most, remaining_s / time_s)
     return most
 
 
@@ -58,7 +58,7 @@
 
 
 class RecentPeak:
-    """The highest of the values seen within ``PEAK_KEPT_S``."""
+    """The highest of the values seen within ``PEAK_WINDOW_S``."""
 
     def __init__(self) -> None:
         self._falling: deque[_Sample] = deque()
@@ -69,7 +69,7 @@
         while self._falling and self._falling[-1].value <= value:
             self._falling.pop()
         self._falling.append(_Sample(now, value))
-        while self._falling[0].seen_s < now - PEAK_KEPT_S:
+        while self._falling[0].seen_s < now - PEAK_WINDOW_S:
             self._falling.popleft()
 
     def value(self) -> int:
--- a/src/rainsail/jobs/run_lengths.py
+++ b/src/rainsail/jobs/run_lengths.py
@@ -13,19 +13,19 @@
 
 from rainsail.state.job_commands import ItemNote
 
-KEPT_LENGTHS = 128
+MAX_LENGTHS = 128
 """Lengths of ended items that are remembered.
 
 Not measured; chosen so that a change of the workload counts after a few jobs.
 """
-KEPT_PACES = 65
+MAX_EVENT_TIMES = 65
 """Paces that are remembered; odd, so that their median is one of them. Not measured."""
-LEAST_LEFT_SHARE = 0.1
+MIN_REMAINING_SHARE = 0.1
 """Share of the mean length that is left at least, however far an item has come.
 
 Not measured; chosen so that an item of unheard length is never taken to be done at once.
 """
-LONGEST_ROUND_S = 0.75
+MAX_ROUND_INTERVAL_S = 0.75
 """Two notes of an item that are further apart do not come from one run.
 
 Not measured; chosen between one and two of the dispatcher's periods for progress (0.5 s).
@@ -40,7 +40,7 @@
         self._sorted: list[int] = []
         self._sums_from: list[int] = [0]
         """The sum of the sorted lengths from each place on, computed once for many estimates."""
-        self._paces: deque[float] = deque(maxlen=KEPT_PACES)
+        self._event_times_s: deque[float] = deque(maxlen=MAX_EVENT_TIMES)
         self._event_s = 0.0
         self._noted_s: dict[tuple[str, int], float] = {}
         """When each item of the last round of notes was noted, by job and index."""
@@ -49,7 +49,7 @@
         """Take the length of an item that ended whole."""
         self._by_age.append(events)
         insort(self._sorted, events)
-        if len(self._by_age) > KEPT_LENGTHS:
+        if len(self._by_age) > MAX_LENGTHS:
             oldest = self._by_age.popleft()
             del self._sorted[bisect_right(self._sorted, oldest) - 1]
         from_the_end = list(accumulate(reversed(self._sorted), initial=0))
@@ -62,26 +62,26 @@
             key = (note.job, note.index)
             before_s = self._noted_s.get(key)
             noted_s[key] = ledger_s
-            if before_s is not None and 0.0 < ledger_s - before_s <= LONGEST_ROUND_S:
-                self._paces.append((ledger_s - before_s) / max(1, len(note.texts)))
+            if before_s is not None and 0.0 < ledger_s - before_s <= MAX_ROUND_INTERVAL_S:
+                self._event_times_s.append((ledger_s - before_s) / max(1, len(note.texts)))
         self._noted_s = noted_s
-        if self._paces:
-            self._event_s = median(self._paces)
+        if self._event_times_s:
+            self._event_s = median(self._event_times_s)
 
     @property
     def known(self) -> bool:
         """Tell whether lengths and the pace of events have been seen."""
         return bool(self._sorted) and self._event_s > 0.0
 
-    def left_s(self, events: int) -> float:
+    def remaining_s(self, events: int) -> float:
         """Return how long an item that has made ``events`` probably still runs; 0 if not known."""
-        return self._left_events(events) * self._event_s
+        return self._remaining_events(events) * self._event_s
 
-    def _left_events(self, events: int) -> float:
+    def _remaining_events(self, events: int) -> float:
         if not self._sorted:
             return 0.0
         count = len(self._sorted)
-        least = LEAST_LEFT_SHARE * self._sums_from[0] / count
+        least = MIN_REMAINING_SHARE * self._sums_from[0] / count
         place = bisect_right(self._sorted, events)
         if place == count:
             return least
--- a/src/rainsail/jobs/runner_slots.py
+++ b/src/rainsail/jobs/runner_slots.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rainsail.cluster.messages import RunnerRecord
-from rainsail.jobs.after_run import tells_of_failing_runner
+from rainsail.jobs.after_run import indicates_runner_failure
 from rainsail.jobs.item_run import RunEnd
 from rainsail.jobs.other_callers import OtherCallersLoad
 from rainsail.jobs.running_items import RunningItems
@@ -88,7 +88,7 @@
 
     def count_run_end(self, runner: str, end: RunEnd) -> int:
         """Count the end of a run; return how many in a row have failed at the runner."""
-        if tells_of_failing_runner(end):
+        if indicates_runner_failure(end):
             self._failed_runs[runner] = self._failed_runs.get(runner, 0) + 1
         elif end != RunEnd.NOT_RUN:
             self._failed_runs.pop(runner, None)
--- a/src/rainsail/jobs/slot_meter.py
+++ b/src/rainsail/jobs/slot_meter.py
@@ -1,6 +1,6 @@
 """How many slots items get on average, over busy and idle times of online work."""
 
-AVERAGED_OVER_S = 8.0
+AVERAGE_TIME_CONSTANT_S = 8.0
 """Time constant of the average: several bursts of online work, and well under the time of a job.
 
 Measured on sixty drawn loads, items in time: 64,444 with 8 s, 64,581 with 4 s, 64,383 with 16 s.
@@ -22,7 +22,7 @@
             return
         passed_s = now - self._seen_s
         self._seen_s = now
-        kept_share = max(0.0, 1.0 - passed_s / AVERAGED_OVER_S)
+        kept_share = max(0.0, 1.0 - passed_s / AVERAGE_TIME_CONSTANT_S)
         self._slot_time_s = self._slot_time_s * kept_share + slots * passed_s
         self._time_s = self._time_s * kept_share + passed_s
 
--- a/src/rainsail/jobs/waiting_items.py
+++ b/src/rainsail/jobs/waiting_items.py
@@ -26,45 +26,45 @@
 
     def __init__(self) -> None:
         self._fresh: dict[str, deque[OpenItem]] = {}
-        self._put_back: list[OpenItem] = []
+        self._requeued: list[OpenItem] = []
 
     def __len__(self) -> int:
-        return sum(map(len, self._fresh.values())) + len(self._put_back)
+        return sum(map(len, self._fresh.values())) + len(self._requeued)
 
     def clear(self) -> None:
         """Forget every item."""
         self._fresh.clear()
-        self._put_back.clear()
+        self._requeued.clear()
 
     def add_job(self, job: str, items: Iterable[OpenItem]) -> None:
         """Add a job's items; those that have begun already are not part of its queue."""
         fresh: deque[OpenItem] = deque()
         for item in items:
             if item.begun:
-                self._put_back.append(item)
+                self._requeued.append(item)
             else:
                 fresh.append(item)
         if fresh:
             self._fresh[job] = fresh
 
-    def put_back(self, item: OpenItem) -> None:
+    def requeue(self, item: OpenItem) -> None:
         """Add an item whose run ended early."""
-        self._put_back.append(item)
+        self._requeued.append(item)
 
     def drop(self, is_open: Callable[[str], bool]) -> None:
         """Drop the items of jobs that are not open any more."""
         for job in [job for job in self._fresh if not is_open(job)]:
             del self._fresh[job]
-        self._put_back = [item for item in self._put_back if is_open(item.job)]
+        self._requeued = [item for item in self._requeued if is_open(item.job)]
 
     def fresh(self) -> list[FreshItems]:
         """Return how many fresh items each job has."""
         return [FreshItems(job, len(queue)) for job, queue in self._fresh.items()]
 
     @property
-    def put_back_items(self) -> list[OpenItem]:
+    def requeued_items(self) -> list[OpenItem]:
         """The items whose runs ended early."""
-        return self._put_back
+        return self._requeued
 
     def by_urgency(self, order: ItemOrder) -> Iterator[OpenItem]:
         """Yield the items, most urgent first; the fresh items of one job go together.
@@ -72,18 +72,18 @@
         The caller may ``take`` the item that was yielded last before it asks for the next. Once it
         leaves a job's first fresh item untaken, that job's other fresh items are passed over.
         """
-        groups = [_Group(order.urgency(item), (item,)) for item in self._put_back]
+        groups = [_Group(order.urgency(item), (item,)) for item in self._requeued]
         for job, queue in self._fresh.items():
             groups += _fresh_groups(job, queue, order)
         groups.sort(key=lambda group: group.urgency)
         return chain.from_iterable(group.items for group in groups)
 
-    def set_aside(self, item: OpenItem) -> None:
+    def skip(self, item: OpenItem) -> None:
         """Let the fresh items behind one be looked at while the item itself goes on waiting."""
         queue = self._fresh.get(item.job)
         if queue and queue[0] is item:
             self.take(item)
-            self.put_back(item)
+            self.requeue(item)
 
     def take(self, item: OpenItem) -> None:
         """Take an item out."""
@@ -93,16 +93,16 @@
             if not queue:
                 del self._fresh[item.job]
         else:
-            self._put_back.remove(item)
+            self._requeued.remove(item)
 
 
 def _fresh_groups(job: str, queue: deque[OpenItem], order: ItemOrder) -> Iterator[_Group]:
     """Yield a job's fresh items: those that can be in time, and all that are then left."""
-    kept = order.fresh_kept(job)
+    kept = order.fresh_admitted(job)
     if kept is None or kept > 0:
-        yield _Group(order.fresh_urgency(job, given_up=False), _from_the_front(queue, kept))
+        yield _Group(order.fresh_urgency(job, infeasible=False), _from_the_front(queue, kept))
     if kept is not None and kept < len(queue):
-        yield _Group(order.fresh_urgency(job, given_up=True), _from_the_front(queue))
+        yield _Group(order.fresh_urgency(job, infeasible=True), _from_the_front(queue))
 
 
 def _from_the_front(queue: deque[OpenItem], most: int | None = None) -> Iterator[OpenItem]:
