--- a/features/support/gateway.py
+++ b/features/support/gateway.py
@@ -18,7 +18,7 @@
 from rainsail.gateway.core import GatewayCore
 from rainsail.gateway.fleet import RunnerFleet
 from rainsail.gateway.interface import Answer, CallerRequest, RequestHandle
-from rainsail.gateway.runner_keeper import RunnerKeeper
+from rainsail.gateway.runner_reconciler import RunnerReconciler
 from rainsail.gateway.settings import GatewaySettings
 from rainsail.resources.specs import (
     GatewaySpec,
@@ -149,7 +149,7 @@
     engine: SimulatedEngineClient
     fleet: RunnerFleet
     core: GatewayCore
-    keeper: RunnerKeeper
+    reconciler: RunnerReconciler
 
 
 class GatewayFleet:
@@ -212,11 +212,11 @@
         fleet = RunnerFleet(name, zone, config, engine, clock, random, settings)
         control = self.control
         core = GatewayCore(name, "1", zone, config, control, engine, fleet, clock, random, settings)
-        keeper = RunnerKeeper(fleet, config, control, engine, clock, random, settings)
+        reconciler = RunnerReconciler(fleet, config, control, engine, clock, random, settings)
         fleet.start()
         core.start()
-        keeper.start()
-        return GatewayProcess(name, clock, config, engine, fleet, core, keeper)
+        reconciler.start()
+        return GatewayProcess(name, clock, config, engine, fleet, core, reconciler)
 
     # --- driving --------------------------------------------------------------------------------
 
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -17,7 +17,7 @@
 from rainsail.control.settings import ControlSettings
 from rainsail.gateway.core import GatewayCore
 from rainsail.gateway.fleet import RunnerFleet
-from rainsail.gateway.runner_keeper import RunnerKeeper
+from rainsail.gateway.runner_reconciler import RunnerReconciler
 from rainsail.gateway.settings import GatewaySettings
 from rainsail.resources.specs import GatewaySpec
 from rainsail.wire.messenger import Messenger
@@ -79,7 +79,7 @@
             node.random,
             config.gateway,
         )
-        self.keeper = RunnerKeeper(
+        self.keeper = RunnerReconciler(
             self.fleet,
             self.view,
             self.client,
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -216,7 +216,7 @@
             core = RecordingGateway(core, self._recorder)
             intake = RecordingIntake(intake, self._recorder)
         api = CallerApi(core, self.node.view, intake, settings.caller_api, time.time)
-        api.explain_with(self.name, self.node.core, settings.control.operator_key_hashes)
+        api.add_explain_routes(self.name, self.node.core, settings.control.operator_key_hashes)
         return api
 
     @inlineCallbacks
--- a/src/rainsail/gateway/http_api.py
+++ b/src/rainsail/gateway/http_api.py
@@ -51,7 +51,7 @@
         self.app.handle_errors(HTTPException)(_no_route)
         self.app.handle_errors(Exception)(_failed)
 
-    def explain_with(
+    def add_explain_routes(
         self, gateway: str, decisions: DecisionReader, operator_key_hashes: tuple[str, ...]
     ) -> None:
         """Serve explanations of routing decisions as well."""
--- a/src/rainsail/gateway/runner_keeper.py
+++ b/src/rainsail/gateway/runner_reconciler.py
@@ -78,7 +78,7 @@
     sent_s: float
 
 
-class RunnerKeeper:
+class RunnerReconciler:
     """Looks at each owned runner now and then, and when it changes."""
 
     def __init__(
