--- a/features/steps/relayed_soak_steps.py
+++ b/features/steps/relayed_soak_steps.py
@@ -163,7 +163,7 @@
         ),
     ),
     "the last word at an address ends the runner before it": (
-        (RunnerRegistry, "_give_address", _end_former),
+        (RunnerRegistry, "_assign_address", _end_former),
     ),
     "a leader answers reads without its lease": ((TableService, "_read_as_leader", _read_at_once),),
 }
