--- a/features/steps/http_connection_steps.py
+++ b/features/steps/http_connection_steps.py
@@ -268,15 +268,15 @@
 
 @step("the server drains and waits until it is quiet")
 def wait_quiet(context):
-    context.http_quiet = []
+    context.http_drained = []
     context.http_server.drain()
     context.http_server.close_idle()
-    context.http_server.when_drained(lambda: context.http_quiet.append(True))
+    context.http_server.when_drained(lambda: context.http_drained.append(True))
 
 
 @then("the server is not quiet yet")
 def not_quiet(context):
-    assert context.http_quiet == []
+    assert context.http_drained == []
 
 
 @step("the connection has flushed")
@@ -286,4 +286,4 @@
 
 @then("the server is quiet")
 def is_quiet(context):
-    assert context.http_quiet == [True]
+    assert context.http_drained == [True]
--- a/features/steps/http_planned_stop_steps.py
+++ b/features/steps/http_planned_stop_steps.py
@@ -14,7 +14,7 @@
 
 from rainsail.assembly.served_connections import IDLE_READ_S, ServedConnections, has_begun_request
 from rainsail.fleet.listening import listen
-from rainsail.http.graceful_shutdown import RESTING_LOOK_PERIOD_S, GracefulShutdown
+from rainsail.http.graceful_shutdown import IDLE_CLOSE_PERIOD_S, GracefulShutdown
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.runtime.sockets import HANDSHAKE_S
 
@@ -91,7 +91,7 @@
         self._clock.advance(HANDSHAKE_S)
 
     def pass_time(self):
-        self._clock.advance(RESTING_LOOK_PERIOD_S)
+        self._clock.advance(IDLE_CLOSE_PERIOD_S)
 
     def end(self):
         return self._port.stopListening()
--- a/features/support/number_watch.py
+++ b/features/support/monotonic_checks.py
@@ -13,24 +13,24 @@
 
 
 @dataclass(frozen=True)
-class ItemRunBegun:
+class ItemRunStart:
     """A run of an item as its runner was asked for it: it goes on behind event ``after``."""
 
     item: str
     after: int
 
 
-class RunBook:
+class RunLog:
     """All runs of items. Each run has words of its own, so that a text shows whose they are."""
 
     def __init__(self, events: int) -> None:
         """Every item has so many events, numbered from 1."""
         self.events = events
-        self._runs: list[ItemRunBegun] = []
+        self._runs: list[ItemRunStart] = []
 
     def begin(self, item: str, after: int) -> int:
         """Note a run; return its number."""
-        self._runs.append(ItemRunBegun(item, after))
+        self._runs.append(ItemRunStart(item, after))
         return len(self._runs) - 1
 
     @staticmethod
@@ -41,17 +41,17 @@
     def faults_of(self, item: str, text: str) -> list[str]:
         """Return what is wrong with the text of a done item."""
         pieces = [PIECE.fullmatch(line) for line in text.split("\n")]
-        spoken = [(int(piece[1]), int(piece[2])) for piece in pieces if piece]
-        numbers = [number for number, _ in spoken]
+        numbered = [(int(piece[1]), int(piece[2])) for piece in pieces if piece]
+        numbers = [number for number, _ in numbered]
         if numbers != list(range(1, self.events + 1)):
             return [f"{item}: the text has the events {numbers}"]
         faults: list[str] = []
-        former = -1
-        for number, run in spoken:
-            wanted = ItemRunBegun(item, number - 1)
-            if run != former and self._runs[run] != wanted:
-                faults.append(f"{item}: event {number} is of {self._runs[run]}, not of {wanted}")
-            former = run
+        previous_run = -1
+        for number, run in numbered:
+            expected = ItemRunStart(item, number - 1)
+            if run != previous_run and self._runs[run] != expected:
+                faults.append(f"{item}: event {number} is of {self._runs[run]}, not of {expected}")
+            previous_run = run
         return faults
 
     def joined(self, text: str) -> bool:
@@ -59,10 +59,10 @@
         return len({piece[2] for piece in PIECE.finditer(text)}) > 1
 
 
-class ResultsWatch:
+class ResultsMonitor:
     """The results of one job as all its reads have shown them, wherever these were sent."""
 
-    def __init__(self, job: str, items: int, runs: RunBook) -> None:
+    def __init__(self, job: str, items: int, runs: RunLog) -> None:
         self.job = job
         self._items = items
         self._runs = runs
@@ -104,7 +104,7 @@
 
 
 @dataclass
-class TableWatch:
+class TableMonitor:
     """The versions of the routing table that were acknowledged, read and told to nodes."""
 
     newest: int = 0
@@ -125,7 +125,7 @@
             faults.append(f"a read gave table {version} after {least} was taken or read")
         return faults
 
-    def told(self, node: Any, version: int, content: bytes) -> list[str]:
+    def table_sent(self, node: Any, version: int, content: bytes) -> list[str]:
         """Take a table that a node was told of."""
         return self._content_changed(version, content) + self.at_node(node, version)
 
--- a/features/support/relay_soak/content.py
+++ b/features/support/relay_soak/content.py
@@ -5,14 +5,14 @@
 
 import random
 
-MOST_EVENTS = 12
+MAX_EVENTS = 12
 EVENT_TEXT_BYTES = (1, 300)
 BODY_BYTES = (0, 500, 6000, 40000)
 
 
 def last_event(request: str) -> int:
     """Return the number of the last event of a request's stream; the first one is 1."""
-    return random.Random(request).randint(1, MOST_EVENTS)
+    return random.Random(request).randint(1, MAX_EVENTS)
 
 
 def event(request: str, number: int) -> bytes:
--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -51,7 +51,7 @@
 def _append_failures(original: Any) -> Any:
     """Take the end of any answer for the end of the client's answer."""
 
-    def answer_came(self: RelayRun, attempt: Attempt) -> None:
+    def answer_received(self: RelayRun, attempt: Attempt) -> None:
         if not self._answer.begun:
             original(self, attempt)
             return
@@ -60,7 +60,7 @@
         self._answer.end()
         self._finish(RequestOutcome.COMPLETED)
 
-    return answer_came
+    return answer_received
 
 
 def _end_half_events(original: Any) -> Any:
@@ -80,7 +80,7 @@
     return answer_ended
 
 
-def _let_holes_through(original: Any) -> Any:
+def _allow_gaps(original: Any) -> Any:
     """Take any event for the next one."""
     return lambda event, last_event: False
 
@@ -95,15 +95,13 @@
         "a runner's failure in it",
         (
             Patch(ClientAnswer, "may_include", _take_any_answer),
-            Patch(RelayRun, "answer_came", _append_failures),
+            Patch(RelayRun, "answer_received", _append_failures),
         ),
     ),
     "ends half an event as complete": Defect(
         "half an event", (Patch(Attempt, "answer_ended", _end_half_events),)
     ),
-    "lets a hole through": Defect(
-        "a hole", (Patch(client_answer, "leaves_gap", _let_holes_through),)
-    ),
+    "lets a hole through": Defect("a hole", (Patch(client_answer, "leaves_gap", _allow_gaps),)),
     "tells 503 after a run": Defect(
         "told 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
     ),
--- a/features/support/relay_soak/soak.py
+++ b/features/support/relay_soak/soak.py
@@ -30,7 +30,7 @@
 SERVICE = "model"
 RUNNERS = 6
 CONNECTIONS = 150
-MOST_REQUESTS = 3
+MAX_REQUESTS = 3
 """Of one connection, one after the other."""
 SECONDS = 20.0
 TIMEOUT_S = 4.0
@@ -69,7 +69,7 @@
         """Send everything, wait until every request has had its time, and judge."""
         for _ in range(CONNECTIONS):
             self._clock.callLater(self._draw.uniform(0, SECONDS), self._open_client)
-        self._run_until(SECONDS + (MOST_REQUESTS + 1) * TIMEOUT_S)
+        self._run_until(SECONDS + (MAX_REQUESTS + 1) * TIMEOUT_S)
         judge = Judge(self.history)
         self.violations += judge.violations()
         self._count(judge)
@@ -118,7 +118,7 @@
     # --- clients -------------------------------------------------------------------------
 
     def _open_client(self) -> None:
-        requests = [self._new_request() for _ in range(self._draw.randint(1, MOST_REQUESTS))]
+        requests = [self._new_request() for _ in range(self._draw.randint(1, MAX_REQUESTS))]
         leaves = self._draw.random() < LEAVE_SHARE
 
         def begun(request: ClientRequest) -> None:
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from features.support.number_watch import ResultsWatch, RunBook, TableWatch
+from features.support.monotonic_checks import ResultsMonitor, RunLog, TableMonitor
 from features.support.relayed_fleet import ZONES, RelayedFleet
 from features.support.relaying import SERVICE
 
@@ -18,21 +18,21 @@
 
 EVENTS = 8
 STEP_S = 0.1
-CATCH_UP_S = 5.0
+RECOVERY_S = 5.0
 DRAIN_S = 2.0
 ZONE_DRAIN_S = 5.0
 """From the acknowledgement of a zone's drain its runners get nothing after this time."""
 ZONE_DRAINED_FOR_S = (4.0, 9.0)
-ORDER_WAIT_S = 1.0
+ORDER_TIMEOUT_S = 1.0
 """An operator without an answer closes its connection and goes elsewhere after this time."""
-LATE_WORD_S = (0.2, 3.0)
+LATE_HEARTBEAT_S = (0.2, 3.0)
 CANCEL_S = 3.0
-QUIET_S = 40.0
+SETTLE_LIMIT_S = 40.0
 BREAK_CHANCE = 0.01
 REPEAT_CHANCE = 0.5
 RESEND_CHANCE = 0.3
 OTHER_CONTENT_CHANCE = 0.3
-BORNE_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
+TOLERATED_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
 """What may happen to machines with a disk."""
 KEPT_DISK_KINDS = ("crash", "freeze", "isolate", "cut_from_group", "group", "hand_over")
 """What may happen to them at any pace: every disk stays."""
@@ -43,13 +43,13 @@
 class SoakPlan:
     """What a soak is made of.
 
-    ``calm_s`` is how long nothing happens after a fault: time to catch up where disks are lost.
+    ``recovery_s`` is how long nothing happens after a fault: time to catch up where disks are lost.
     """
 
     seconds: float = 60
     events: int = EVENTS
-    calm_s: float = CATCH_UP_S
-    kinds: tuple[str, ...] = BORNE_KINDS
+    recovery_s: float = RECOVERY_S
+    kinds: tuple[str, ...] = TOLERATED_KINDS
 
 
 @dataclass
@@ -58,7 +58,7 @@
 
     job: str
     count: int
-    results: ResultsWatch
+    results: ResultsMonitor
     accepted_s: float | None = None
     ended_s: float | None = None
     end_asked: bool = False
@@ -89,8 +89,8 @@
 
     def __init__(self, seed: int, plan: SoakPlan) -> None:
         self.plan = plan
-        self.runs = RunBook(plan.events)
-        self.tables = TableWatch()
+        self.runs = RunLog(plan.events)
+        self.tables = TableMonitor()
         self.random = random.Random(seed)
         self.fleet = RelayedFleet(seed)
         self.fleet.leader("controller")
@@ -107,11 +107,11 @@
         self.violations: list[str] = []
         self.faults: list[str] = []
         self._down: list[tuple[float, str, str]] = []
-        self._calm_at_s = self.now + 2.0
+        self._next_fault_s = self.now + 2.0
         self._next_runner = 0
-        self._caught_up_at_s = 0.0
+        self._recovered_at_s = 0.0
         """Until then the machine that was lost last counts as lost."""
-        self._unread: list[tuple[str, Callable[[], None]]] = []
+        self._unread_orders: list[tuple[str, Callable[[], None]]] = []
         """Orders on zones that wait at frozen controllers."""
         self._armed: tuple[str, str] | None = None
         for name in self.fleet.names("gateway"):
@@ -129,7 +129,7 @@
         while self.now < self.until_s:
             self._step(faults=True)
         self._heal()
-        end_s = self.now + QUIET_S
+        end_s = self.now + SETTLE_LIMIT_S
         while self.now < end_s and not self._is_settled():
             self._step(faults=False)
             self._read_from_the_start()
@@ -138,10 +138,10 @@
     def _step(self, faults: bool) -> None:
         self.fleet.run_for(STEP_S)
         if not faults:
-            self._press_zone_orders()
+            self._retry_zone_orders()
         self._play_runners()
         self._watch_nodes()
-        self._beat_runners()
+        self._send_heartbeats()
         if faults:
             self._play_operator()
             self._play_clients()
@@ -179,21 +179,21 @@
         ]
         return self.random.choice(names) if names else ""
 
-    def _beat_runners(self) -> None:
+    def _send_heartbeats(self) -> None:
         for name, record in list(self.runners.items()):
             if self.random.random() < STEP_S:
-                self._say(name, record.state)
+                self._send_heartbeat(name, record.state)
 
-    def _say(self, name: str, state: RunnerState) -> None:
+    def _send_heartbeat(self, name: str, state: RunnerState) -> None:
         controller = self._controller()
         if controller is None:
             return
         known = self.runners[name]
         record = replace(known, state=state, sequence=known.sequence + 1)
         self.runners[name] = record
-        controller.reports.take(record).addCallback(self._word_taken, name, state)
+        controller.reports.take(record).addCallback(self._heartbeat_accepted, name, state)
 
-    def _word_taken(self, result: Any, name: str, state: RunnerState) -> None:
+    def _heartbeat_accepted(self, result: Any, name: str, state: RunnerState) -> None:
         if result.is_ok() and state == RunnerState.DRAINING:
             self.drained_s.setdefault(name, self.now)
 
@@ -238,13 +238,13 @@
             name = self.random.choice([n for n in self.runners if n not in self.drained_s] or [""])
             if name:
                 self._add_runner()
-                self._say(name, RunnerState.DRAINING)
+                self._send_heartbeat(name, RunnerState.DRAINING)
 
         if self.random.random() < STEP_S / 6:
             self._begin_zone_drain()
         if self.random.random() < STEP_S / 6:
             self._replace_runner()
-        self._press_zone_orders()
+        self._retry_zone_orders()
 
     def _begin_zone_drain(self) -> None:
         """Drain a zone, unless one is drained already."""
@@ -252,7 +252,7 @@
             ends_at_s = self.now + self.random.uniform(*ZONE_DRAINED_FOR_S)
             self.zone_orders.append(ZoneOrder(self.random.choice(sorted(ZONES)), ends_at_s))
 
-    def _press_zone_orders(self) -> None:
+    def _retry_zone_orders(self) -> None:
         """Send the order that is due until it is acknowledged, to any controller."""
         controller = self._controller_name()
         if not self.zone_orders or not controller or self.random.random() > 2 * STEP_S:
@@ -267,9 +267,9 @@
     def _send_zone_order(self, name: str, order: ZoneOrder, draining: bool) -> None:
         """Send an order; a controller that stands still reads it when it wakes.
 
-        The operator has left by then, if that takes longer than ``ORDER_WAIT_S``.
+        The operator has left by then, if that takes longer than ``ORDER_TIMEOUT_S``.
         """
-        until_s = self.now + ORDER_WAIT_S
+        until_s = self.now + ORDER_TIMEOUT_S
 
         def read() -> None:
             controller = self.fleet.nodes[name].role.controller
@@ -277,7 +277,7 @@
             done.addCallback(self._zone_order_taken, order, draining)
 
         if any(down[1:] == (name, "freeze") for down in self._down):
-            self._unread.append((name, read))
+            self._unread_orders.append((name, read))
         else:
             read()
 
@@ -286,7 +286,7 @@
             return
         if draining:
             order.acknowledged_s = order.acknowledged_s or self.now
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
         else:
             order.ended = True
 
@@ -301,11 +301,11 @@
         newest = replace(crashed, runner=f"r-{self._next_runner}", sequence=0)
         self.runners[newest.runner] = newest
         self.zones[newest.runner] = newest.zone
-        self._say(newest.runner, RunnerState.READY)
-        late_s = self.random.uniform(*LATE_WORD_S)
-        self.fleet.clock.callLater(late_s, self._say_late, between)
+        self._send_heartbeat(newest.runner, RunnerState.READY)
+        late_s = self.random.uniform(*LATE_HEARTBEAT_S)
+        self.fleet.clock.callLater(late_s, self._send_late_heartbeat, between)
 
-    def _say_late(self, record: RunnerRecord) -> None:
+    def _send_late_heartbeat(self, record: RunnerRecord) -> None:
         controller = self._controller()
         if controller is not None:
             controller.reports.take(record)
@@ -331,7 +331,7 @@
     def _table_taken(self, result: Any, version: int) -> None:
         if result.is_ok():
             self.tables.acknowledged(version)
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
 
     def _read_table(self) -> None:
         controller = self._controller()
@@ -346,7 +346,7 @@
     def _play_clients(self) -> None:
         if self.random.random() < STEP_S / 2:
             name, count = f"job-{len(self.jobs) + 1}", self.random.randint(1, 4)
-            job = SoakJob(name, count, ResultsWatch(name, count, self.runs))
+            job = SoakJob(name, count, ResultsMonitor(name, count, self.runs))
             self.jobs[name] = job
             self._submit(job)
         for job in self.jobs.values():
@@ -366,7 +366,7 @@
     def _submitted(self, result: Any, job: SoakJob) -> None:
         if result.is_ok() and job.accepted_s is None:
             job.accepted_s = self.now
-            self._strike_if_armed("storage")
+            self._inject_if_armed("storage")
 
     def _end(self, job: SoakJob) -> None:
         job.end_asked = True
@@ -417,10 +417,10 @@
         """Watch what a gateway's process is told of tables, from its start on."""
         node = self.fleet.nodes[name]
 
-        def told(document: TableDocument) -> None:
-            self.violations += self.tables.told(node, document.version, document.content)
+        def table_received(document: TableDocument) -> None:
+            self.violations += self.tables.table_sent(node, document.version, document.content)
 
-        node.base.follower.on_table = told
+        node.base.follower.on_table = table_received
 
     def _watch_nodes(self) -> None:
         """Watch the versions and the orders on zones that every node has."""
@@ -438,29 +438,29 @@
         for due_s, name, kind in list(self._down):
             if self.now >= due_s:
                 self._down.remove((due_s, name, kind))
-                self._bring_back(name, kind)
-        if self._down or self.now < max(self._calm_at_s, self._caught_up_at_s):
+                self._recover(name, kind)
+        if self._down or self.now < max(self._next_fault_s, self._recovered_at_s):
             return
-        self._calm_at_s = self.now + self.plan.calm_s + self.random.uniform(0, 2)
+        self._next_fault_s = self.now + self.plan.recovery_s + self.random.uniform(0, 2)
         group = self.random.choice(["controller", "storage", "storage", "controller", "gateway"])
         kind = self.random.choice(GATEWAY_KINDS if group == "gateway" else self.plan.kinds)
         if self.random.random() < 0.4:
             self._armed = (group, kind)
             return
-        self._strike(group, kind)
+        self._inject(group, kind)
 
-    def _strike_if_armed(self, group: str) -> None:
+    def _inject_if_armed(self, group: str) -> None:
         """Strike the moment that a client has its acknowledgement."""
         armed = self._armed
         if armed is None or armed[0] != group or self._down or self.now >= self.until_s:
             return
-        if self.now < self._caught_up_at_s:
+        if self.now < self._recovered_at_s:
             return
         self._armed = None
-        self._calm_at_s = self.now + self.plan.calm_s + self.random.uniform(0, 2)
-        self.fleet.clock.callLater(0, self._strike, *armed)
+        self._next_fault_s = self.now + self.plan.recovery_s + self.random.uniform(0, 2)
+        self.fleet.clock.callLater(0, self._inject, *armed)
 
-    def _strike(self, group: str, kind: str) -> None:
+    def _inject(self, group: str, kind: str) -> None:
         names = self.fleet.names(group)
         name = self._victim(group, names)
         for_s = self.random.uniform(0.3, 4.0)
@@ -498,8 +498,8 @@
         if kind in ("crash", "wipe") and name in self.fleet.pools:
             self.fleet.pools[name].calls.clear()
 
-    def _bring_back(self, name: str, kind: str) -> None:
-        self._caught_up_at_s = self.now + self.plan.calm_s
+    def _recover(self, name: str, kind: str) -> None:
+        self._recovered_at_s = self.now + self.plan.recovery_s
         match kind:
             case "crash" | "wipe":
                 self.fleet.start(name)
@@ -513,27 +513,27 @@
 
     def _read_orders_at(self, name: str) -> None:
         """Have a controller that wakes read the orders that have come meanwhile."""
-        waiting = [read for at, read in self._unread if at == name]
-        self._unread = [each for each in self._unread if each[0] != name]
+        waiting = [read for at, read in self._unread_orders if at == name]
+        self._unread_orders = [each for each in self._unread_orders if each[0] != name]
         for read in waiting:
             read()
 
     def _heal(self) -> None:
         for _, name, kind in self._down:
-            self._bring_back(name, kind)
+            self._recover(name, kind)
         self._down = []
 
     # --- judging -------------------------------------------------------------------------
 
     def _is_settled(self) -> bool:
-        if self._behind():
+        if self._outdated_gateways():
             return False
-        if not all(order.ended for order in self.zone_orders) or self._shunned():
+        if not all(order.ended for order in self.zone_orders) or self._unused_runners():
             return False
         owed = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
         return all(job.results.is_whole() for job in owed)
 
-    def _behind(self) -> dict[str, int]:
+    def _outdated_gateways(self) -> dict[str, int]:
         """Return the gateways whose table is older than the newest one, with its version."""
         versions = {
             name: self.fleet.nodes[name].base.follower.table_version
@@ -543,7 +543,7 @@
         return {name: version for name, version in versions.items() if version < newest}
 
     def _judge(self) -> None:
-        for name, version in self._behind().items():
+        for name, version in self._outdated_gateways().items():
             wanted = self.tables.newest
             self.violations.append(f"{name} has table {version}, {wanted} was acknowledged")
         for job in self.jobs.values():
@@ -556,10 +556,10 @@
 
     def _judge_runners(self) -> None:
         """Once all is calm a runner that lives and goes on speaking gets work everywhere."""
-        for name, runner in self._shunned():
+        for name, runner in self._unused_runners():
             self.violations.append(f"{name} sends nothing to {runner}, which lives")
 
-    def _shunned(self) -> list[tuple[str, str]]:
+    def _unused_runners(self) -> list[tuple[str, str]]:
         """Return gateways with the living runners that they send nothing to."""
         drained = {order.zone for order in self.zone_orders if not order.ended}
         living = [
--- a/features/support/relayed_soak_plans.py
+++ b/features/support/relayed_soak_plans.py
@@ -12,7 +12,7 @@
 from rainsail.state.job_commands import NoteProgress
 
 LONG_ITEM_EVENTS = 40
-CALM_OF_LONG_ITEMS_S = 0.5
+LONG_ITEMS_RECOVERY_S = 0.5
 LOST_NOTES = 0.2
 REFUSED_AFTER_S = 0.7
 """A refusal is heard of when the next note has gone out: that one begins behind a hole."""
@@ -27,7 +27,7 @@
 
 def long_items(seconds: float = 60, events: int = LONG_ITEM_EVENTS) -> SoakPlan:
     """Items run longer than most leaders lead, so that notes are lost, late and taken up."""
-    return SoakPlan(seconds, events, CALM_OF_LONG_ITEMS_S, KEPT_DISK_KINDS)
+    return SoakPlan(seconds, events, LONG_ITEMS_RECOVERY_S, KEPT_DISK_KINDS)
 
 
 def play_long_items(seed: int, plan: SoakPlan | None = None) -> RelayedSoak:
--- a/features/support/relaying.py
+++ b/features/support/relaying.py
@@ -149,9 +149,9 @@
         """Note that idle connections were closed."""
         self.forgotten.append(address)
 
-    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
+    def probe(self, address: str, on_result: Callable[[Reachability], None]) -> None:
         """Every runner takes connections."""
-        told(Reachability.OPEN)
+        on_result(Reachability.OPEN)
 
     def close_stale(self) -> None:
         """Nothing rests here."""
--- a/features/support/resuming_client.py
+++ b/features/support/resuming_client.py
@@ -2,14 +2,14 @@
 
 import random
 
-from features.support.number_watch import PIECE, RunBook
+from features.support.monotonic_checks import PIECE, RunLog
 from features.support.relaying import NOT_RUN_FIELD, RelayWorld, StandInCall, StandInExchange
 
 from rainsail.relay.events import BLANK_LINE, parse_event
 
 STREAM = "stream"
 STEP_S = 0.05
-MOST_REQUESTS = 60
+MAX_REQUESTS = 60
 BREAK_CHANCE = 0.08
 MISSING_CHANCE = 0.05
 SILENT_CHANCE = 0.03
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, seed: int, events: int) -> None:
-        self.runs = RunBook(events)
+        self.runs = RunLog(events)
         self.requests = 0
         self.faults: list[str] = []
         self._events = events
@@ -41,7 +41,7 @@
 
     def run(self) -> None:
         """Ask again behind the last event until the stream was said to be complete."""
-        while self.requests < MOST_REQUESTS:
+        while self.requests < MAX_REQUESTS:
             self.requests += 1
             exchange = self._world.request(after_event=len(self._pieces) or None)
             self._play(exchange)
@@ -53,10 +53,10 @@
     def _take(self, exchange: StandInExchange) -> None:
         *whole, _ = exchange.body.split(BLANK_LINE)
         for event in map(parse_event, whole):
-            spoken = PIECE.fullmatch(event.data)
-            wanted = len(self._pieces) + 1
-            if spoken is None or (event.number, int(spoken[1])) != (wanted, wanted):
-                self.faults.append(f"{event.raw!r} came as event {wanted}")
+            match = PIECE.fullmatch(event.data)
+            expected = len(self._pieces) + 1
+            if match is None or (event.number, int(match[1])) != (expected, expected):
+                self.faults.append(f"{event.raw!r} came as event {expected}")
                 return
             self._pieces.append(event.data)
 
--- a/src/rainsail/http/client.py
+++ b/src/rainsail/http/client.py
@@ -1,6 +1,6 @@
 """The calling side of HTTP/1.1 connections, one request at a time on each.
 
-What is told to the caller keeps apart what can be known: whether the request can have left at
+What is on_result to the caller keeps apart what can be known: whether the request can have left at
 all, and whether an answer ended as whole.
 """
 
@@ -81,7 +81,7 @@
         ...
 
 
-class ConnectionKeeper(TypingProtocol):
+class ClientConnectionOwner(TypingProtocol):
     """What a connection tells its pool."""
 
     def connection_idle(self, connection: "ClientConnection", idle_s: float | None) -> None:
@@ -98,8 +98,8 @@
 
     transport: Any
 
-    def __init__(self, keeper: ConnectionKeeper, user_timeout_s: float) -> None:
-        self._keeper = keeper
+    def __init__(self, owner: ClientConnectionOwner, user_timeout_s: float) -> None:
+        self._owner = owner
         self._user_timeout_s = user_timeout_s
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._listener: AnswerListener | None = None
@@ -108,14 +108,14 @@
         self.lost_unanswered = False
         """The other side ended it while a request was there that it had not begun to answer."""
         self._unanswered = False
-        self.when_made: Callable[[], None] = lambda: None
+        self.on_connected: Callable[[], None] = lambda: None
 
     def connectionMade(self) -> None:
         """Set the socket's options and say that the connection is up."""
         self.transport.setTcpNoDelay(True)
         set_user_timeout(self.transport, self._user_timeout_s)
-        when_made, self.when_made = self.when_made, lambda: None
-        when_made()
+        on_connected, self.on_connected = self.on_connected, lambda: None
+        on_connected()
 
     def send(self, request: OutgoingRequest, listener: AnswerListener) -> None:
         """Send a whole request; its answer goes to ``listener``."""
@@ -152,7 +152,7 @@
         self.lost_unanswered = self._unanswered and not already
         if self._listener is not None and not already:
             self._take_close(reason)
-        self._keeper.connection_closed(self)
+        self._owner.connection_closed(self)
 
     def _take_close(self, reason: Failure | None) -> None:
         in_order = reason is not None and reason.check(ConnectionDone) is not None
@@ -197,7 +197,7 @@
         if self.closed:
             return
         if reusable:
-            self._keeper.connection_idle(self, self._idle_s)
+            self._owner.connection_idle(self, self._idle_s)
         else:
             self.abort()
 
--- a/src/rainsail/http/graceful_shutdown.py
+++ b/src/rainsail/http/graceful_shutdown.py
@@ -13,7 +13,7 @@
 from rainsail.runtime.clock import Clock
 from rainsail.runtime.sockets import HANDSHAKE_S, accept_and_close, ignore_new_connections
 
-RESTING_LOOK_PERIOD_S = 0.1
+IDLE_CLOSE_PERIOD_S = 0.1
 
 
 class GracefulShutdown:
@@ -29,23 +29,23 @@
         finished: Deferred[None] = Deferred()
         limit = self._clock.callLater(limit_s, finished.callback, None)
 
-        def on_quiet() -> None:
+        def on_drained() -> None:
             if limit.active():
                 limit.cancel()
                 finished.callback(None)
 
         self._server.drain()
         ignore_new_connections(self._port)
-        self._clock.callLater(HANDSHAKE_S, self._close_port, on_quiet)
+        self._clock.callLater(HANDSHAKE_S, self._close_port, on_drained)
         return finished
 
-    def _close_port(self, on_quiet: Callable[[], None]) -> None:
+    def _close_port(self, on_drained: Callable[[], None]) -> None:
         accept_and_close(self._port)
-        self._clock.callLater(RESTING_LOOK_PERIOD_S, self._close_resting)
-        self._server.when_drained(on_quiet)
+        self._clock.callLater(IDLE_CLOSE_PERIOD_S, self._close_idle)
+        self._server.when_drained(on_drained)
 
-    def _close_resting(self) -> None:
+    def _close_idle(self) -> None:
         """Close connections as they come to rest; those that come in meanwhile too."""
         self._server.close_idle()
         if self._server.connections:
-            self._clock.callLater(RESTING_LOOK_PERIOD_S, self._close_resting)
+            self._clock.callLater(IDLE_CLOSE_PERIOD_S, self._close_idle)
--- a/src/rainsail/http/pool.py
+++ b/src/rainsail/http/pool.py
@@ -8,8 +8,8 @@
 from twisted.python.failure import Failure
 
 from rainsail.http.client import AnswerListener, ClientConnection, OutgoingRequest
+from rainsail.http.idle_limit import IdleLimit
 from rainsail.http.reachability import Reachability, probe_address
-from rainsail.http.rest_limit import RestLimit
 from rainsail.runtime.clock import Clock
 from rainsail.wire.address import parse_address
 
@@ -39,7 +39,7 @@
     """When a connection took its last request, and how long it had rested before."""
 
     at_s: float
-    rested_s: float
+    idle_for_s: float
 
 
 class UnsentListener(AnswerListener, Protocol):
@@ -93,7 +93,7 @@
         self._servers: dict[str, _Server] = {}
         self._address_of: dict[ClientConnection, str] = {}
         self._reuses: dict[ClientConnection, _Reuse] = {}
-        self._rest_limit = RestLimit()
+        self._idle_limit = IdleLimit()
         self.opened = 0
 
     def send(
@@ -108,10 +108,10 @@
         self._connect(address, request, call)
         return call
 
-    def probe(self, address: str, told: Callable[[Reachability], None]) -> None:
+    def probe(self, address: str, on_result: Callable[[Reachability], None]) -> None:
         """Tell whether an address takes connections; the one that comes up is closed."""
         self.opened += 1
-        probe_address(self._reactor, address, self._settings.connect_timeout_s, told)
+        probe_address(self._reactor, address, self._settings.connect_timeout_s, on_result)
 
     def forget(self, address: str) -> None:
         """Close the idle connections to a server that is gone."""
@@ -143,10 +143,10 @@
         now = self._clock.seconds()
         while server is not None and server.idle:
             each = server.idle.pop()
-            rested_s = now - each.since_s
-            usable = each.until_s > now and self._rest_limit.allows(rested_s, now)
+            idle_for_s = now - each.since_s
+            usable = each.until_s > now and self._idle_limit.allows(idle_for_s, now)
             if usable and not each.connection.closed:
-                self._reuses[each.connection] = _Reuse(now, rested_s)
+                self._reuses[each.connection] = _Reuse(now, idle_for_s)
                 return each.connection
             each.connection.abort()
         return None
@@ -178,18 +178,18 @@
         if not call.cancelled:
             call.listener.request_unsent(failure.getErrorMessage())
 
-    # --- ConnectionKeeper ----------------------------------------------------------------
+    # --- ClientConnectionOwner ----------------------------------------------------------------
 
     def connection_idle(self, connection: ClientConnection, idle_s: float | None) -> None:
         """Keep a connection for the next request."""
         address = self._address_of.get(connection)
         if address is None:
             return
-        rest_s = self._settings.idle_s
+        max_idle_s = self._settings.idle_s
         if idle_s is not None:
-            rest_s = min(rest_s, idle_s * KEEP_ALIVE_SHARE)
+            max_idle_s = min(max_idle_s, idle_s * KEEP_ALIVE_SHARE)
         now = self._clock.seconds()
-        self._servers[address].idle.append(_Idle(connection, now, now + rest_s))
+        self._servers[address].idle.append(_Idle(connection, now, now + max_idle_s))
 
     def connection_closed(self, connection: ClientConnection) -> None:
         """Forget a connection."""
@@ -199,7 +199,7 @@
             return
         if reuse is not None and connection.lost_unanswered:
             now = self._clock.seconds()
-            self._rest_limit.reset(reuse.rested_s, now - reuse.at_s, now)
+            self._idle_limit.reset(reuse.idle_for_s, now - reuse.at_s, now)
         server = self._servers[address]
         server.open_count -= 1
         server.idle = [each for each in server.idle if each.connection is not connection]
@@ -221,7 +221,9 @@
     def buildProtocol(self, addr: Any) -> ClientConnection:
         """Return the connection; the request goes out once it is wired up."""
         connection = self._pool.new_connection(self._address)
-        connection.when_made = lambda: self._pool.connected(connection, self._request, self._call)
+        connection.on_connected = lambda: self._pool.connected(
+            connection, self._request, self._call
+        )
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
--- a/src/rainsail/http/reachability.py
+++ b/src/rainsail/http/reachability.py
@@ -21,7 +21,7 @@
     """Nothing was heard, or the network says that there is no way."""
 
 
-class _ClosesAtOnce(Protocol):
+class _CloseOnConnect(Protocol):
     transport: Any
 
     def connectionMade(self) -> None:
@@ -29,26 +29,26 @@
 
 
 class _Probe(ClientFactory):
-    protocol = _ClosesAtOnce
+    protocol = _CloseOnConnect
     noisy = False
 
-    def __init__(self, told: Callable[[Reachability], None]) -> None:
-        self._told = told
+    def __init__(self, on_result: Callable[[Reachability], None]) -> None:
+        self._on_result = on_result
 
     def buildProtocol(self, addr: Any) -> Any:
         """Note that the connection has come up."""
-        self._told(Reachability.OPEN)
+        self._on_result(Reachability.OPEN)
         return super().buildProtocol(addr)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Tell a refusal from silence."""
         refused = reason.check(ConnectionRefusedError) is not None
-        self._told(Reachability.REFUSED if refused else Reachability.SILENT)
+        self._on_result(Reachability.REFUSED if refused else Reachability.SILENT)
 
 
 def probe_address(
-    reactor: Any, address: str, timeout_s: float, told: Callable[[Reachability], None]
+    reactor: Any, address: str, timeout_s: float, on_result: Callable[[Reachability], None]
 ) -> None:
     """Open a connection to ``IP:PORT``, close it, and tell what came of it, once."""
     place = parse_address(address)
-    reactor.connectTCP(place.host, place.port, _Probe(told), timeout_s)
+    reactor.connectTCP(place.host, place.port, _Probe(on_result), timeout_s)
--- a/src/rainsail/http/server.py
+++ b/src/rainsail/http/server.py
@@ -80,7 +80,7 @@
         self.draining = False
         self.connections: set[ServerConnection] = set()
         self.requests_under_way = 0
-        self._on_quiet: Callable[[], None] | None = None
+        self._on_drained: Callable[[], None] | None = None
 
     def buildProtocol(self, addr: Any) -> "ServerConnection":
         """Return the protocol of an accepted connection."""
@@ -106,13 +106,13 @@
 
     def when_drained(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` once when no connection is left: every answer has been flushed."""
-        self._on_quiet = listener
-        self.check_quiet()
+        self._on_drained = listener
+        self.check_drained()
 
-    def check_quiet(self) -> None:
+    def check_drained(self) -> None:
         """Tell the listener when the last connection has closed."""
-        if not self.connections and self._on_quiet is not None:
-            listener, self._on_quiet = self._on_quiet, None
+        if not self.connections and self._on_drained is not None:
+            listener, self._on_drained = self._on_drained, None
             listener()
 
 
@@ -133,8 +133,8 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._exchange: ServerExchange | None = None
-        self._early: deque[bytes] = deque()
-        self._early_bytes = 0
+        self._pipelined: deque[bytes] = deque()
+        self._pipelined_bytes = 0
         self._timer: Timer | None = None
         self._lost = False
         self._opened_s = server.clock.seconds()
@@ -156,7 +156,7 @@
         if self._lost:
             return
         if self._exchange is not None:
-            self._keep_early(data)
+            self._buffer_pipelined(data)
             return
         self._feed(data)
 
@@ -184,14 +184,14 @@
         if exchange is not None:
             exchange.connection_lost()
             self._server.requests_under_way -= 1
-        self._server.check_quiet()
+        self._server.check_drained()
 
     # --- reading -------------------------------------------------------------------------
 
-    def _keep_early(self, data: bytes) -> None:
-        self._early.append(data)
-        self._early_bytes += len(data)
-        if self._early_bytes > MAX_PIPELINED_BYTES:
+    def _buffer_pipelined(self, data: bytes) -> None:
+        self._pipelined.append(data)
+        self._pipelined_bytes += len(data)
+        if self._pipelined_bytes > MAX_PIPELINED_BYTES:
             self.abort()
 
     def _feed(self, data: bytes) -> None:
@@ -312,15 +312,15 @@
             return
         self._http.start_next_cycle()
         self._arm(self._limits.idle_timeout_s, self.close_if_idle)
-        self._server.clock.callLater(0, self._take_early)
+        self._server.clock.callLater(0, self._process_pipelined)
 
-    def _take_early(self) -> None:
+    def _process_pipelined(self) -> None:
         if self._lost or self._exchange is not None:
             return
-        early, self._early = b"".join(self._early), deque()
-        self._early_bytes = 0
-        if early:
-            self._feed(early)
+        pipelined, self._pipelined = b"".join(self._pipelined), deque()
+        self._pipelined_bytes = 0
+        if pipelined:
+            self._feed(pipelined)
         elif self._http.trailing_data[0]:
             self._take_events()
 
@@ -351,7 +351,7 @@
         """Tell whether some bytes of a request have been read that is not answered yet."""
         if self._exchange is not None or self._head is not None:
             return True
-        return bool(self._early or self._http.trailing_data[0])
+        return bool(self._pipelined or self._http.trailing_data[0])
 
     # --- timers --------------------------------------------------------------------------
 
--- a/src/rainsail/relay/attempt.py
+++ b/src/rainsail/relay/attempt.py
@@ -25,15 +25,15 @@
     The owner may cancel the attempt in any of them.
     """
 
-    def head_came(self, attempt: "Attempt") -> None:
+    def head_received(self, attempt: "Attempt") -> None:
         """The runner has begun to answer: a stream, or something else."""
         ...
 
-    def events_came(self, attempt: "Attempt", events: list[Event]) -> None:
+    def events_received(self, attempt: "Attempt", events: list[Event]) -> None:
         """Whole events of a stream."""
         ...
 
-    def body_grew(self, attempt: "Attempt") -> None:
+    def body_received(self, attempt: "Attempt") -> None:
         """More of an answer that is no stream has been gathered."""
         ...
 
@@ -41,7 +41,7 @@
         """The stream is whole."""
         ...
 
-    def answer_came(self, attempt: "Attempt") -> None:
+    def answer_received(self, attempt: "Attempt") -> None:
         """A whole answer that is no stream has been gathered."""
         ...
 
@@ -49,11 +49,11 @@
         """The runner has not run the request and never will."""
         ...
 
-    def runner_unreached(self, attempt: "Attempt", reason: str) -> None:
+    def runner_unreachable(self, attempt: "Attempt", reason: str) -> None:
         """The request has not left."""
         ...
 
-    def answer_broke(self, attempt: "Attempt", reason: str) -> None:
+    def answer_interrupted(self, attempt: "Attempt", reason: str) -> None:
         """The answer broke off or was none; the request may have run."""
         ...
 
@@ -135,7 +135,7 @@
         else:
             if kind == HeadKind.EVENTS:
                 self.stream = EventStream(head.framing)
-            self._owner.head_came(self)
+            self._owner.head_received(self)
 
     def answer_data(self, data: bytes) -> None:
         """Gather the body, or hand whole events on."""
@@ -147,12 +147,12 @@
             return
         self.body.append(data)
         self.body_bytes += len(data)
-        self._owner.body_grew(self)
+        self._owner.body_received(self)
 
     def _take_events(self, stream: EventStream, data: bytes) -> None:
         events = stream.feed(data)
         if events:
-            self._owner.events_came(self, events)
+            self._owner.events_received(self, events)
         if stream.is_overlong:
             self._fail(OVERLONG_EVENT)
 
@@ -161,12 +161,12 @@
         if not self._end():
             return
         if self.stream is None:
-            self._owner.answer_came(self)
+            self._owner.answer_received(self)
         elif self.stream.may_end_here:
             self._owner.stream_ended(self)
         else:
             self.connection_ended = True
-            self._owner.answer_broke(self, CLOSED_EARLY)
+            self._owner.answer_interrupted(self, CLOSED_EARLY)
 
     def answer_failed(self, reason: str) -> None:
         """The answer broke off."""
@@ -176,7 +176,7 @@
     def request_unsent(self, reason: str) -> None:
         """Nothing was sent."""
         if self._end():
-            self._owner.runner_unreached(self, reason)
+            self._owner.runner_unreachable(self, reason)
 
     # --- the owner's calls ---------------------------------------------------------------
 
@@ -190,7 +190,7 @@
             return
         if self.call is not None:
             self.call.cancel()
-        self._owner.answer_broke(self, reason)
+        self._owner.answer_interrupted(self, reason)
 
     def _end(self) -> bool:
         """Note the end once; False when it had ended already."""
--- a/src/rainsail/relay/continuation.py
+++ b/src/rainsail/relay/continuation.py
@@ -256,7 +256,7 @@
         return _end_quarantined(progress)
     if route is None:
         return _end_without_route(progress, settings)
-    in_time = terms.time_left_s >= settings.least_time_left_s
+    in_time = terms.time_left_s >= settings.min_time_left_s
     harmless = not progress.may_have_run or may_repeat(route, progress.client_has)
     if in_time and harmless and progress.attempts < route.max_attempts:
         return SendAgain(route, progress.last_event)
@@ -288,10 +288,10 @@
 
 
 def give_up_without_runner(
-    progress: RequestProgress, why_none: str, settings: RelaySettings
+    progress: RequestProgress, no_runner_reason: str, settings: RelaySettings
 ) -> Ending:
     """Return the end of a request for which no runner is left; an earlier failure is the reason."""
-    reason = progress.reason or why_none
+    reason = progress.reason or no_runner_reason
     return give_up(replace(progress, reason=reason), settings)
 
 
--- a/src/rainsail/relay/early_requests.py
+++ b/src/rainsail/relay/early_requests.py
@@ -9,16 +9,16 @@
 from rainsail.http.exchange import Exchange
 from rainsail.runtime.clock import Clock
 
-STARTING_FOR_S = 2.0
+STARTUP_PERIOD_S = 2.0
 """A gateway without a table that has run for longer has no controller that answers.
 
 Not measured by itself; well above the 0.6 s after which gateways had a table.
 """
-HELD_FOR_S = 0.8
+MAX_HOLD_S = 0.8
 """A request waits this long at most: two gateways had one 0.5 to 0.6 s after their start."""
-MOST_HELD = 500
+MAX_HELD_REQUESTS = 500
 """Requests that wait at once. Not measured; chosen so that they cost a few megabytes at most."""
-MOST_HELD_BYTES = 8 * 1024 * 1024
+MAX_HELD_BYTES = 8 * 1024 * 1024
 """Bytes of the bodies that wait at once.
 
 Not measured; chosen since bodies of whole jobs may have a megabyte each, and a gateway has some
@@ -39,9 +39,9 @@
 
     def hold(self, exchange: Exchange) -> None:
         """Take a request that can't be served yet."""
-        starting = self._clock.seconds() - self._started_s < STARTING_FOR_S
+        starting = self._clock.seconds() - self._started_s < STARTUP_PERIOD_S
         size = len(exchange.request.body)
-        full = len(self._held) >= MOST_HELD or self._held_bytes + size > MOST_HELD_BYTES
+        full = len(self._held) >= MAX_HELD_REQUESTS or self._held_bytes + size > MAX_HELD_BYTES
         if not starting or full:
             self._refuse(exchange)
             return
@@ -50,7 +50,7 @@
         number = self._last_number
         self._held[number] = exchange
         exchange.on_disconnect(lambda: self._left(number))
-        self._clock.callLater(HELD_FOR_S, self._expire, number)
+        self._clock.callLater(MAX_HOLD_S, self._expire, number)
 
     def _left(self, number: int) -> None:
         self._drop(number)
--- a/src/rainsail/relay/events.py
+++ b/src/rainsail/relay/events.py
@@ -11,7 +11,7 @@
 LINE_ENDS = b"\r\n"
 BLANK_LINE = b"\n\n"
 ANY_BLANK_LINE = re.compile(rb"\n\r?\n|\r\r")
-BLANK_LINE_MOST_BYTES = 3
+MAX_BLANK_LINE_BYTES = 3
 BYTE_ORDER_MARK = "\ufeff"
 REPLACEMENT_CHARACTER = "\ufffd"
 """Stands for bytes that are not UTF-8."""
@@ -108,7 +108,7 @@
     """Return the raw events in ``rest`` and ``data``, and what is left behind them."""
     gathered = rest + data
     if b"\r" in gathered:
-        return _split_any(gathered, max(0, len(rest) - BLANK_LINE_MOST_BYTES))
+        return _split_any(gathered, max(0, len(rest) - MAX_BLANK_LINE_BYTES))
     # Nearly all streams end lines in LF alone, and this is much faster.
     pieces = gathered.split(BLANK_LINE)
     left = pieces.pop()
--- a/src/rainsail/relay/gateway.py
+++ b/src/rainsail/relay/gateway.py
@@ -39,7 +39,7 @@
 Not measured; longer than the 1.2 s between two heartbeats of a runner.
 """
 
-BatchFront = Callable[[Exchange, Route, RequestFacts, Identity], None]
+BatchHandler = Callable[[Exchange, Route, RequestFacts, Identity], None]
 """Takes a request on a batch route: a whole job."""
 
 
@@ -64,7 +64,7 @@
         self._early = EarlyRequests(context.clock, self._refuse_early)
         self.under_way = 0
         self.draining = False
-        self.on_batch: BatchFront | None = None
+        self.on_batch: BatchHandler | None = None
         self.on_ledger_leader: Callable[[str], None] = lambda address: None
         """Called with the address of each new leader of the ledger."""
         placements = PlacementClient(messenger, context.clock, metrics)
--- a/src/rainsail/relay/header_protocol.py
+++ b/src/rainsail/relay/header_protocol.py
@@ -24,8 +24,8 @@
 CONTENT_LENGTH = b"Content-Length"
 RETRY_AFTER = b"Retry-After"
 STATUS_BAD_REQUEST = 400
-STATUS_OTHER_RUNNER = 421
-STATUS_LEAST_FAILURE = 400
+STATUS_MISDIRECTED = 421
+STATUS_MIN_FAILURE = 400
 PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
 """Statuses by which a client takes it that its request was not run."""
 
@@ -62,7 +62,7 @@
         self._replaced_with_key = self._replaced | {AUTHORIZATION.lower()}
         own = (HOST, names.request)
         self._kept_from_items = self._replaced_with_key | {name.lower() for name in own}
-        self._kept_back = frozenset(name.lower() for name in (names.load, names.not_run))
+        self._not_forwarded = frozenset(name.lower() for name in (names.load, names.not_run))
 
     def describe(self, request: HttpRequest) -> RequestFacts:
         """Read what a client's request says of itself."""
@@ -144,9 +144,9 @@
         """Judge the head of a runner's answer to a request."""
         answered = header_text(head.headers, self._names.request.lower())
         says_not_run = header_value(head.headers, self._names.not_run.lower()) is not None
-        other_runner = head.status == STATUS_OTHER_RUNNER
+        other_runner = head.status == STATUS_MISDIRECTED
         unread = head.status == STATUS_BAD_REQUEST and not answered
-        unnamed_failure = not answered and head.status >= STATUS_LEAST_FAILURE
+        unnamed_failure = not answered and head.status >= STATUS_MIN_FAILURE
         return AnswerVerdict(
             belongs=answered == request or unnamed_failure,
             not_run=says_not_run or other_runner or unread,
@@ -157,7 +157,7 @@
 
     def answer_headers(self, head: AnswerHead) -> HeaderFields:
         """Return the fields of a runner's answer that travel on to the client."""
-        return end_to_end(head.headers, self._kept_back)
+        return end_to_end(head.headers, self._not_forwarded)
 
     def refusal_headers(self, retry_after_s: float | None) -> HeaderFields:
         """Return the fields of an answer of our own."""
--- a/src/rainsail/relay/held_end.py
+++ b/src/rainsail/relay/held_end.py
@@ -13,7 +13,7 @@
 from rainsail.relay.table import Route
 from rainsail.runtime.clock import Clock
 
-LEAST_CLIENT_TIMEOUT_S = 2.0
+MIN_CLIENT_TIMEOUT_S = 2.0
 """Clients wait at least this long for the next part of a stream, by the platform's protocol."""
 CLIENT_TIMEOUT_TARGETS = 4
 """They wait for so many of the route's targets, if that is longer."""
@@ -23,35 +23,35 @@
 """An end leaves this long before its client would give up, for its way to the client."""
 
 
-def most_end_wait_s(route: Route, quiet_s: float, time_left_s: float) -> float:
+def max_end_hold_s(route: Route, since_last_event_s: float, time_left_s: float) -> float:
     """Return how long an end may be held; 0 or less: not at all.
 
-    ``quiet_s`` is how long ago the last event left, ``time_left_s`` what the request has left.
+    ``time_left_s`` is the time until the deadline of the request.
     """
     client_timeout_s = max(
-        LEAST_CLIENT_TIMEOUT_S,
+        MIN_CLIENT_TIMEOUT_S,
         CLIENT_TIMEOUT_TARGETS * route.target_s,
         CLIENT_TIMEOUT_GAP_TARGETS * route.gap_target_s,
     )
-    return min(client_timeout_s - TRANSIT_S - quiet_s, time_left_s)
+    return min(client_timeout_s - TRANSIT_S - since_last_event_s, time_left_s)
 
 
 class HeldEnd:
-    """Calls ``released`` once: when more is known of the beginning, or after ``most_s``."""
+    """Calls ``released`` once: when more is known of the beginning, or after ``max_hold_s``."""
 
     def __init__(
         self,
         clock: Clock,
         beginnings: StreamBeginnings,
         beginning: StreamBeginning,
-        most_s: float,
+        max_hold_s: float,
         released: Callable[[], None],
     ) -> None:
         self._beginnings = beginnings
         self._beginning = beginning
         self._released = released
         self._is_over = False
-        self._timer = clock.callLater(most_s, self._release)
+        self._timer = clock.callLater(max_hold_s, self._release)
         self._stop_listening = beginnings.listen(self._review)
 
     def cancel(self) -> None:
--- a/src/rainsail/relay/placement.py
+++ b/src/rainsail/relay/placement.py
@@ -14,17 +14,17 @@
 from rainsail.runtime.clock import Clock
 from rainsail.wire.messenger import Messenger
 
-ANSWER_WITHIN_S = 0.04
+ANSWER_TIMEOUT_S = 0.04
 """How long a request waits for the leader's answer.
 
 Not measured; chosen longer than a busy leader takes, and short beside any target for a first byte.
 """
-ASK_AGAIN_AFTER_S = 0.5
+RETRY_PAUSE_S = 0.5
 """Pause after an answer that did not come.
 
 Not measured; chosen as the time in which the group elects a new leader.
 """
-BUSY_KEPT_S = 0.4
+BUSY_VALID_S = 0.4
 """For how long a service counts as busy after the leader has said so.
 
 Not measured; chosen as several of the leader's reports, which follow those of this gateway.
@@ -59,7 +59,7 @@
     def update_busy(self, service: str, places: bool) -> None:
         """Note whether the leader places requests of a service, as it has just reported."""
         if places:
-            self._busy_until_s[service] = self._clock.seconds() + BUSY_KEPT_S
+            self._busy_until_s[service] = self._clock.seconds() + BUSY_VALID_S
         else:
             self._busy_until_s.pop(service, None)
 
@@ -74,14 +74,14 @@
             placed(None)
             return
         leader = self._leader
-        reply = self._messenger.call(leader, request, ANSWER_WITHIN_S)
+        reply = self._messenger.call(leader, request, ANSWER_TIMEOUT_S)
         reply.addCallback(lambda result: placed(self._take_reply(result, leader)))
 
     def _take_reply(self, result: Result[Placement, Fault], leader: str) -> Placement | None:
         outcome = "missed" if result.is_error() else "answered"
         self._metrics.count("placements_asked", outcome=outcome)
         if result.is_error():
-            self._ask_after_s = self._clock.seconds() + ASK_AGAIN_AFTER_S
+            self._ask_after_s = self._clock.seconds() + RETRY_PAUSE_S
             return None
         if leader == self._leader:
             self.seen = max(self.seen, result.ok.number)
--- a/src/rainsail/relay/recorder.py
+++ b/src/rainsail/relay/recorder.py
@@ -90,14 +90,14 @@
         else:
             self._context.loads.full(attempt.record.runner, now)
 
-    def unreached(self, attempt: Attempt, reason: str) -> None:
+    def unreachable(self, attempt: Attempt, reason: str) -> None:
         """No connection to the runner could be opened."""
         self.reason = reason
         now = self._context.clock.seconds()
         self._context.loads.failed(attempt.record.runner, now, at_once=True)
         self._context.pool.forget(attempt.record.address)
 
-    def broke(self, attempt: Attempt, reason: str, last_event: int | None) -> bool:
+    def interrupted(self, attempt: Attempt, reason: str, last_event: int | None) -> bool:
         """The runner's answer broke off behind an event; tell whether the request may go elsewhere.
 
         It may not while the quarantine has to find out whether the request has ended the runner.
@@ -105,9 +105,9 @@
         self.reason = reason
         self._count_failure(attempt)
         self._context.pool.forget(attempt.record.address)
-        is_innocent = True
+        may_resend = True
         if attempt.connection_ended:
-            is_innocent = self._context.guard.connection_ended(attempt.record, self.fingerprint)
+            may_resend = self._context.guard.connection_ended(attempt.record, self.fingerprint)
         logger.bind(
             request=self._facts.request,
             runner=attempt.record.runner,
@@ -115,18 +115,18 @@
             reason=reason,
             last_event=last_event,
         ).info("attempt_broke")
-        return is_innocent
+        return may_resend
 
-    def left_unconfirmed(self, attempt: Attempt) -> None:
+    def dropped_unconfirmed(self, attempt: Attempt) -> None:
         """The stream's beginning is compared with another run's; the runner may have done well."""
         self.reason = UNCONFIRMED_BEGINNING
         log = logger.bind(request=self._facts.request, runner=attempt.record.runner)
         log.bind(reason=UNCONFIRMED_BEGINNING).info("attempt_unconfirmed")
 
-    def end_held(self, attempt: Attempt, most_s: float) -> None:
-        """The stream is over, and its end is held back for ``most_s`` at most."""
+    def end_held(self, attempt: Attempt, max_hold_s: float) -> None:
+        """The stream is over, and its end is held back for ``max_hold_s`` at most."""
         log = logger.bind(request=self._facts.request, runner=attempt.record.runner)
-        log.bind(most_ms=round(most_s * MILLISECONDS_PER_S)).info("stream_end_held")
+        log.bind(most_ms=round(max_hold_s * MILLISECONDS_PER_S)).info("stream_end_held")
 
     def _count_failure(self, attempt: Attempt) -> None:
         self._context.loads.failed(attempt.record.runner, self._context.clock.seconds())
--- a/src/rainsail/relay/response_timeout.py
+++ b/src/rainsail/relay/response_timeout.py
@@ -25,13 +25,13 @@
         """Wait for the first part of an answer; ``attempts`` counts this sending too."""
         settings = self._context.settings
         wait_s = max(
-            settings.least_response_timeout_s, settings.response_timeout_targets * route.target_s
+            settings.min_response_timeout_s, settings.response_timeout_targets * route.target_s
         )
         self._restart(route, attempts, wait_s)
 
-    def events_came(self, route: Route, attempts: int) -> None:
+    def events_received(self, route: Route, attempts: int) -> None:
         """Wait for the next events of a stream."""
-        wait_s = max(self._context.settings.least_event_timeout_s, GAP_TARGETS * route.gap_target_s)
+        wait_s = max(self._context.settings.min_event_timeout_s, GAP_TARGETS * route.gap_target_s)
         self._restart(route, attempts, wait_s)
 
     def stop(self) -> None:
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -37,7 +37,7 @@
     time_out,
 )
 from rainsail.relay.events import Event
-from rainsail.relay.held_end import HeldEnd, most_end_wait_s
+from rainsail.relay.held_end import HeldEnd, max_end_hold_s
 from rainsail.relay.protocol import RequestFacts
 from rainsail.relay.recorder import RequestRecorder
 from rainsail.relay.sender import RequestSender
@@ -197,8 +197,8 @@
         if found.retry_after_s is not None:
             self._end(refuse_overloaded(self._sender.service, found.retry_after_s))
         elif found.record is None:
-            why_none = self._sender.why_none()
-            self._end(give_up_without_runner(self._progress(), why_none, settings))
+            no_runner_reason = self._sender.no_runner_reason()
+            self._end(give_up_without_runner(self._progress(), no_runner_reason, settings))
         else:
             self._note_service()
             self._sender.send(found.record, decision)
@@ -243,7 +243,7 @@
 
     # --- AttemptOwner: what came ---------------------------------------------------------
 
-    def head_came(self, attempt: Attempt) -> None:
+    def head_received(self, attempt: Attempt) -> None:
         """Leave a runner whose answer can't be part of the one that the client has begun to get.
 
         It is left at once: the end of its answer, say of a failure, would look like the stream's.
@@ -252,18 +252,18 @@
             attempt.cancel()
             self._leave_answer(attempt, AttemptEnd.UNUSABLE)
 
-    def events_came(self, attempt: Attempt, events: list[Event]) -> None:
+    def events_received(self, attempt: Attempt, events: list[Event]) -> None:
         """Hand whole events on, at once."""
         if self.outcome is not None:
             return
         flaw = self._answer.write_events(attempt, events)
         if flaw is None:
-            self._sender.events_came()
+            self._sender.events_received()
         else:
             attempt.cancel()
             self._leave_flawed(attempt, flaw)
 
-    def body_grew(self, attempt: Attempt) -> None:
+    def body_received(self, attempt: Attempt) -> None:
         """Pass a large answer on before it has ended, unless it's a failure that no client gets."""
         if attempt.body_bytes < self._context.settings.buffered_bytes:
             return
@@ -283,22 +283,26 @@
             return
         self._recorder.streamed(self._sender.service, self.first_s)
         unconfirmed = self._answer.unconfirmed
-        quiet_s = self._context.clock.seconds() - self._answer.last_sent_s
-        left_s = self._time_left_s() - self._context.settings.least_time_left_s
-        most_s = most_end_wait_s(self._sender.route, quiet_s, left_s)
-        if unconfirmed is None or most_s <= 0:
+        since_last_event_s = self._context.clock.seconds() - self._answer.last_sent_s
+        left_s = self._time_left_s() - self._context.settings.min_time_left_s
+        max_hold_s = max_end_hold_s(self._sender.route, since_last_event_s, left_s)
+        if unconfirmed is None or max_hold_s <= 0:
             self._complete_stream(attempt)
         else:
-            self._hold_end(attempt, unconfirmed, most_s)
+            self._hold_end(attempt, unconfirmed, max_hold_s)
 
-    def _hold_end(self, attempt: Attempt, unconfirmed: StreamBeginning, most_s: float) -> None:
+    def _hold_end(self, attempt: Attempt, unconfirmed: StreamBeginning, max_hold_s: float) -> None:
         """Keep the end of a stream back until other streams tell whether it has its beginning."""
         self._sender.stop_timeout()
         self._sender.attempt = None
-        self._recorder.end_held(attempt, most_s)
+        self._recorder.end_held(attempt, max_hold_s)
         context = self._context
         self._held_end = HeldEnd(
-            context.clock, context.beginnings, unconfirmed, most_s, lambda: self._release(attempt)
+            context.clock,
+            context.beginnings,
+            unconfirmed,
+            max_hold_s,
+            lambda: self._release(attempt),
         )
 
     def _release(self, attempt: Attempt) -> None:
@@ -327,16 +331,16 @@
     def _leave_flawed(self, attempt: Attempt, flaw: str) -> None:
         """Go on at another runner, or cut off a stream that has left without its beginning."""
         if flaw == UNCONFIRMED_BEGINNING:
-            self._recorder.left_unconfirmed(attempt)
+            self._recorder.dropped_unconfirmed(attempt)
             self._continue_after(AttemptEnd.BROKEN)
         elif flaw == LOST_BEGINNING and self._answer.client_has != ClientHas.NOTHING:
-            self._recorder.broke(attempt, flaw, self._answer.last_event)
+            self._recorder.interrupted(attempt, flaw, self._answer.last_event)
             self._sender.attempt = None
             self._end(give_up(self._progress(), self._context.settings))
         else:
-            self.answer_broke(attempt, flaw)
+            self.answer_interrupted(attempt, flaw)
 
-    def answer_came(self, attempt: Attempt) -> None:
+    def answer_received(self, attempt: Attempt) -> None:
         """Pass a whole answer on, or try again where its status asks for that."""
         if not self._passes_on(attempt):
             self._leave_answer(attempt, attempt.body_end)
@@ -372,16 +376,16 @@
         self._recorder.refused(attempt)
         self._continue_after(AttemptEnd.NOT_RUN)
 
-    def runner_unreached(self, attempt: Attempt, reason: str) -> None:
+    def runner_unreachable(self, attempt: Attempt, reason: str) -> None:
         """Try another runner: the request never left for this one."""
         self._sender.uncount_attempt()
-        self._recorder.unreached(attempt, reason)
+        self._recorder.unreachable(attempt, reason)
         self._continue_after(AttemptEnd.NOT_RUN)
 
-    def answer_broke(self, attempt: Attempt, reason: str) -> None:
+    def answer_interrupted(self, attempt: Attempt, reason: str) -> None:
         """Go on at another runner where that is allowed; otherwise end the request."""
-        is_innocent = self._recorder.broke(attempt, reason, self._answer.last_event)
-        self._continue_after(AttemptEnd.BROKEN if is_innocent else AttemptEnd.BROKEN_SUSPECT)
+        may_resend = self._recorder.interrupted(attempt, reason, self._answer.last_event)
+        self._continue_after(AttemptEnd.BROKEN if may_resend else AttemptEnd.BROKEN_SUSPECT)
 
     def _response_timed_out(self) -> None:
         """Leave a runner that sends nothing, if another one is there and can go on."""
@@ -390,7 +394,7 @@
         may_leave = may_leave_silent_runner(route, self._answer.client_has, other_runner_left)
         if attempt is not None and may_leave:
             attempt.cancel()
-            self.answer_broke(attempt, SILENT)
+            self.answer_interrupted(attempt, SILENT)
 
 
 def _time_allowed_s(route: Route, facts: RequestFacts) -> float:
--- a/src/rainsail/relay/runner_finder.py
+++ b/src/rainsail/relay/runner_finder.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class FindResult:
     """A runner; or, if the request is refused, when to come back; or neither: no runner is left."""
 
     record: RunnerRecord | None = None
@@ -67,13 +67,13 @@
         )
         context.place(request, answered, must_ask)
 
-    def find(self, route: Route, placement: Placement | None, left_s: float) -> Found:
+    def find(self, route: Route, placement: Placement | None, left_s: float) -> FindResult:
         """Find a runner, ``left_s`` before the request's deadline."""
         self._use_route(route)
         retry_after_s = self._retry_after_s(route, placement, left_s)
         if retry_after_s is not None:
-            return Found(retry_after_s=retry_after_s)
-        return Found(self._placed_record(placement) or self._choose())
+            return FindResult(retry_after_s=retry_after_s)
+        return FindResult(self._placed_record(placement) or self._choose())
 
     def _only_granted_left(self) -> bool:
         """Tell whether every runner that is left warms up, and gets only what is granted."""
@@ -88,7 +88,7 @@
         """Tell whether some runner was not tried."""
         return any(record.runner not in self.tried for record in self._ready())
 
-    def why_none(self) -> str:
+    def no_runner_reason(self) -> str:
         """Say, for the log, why no runner may get the request now."""
         registry = self._context.registry
         drained = outside = warming = 0
--- a/src/rainsail/relay/sender.py
+++ b/src/rainsail/relay/sender.py
@@ -13,12 +13,12 @@
 from rainsail.relay.continuation import SendAgain
 from rainsail.relay.protocol import RequestFacts, RunnerTarget
 from rainsail.relay.response_timeout import ResponseTimeout
-from rainsail.relay.runner_finder import Found, RunnerFinder
+from rainsail.relay.runner_finder import FindResult, RunnerFinder
 from rainsail.relay.table import Route, RouteKind
 from rainsail.routing.messages import Placement
 from rainsail.tenancy.tenants import Identity
 
-LEAST_DEADLINE_S = 0.001
+MIN_DEADLINE_S = 0.001
 """What a runner is told of a deadline that is over: none at all would mean no deadline.
 
 Not measured; chosen as the shortest time that the platform's header can state.
@@ -70,14 +70,14 @@
         self.route = route
         self._finder.ask(route, placed)
 
-    def find(self, route: Route, placement: Placement | None, left_s: float) -> Found:
+    def find(self, route: Route, placement: Placement | None, left_s: float) -> FindResult:
         """Find the runner of the next sending, ``left_s`` before the request's deadline."""
         self.route = route
         return self._finder.find(route, placement, left_s)
 
-    def why_none(self) -> str:
+    def no_runner_reason(self) -> str:
         """Say, for the log, why no runner may get the request now."""
-        return self._finder.why_none()
+        return self._finder.no_runner_reason()
 
     def other_runner_left(self) -> bool:
         """Tell whether some runner that may get the request was not tried."""
@@ -102,9 +102,9 @@
         self._timeout.request_sent(self.route, self.attempts_counted)
         attempt.call = context.pool.send(record.address, request, attempt)
 
-    def events_came(self) -> None:
+    def events_received(self) -> None:
         """Give the runner anew the time for the next events."""
-        self._timeout.events_came(self.route, self.attempts_counted)
+        self._timeout.events_received(self.route, self.attempts_counted)
 
     def uncount_attempt(self) -> None:
         """Count the last sending no more: the runner that was meant has not seen the request."""
@@ -132,4 +132,4 @@
         if self._facts.deadline_s is None:
             return None
         deadline_s = self._request.received_s + self._facts.deadline_s
-        return max(LEAST_DEADLINE_S, deadline_s - self._context.clock.seconds())
+        return max(MIN_DEADLINE_S, deadline_s - self._context.clock.seconds())
--- a/src/rainsail/relay/settings.py
+++ b/src/rainsail/relay/settings.py
@@ -31,11 +31,11 @@
 
     Chosen so that an answer that is merely late is not begun anew.
     """
-    least_response_timeout_s: float = 0.6
+    min_response_timeout_s: float = 0.6
     """No response timeout is shorter; chosen so that a short pause of a runner moves nothing."""
-    least_event_timeout_s: float = 1.0
+    min_event_timeout_s: float = 1.0
     """No timeout between two events of a stream is shorter; chosen for the same reason."""
-    least_time_left_s: float = 0.03
+    min_time_left_s: float = 0.03
     """With less time left no request is sent; chosen as the least that an answer takes."""
     buffered_bytes: int = 256 * 1024
     """An answer that is no stream is passed on in parts once it has grown to this size."""
@@ -78,6 +78,6 @@
         """Return the time between two reports of one gateway among so many."""
         return max(self.use_report_period_s, gateways / self.use_reports_per_s)
 
-    def keys_expired(self, out_of_touch_s: float) -> bool:
+    def keys_expired(self, without_controllers_s: float) -> bool:
         """Tell whether keys can't be relied on after so long without controllers."""
-        return self.keys_trusted_s is not None and out_of_touch_s > self.keys_trusted_s
+        return self.keys_trusted_s is not None and without_controllers_s > self.keys_trusted_s
--- a/src/rainsail/relay/stream_beginnings.py
+++ b/src/rainsail/relay/stream_beginnings.py
@@ -17,41 +17,41 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-STREAMS_REMEMBERED = 64
+MAX_REMEMBERED_STREAMS = 64
 """The last beginnings of a source that count.
 
 Not measured; chosen so that a third of them is never damaged by chance while one stream in six is.
 """
-LEAST_ALIKE = 2
+MIN_MATCHING = 2
 """Streams that must have begun alike before another one is held to it.
 
 Not measured; one alone may itself lack its beginning, or be of a source without a common number.
 """
-LEAST_ALIKE_UNUSUAL = 3
+MIN_MATCHING_UNUSUAL = 3
 """The same for a number that is none of ``USUAL_FIRST_NUMBERS``.
 
 Streams that lost their first event agree on such a number as well as whole ones do.
 """
-SHARE_ALIKE = 2 / 3
+MATCHING_SHARE = 2 / 3
 """The share of the remembered streams that must have begun alike.
 
 Not measured; chosen so that a source whose runners number differently is held to nothing.
 """
-CHANGED_AFTER = 4
+STREAMS_CONFIRMING_CHANGE = 4
 """So many streams in a row that began alike say that the source begins with their number now.
 
 Not measured; chosen so that losses hardly ever do that (one in 10,000 where one stream in ten is
 damaged), and that a fleet which changes its numbers breaks few streams.
 """
-MOST_LOST_EVENTS = 8
+MAX_LOST_EVENTS = 8
 """A stream that begins later than by this many events is taken for numbered in another way.
 
 Not measured; numbers that run on from answer to answer of a session are not to be held for losses.
 """
-LEAST_DIFFERENT = 6
+MIN_STREAMS_WITHOUT_MATCH = 6
 """So many streams without a common number say that their source has none.
 
-Two damaged streams among fewer would leave the whole ones below ``SHARE_ALIKE``.
+Two damaged streams among fewer would leave the whole ones below ``MATCHING_SHARE``.
 """
 USUAL_FIRST_NUMBERS = (0, 1)
 """The numbers with which streams begin nearly everywhere."""
@@ -109,7 +109,7 @@
 
     def observe(self, beginning: StreamBeginning) -> None:
         """Remember how a stream began, whether it was taken for damaged or not."""
-        recent = self._recent.setdefault(beginning.source, deque(maxlen=STREAMS_REMEMBERED))
+        recent = self._recent.setdefault(beginning.source, deque(maxlen=MAX_REMEMBERED_STREAMS))
         recent.append(beginning.first)
         for listener in tuple(self._listeners):
             listener()
@@ -128,7 +128,7 @@
         if beginning.first == 0:
             return BeginningVerdict.WHOLE
         if not common:
-            is_different = len(recent) >= LEAST_DIFFERENT
+            is_different = len(recent) >= MIN_STREAMS_WITHOUT_MATCH
             return BeginningVerdict.WHOLE if is_different else BeginningVerdict.UNKNOWN
         is_lost = _lacks_events(beginning.first, common[0])
         return BeginningVerdict.LOST if is_lost else BeginningVerdict.WHOLE
@@ -151,7 +151,7 @@
         earlier = Counter(first for first in others if _lacks_events(beginning.first, first))
         most_alike = max(earlier.values(), default=0)
         is_unknown = self.judge(beginning) == BeginningVerdict.UNKNOWN
-        least = 1 if is_unknown else LEAST_ALIKE
+        least = 1 if is_unknown else MIN_MATCHING
         others_like_this = max(0, sum(first == beginning.first for first in recent) - 1)
         return most_alike >= least and most_alike > others_like_this
 
@@ -180,15 +180,15 @@
 
 def _common_first(recent: Collection[FirstEvent]) -> list[FirstEvent]:
     """Return what the streams of a source begin with; an empty list: not known, or nothing."""
-    if len(recent) < LEAST_ALIKE:
+    if len(recent) < MIN_MATCHING:
         return []
-    latest = list(recent)[-CHANGED_AFTER:]
-    if len(latest) == CHANGED_AFTER and len(set(latest)) == 1:
+    latest = list(recent)[-STREAMS_CONFIRMING_CHANGE:]
+    if len(latest) == STREAMS_CONFIRMING_CHANGE and len(set(latest)) == 1:
         return [latest[0]]
     first, alike = Counter(recent).most_common(1)[0]
     is_unusual = isinstance(first, int) and first not in USUAL_FIRST_NUMBERS
-    least = LEAST_ALIKE_UNUSUAL if is_unusual else LEAST_ALIKE
-    is_enough = alike >= least and alike >= SHARE_ALIKE * len(recent)
+    least = MIN_MATCHING_UNUSUAL if is_unusual else MIN_MATCHING
+    is_enough = alike >= least and alike >= MATCHING_SHARE * len(recent)
     return [first] if is_enough else []
 
 
@@ -198,4 +198,4 @@
         return False
     if not isinstance(first, int):
         return True
-    return common < first <= common + MOST_LOST_EVENTS
+    return common < first <= common + MAX_LOST_EVENTS
--- a/src/rainsail/runtime/sockets.py
+++ b/src/rainsail/runtime/sockets.py
@@ -19,10 +19,10 @@
 MILLISECONDS_PER_S = 1000
 
 
-MOST_ACCEPT_CALLS = 1000
+MAX_ACCEPT_CALLS = 1000
 """Bounds how long one turn of the reactor accepts; above any listening queue."""
-PROBED_AFTER_S = 2
-PROBE_PERIOD_S = 1
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
 
 HANDSHAKE_S = 0.1
 """Handshakes that have begun at a listening port are over within this time."""
@@ -59,8 +59,8 @@
         connection = handle()
         connection.setsockopt(socket.IPPROTO_TCP, option, milliseconds)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBED_AFTER_S)
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PERIOD_S)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     except (AttributeError, OSError):
         return
 
@@ -123,7 +123,7 @@
 def _accept_waiting(port: Any) -> None:
     queue = select.poll()
     queue.register(port.fileno(), select.POLLIN)
-    for _ in range(MOST_ACCEPT_CALLS):
+    for _ in range(MAX_ACCEPT_CALLS):
         if not queue.poll(0):
             return
         port.doRead()
