--- a/features/relay/beginnings.feature
+++ b/features/relay/beginnings.feature
@@ -1,30 +1,26 @@
-Feature: A stream that lacks its beginning is not told as complete
+Feature: A stream that lacks its beginning is not completed
 
-  Clients got streams that began with event 2 and were told as complete: the runner's first event was
-  lost or spoilt on its way, or none came at all. With the last event known, a gap is seen in front of
-  the next one; before the first event there was nothing to compare with, and "nothing was seen before
-  it" was taken for "nothing was before it". The gateway's line of such a request said that all was well:
+  Guards against streams completed without their first event, which was lost or corrupted in transit, or
+  without any event. Within a stream a gap shows by the numbers before and after it; at its beginning there
+  is no earlier number to compare with.
 
-    request_completed sends=1 answers=200 chunked last_event=7 reason=
+  Nothing on the wire states a stream's first number, and services number as they like. So the first number
+  is compared with those of other streams of the service, and accepted where these differ. While too few
+  were observed, a resumable stream that begins with neither 0 nor 1 is run again elsewhere, and a number
+  that both runs agree on is accepted. Where that is not possible or not sufficient, the events are sent,
+  and the end is held until other streams settle it, for at most the client's time-out.
 
-  Nothing on the wire says with which number a stream begins, and services number as they like. So a
-  stream is held to what the other streams of its service began with, and to nothing where they differ.
-  While too few were seen, a stream that may be resumed and begins with neither 0 nor 1 is run again
-  elsewhere, and what two runs agree on is believed. Where that is not possible, or was not enough,
-  the events leave and the end waits until other streams have told, as long as a client bears.
-  In 40 seeds of the soak 94 streams were told as complete without their beginning, and none since.
-
-  Scenario: A resumable request begins anew at another runner when its first event is lost
+  Scenario: A resumable request starts again at another runner when its first event is lost
     Given a relay with 3 runners and a resumable "stream" route
     And 2 earlier streams of the service began with event 1
     When a client sends a request to the relay
     And the runner sends events 2 to 4
-    Then nothing has left for the client
-    And the last sending asks for the stream from its start
+    Then nothing has been sent to the client
+    And the last attempt asks for the stream from its start
     When the runner sends events 1 to 4
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 4
-    And 2 sendings were made, each to another runner
+    And 2 attempts were made, each to another runner
 
   Scenario: A request that may run once only is not sent again
     Given a relay with 3 runners and a "stream" route
@@ -32,23 +28,23 @@
     When a client sends a request to the relay
     And the runner sends events 2 to 4
     Then the client has the status 502
-    And 1 sending was made
+    And 1 attempt was made
 
-  Scenario Outline: A first event that <what> is noticed too
+  Scenario Outline: A first event that <what> is detected too
     Given a relay with 3 runners and a resumable "stream" route
     And 2 earlier streams of the service began with event 1
     When a client sends a request to the relay
     And the runner sends the head of a stream
     And <sent>
-    Then nothing has left for the client
-    And the last sending asks for the stream from its start
+    Then nothing has been sent to the client
+    And the last attempt asks for the stream from its start
 
     Examples:
-      | what          | sent                                              |
-      | is spoilt     | the runner sends event 1 behind bytes of nothing  |
-      | has no number | the runner sends data without a number            |
+      | what          | sent                                         |
+      | is corrupted  | the runner sends event 1 after garbage bytes |
+      | has no number | the runner sends data without a number       |
 
-  Scenario Outline: A stream that ends without any event is not told as whole where streams have events: <sent>
+  Scenario Outline: A stream that ends without any event is not completed where streams have events: <sent>
     Given a relay with 3 runners and a "stream" route
     And 2 earlier streams of the service began with event 1
     When a client sends a request to the relay
@@ -61,7 +57,7 @@
       | the runner sends a stream of no events     |
       | the runner sends a stream of one comment   |
 
-  Scenario: Runners that all spoil the first event are asked as often as the route allows, and no more
+  Scenario: Runners that all lose the first event are tried as often as the route allows, and no more
     Given a relay with 6 runners and a resumable "stream" route of 3 attempts
     And 20 earlier streams of the service began with event 1
     When a client sends a request to the relay
@@ -69,9 +65,9 @@
     And the runner sends events 2 to 4
     And the runner sends events 2 to 4
     Then the client has the status 502
-    And 3 sendings were made, each to another runner
+    And 3 attempts were made, each to another runner
 
-  Scenario: A stream whose end comes when others have told with what streams begin
+  Scenario: A stream without its beginning is aborted at its end if other streams have shown the loss by then
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 2 to 4
@@ -79,37 +75,37 @@
     And the runner ends its stream
     Then the client's connection was cut after events 2 to 4
 
-  Scenario: The line of the attempt says what was wrong
+  Scenario: The log line of the attempt gives the reason
     Given a relay with 3 runners and a resumable "stream" route
     And 2 earlier streams of the service began with event 1
     When a client sends a request to the relay
     And the runner sends events 2 to 4
     Then the line "attempt_broke" of the request has "reason" = "the stream lacks its beginning"
 
-  # Guards against: the first streams after a start told as whole without their first event.
-  Scenario: While nothing is known, a resumable request whose stream begins late is compared with a second run
+  # Guards against: the first streams after a start completed without their first event.
+  Scenario: Before any other stream, a resumable request whose stream begins late is compared with a second run
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 2 to 4
-    Then nothing has left for the client
-    And the last sending asks for the stream from its start
+    Then nothing has been sent to the client
+    And the last attempt asks for the stream from its start
     When the runner sends events 1 to 4
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 4
 
-  # Guards against: an empty answer told as a whole stream.
-  Scenario: While nothing is known, a resumable request whose stream has no event is compared with a second run
+  # Guards against: an empty answer completed as a stream.
+  Scenario: Before any other stream, a resumable request whose stream has no event is compared with a second run
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends a stream of no events
     And the runner ends its stream
-    Then the last sending asks for the stream from its start
+    Then the last attempt asks for the stream from its start
     When the runner sends events 1 to 4
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 4
 
   # Guards against: a service that numbers in an unusual way losing its first resumable streams.
-  Scenario: Two runs that begin alike with an unusual number are believed
+  Scenario: Two runs that begin with the same unusual number are accepted
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 7 to 9
@@ -118,9 +114,9 @@
     Then the client has events 7 to 9 so far
     When 3.8 seconds pass
     Then the client has the whole stream of events 7 to 9
-    And 2 sendings were made, each to another runner
+    And 2 attempts were made, each to another runner
 
-  # Guards against: a request refused because there is nobody to compare its runner with.
+  # Guards against: a request refused because there is no second runner to compare with.
   Scenario: A stream that begins late is served where no other runner is left
     Given a relay with 1 runners and a resumable "stream" route
     When a client sends a request to the relay
@@ -129,7 +125,7 @@
     Then the client has events 7 to 9 so far
     When 3.8 seconds pass
     Then the client has the whole stream of events 7 to 9
-    And 1 sending was made
+    And 1 attempt was made
 
   # Guards against: a request refused because its attempts are used up by the comparison.
   Scenario: A stream that begins late is served where no attempt is left
@@ -141,17 +137,17 @@
     Then the client has events 12 to 14 so far
     When 3.8 seconds pass
     Then the client has the whole stream of events 12 to 14
-    And 2 sendings were made, each to another runner
+    And 2 attempts were made, each to another runner
 
-  # Guards against: bytes that are no text handed to a client as the beginning of a stream.
-  Scenario: While nothing is known, a stream whose first field has no text for a name is not handed on
+  # Guards against: bytes that are no text forwarded to a client as the beginning of a stream.
+  Scenario: Before any other stream, a stream whose first field name is not valid UTF-8 is not forwarded
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends the head of a stream
-    And the runner sends event 1 behind bytes of nothing
+    And the runner sends event 1 after garbage bytes
     Then the client has the status 502
 
-  # Guards against: a service that is known to send such bytes losing its streams.
+  # Guards against: failing the streams of a service that regularly sends such bytes.
   Scenario: A service whose streams all begin with such bytes is served
     Given a relay with 3 runners and a "stream" route
     And 4 earlier streams of the service began with bytes that are no text
@@ -161,8 +157,8 @@
     And the runner ends its stream
     Then the client has the line that is no text, and the end
 
-  # Guards against: data in another encoding taken for spoilt.
-  Scenario: Data that is not UTF-8 is handed on as it is
+  # Guards against: data in another encoding treated as corrupt.
+  Scenario: Data that is not UTF-8 is forwarded unchanged
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends the head of a stream
@@ -185,8 +181,8 @@
       | 1      | 4    | 0       |
       | 7      | 9    | 20      |
 
-  # Guards against: a service that numbers in an unusual way losing its first streams, run once or not.
-  Scenario Outline: A service whose streams begin with <number> is served while <earlier> of them are known, and its end waits
+  # Guards against: failing the first streams of a service with unusual numbers, repeatable or not.
+  Scenario Outline: A service whose streams begin with <number> is served while <earlier> of them are known, and the end is held
     Given a relay with 3 runners and a "stream" route
     And <earlier> earlier streams of the service began with event <number>
     When a client sends a request to the relay
@@ -202,8 +198,8 @@
       | 7      | 9    | 0       |
       | 7      | 9    | 1       |
 
-  # Guards against: a stream that may run once only told as whole without its beginning, as the first of its gateway.
-  Scenario: The end of a stream that begins late waits until other streams tell that it lacks its beginning
+  # Guards against: a gateway's first stream, which may run only once, completed without its beginning.
+  Scenario: The end of a stream that begins late is held until other streams show that it lacks its beginning
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 2 to 4
@@ -211,9 +207,9 @@
     Then the client has events 2 to 4 so far
     When 2 other streams of the service begin with event 1 meanwhile
     Then the client's connection was cut after events 2 to 4
-    And 1 sending was made
+    And 1 attempt was made
 
-  # Guards against: two streams that lost the same event believed because they agree.
+  # Guards against: two streams that lost the same event accepted because they agree.
   Scenario: Two streams that both begin late don't confirm each other
     Given a relay with 3 runners and a "stream" route
     And 1 earlier streams of the service began with event 2
@@ -223,8 +219,8 @@
     And 4 other streams of the service begin with event 1 meanwhile
     Then the client's connection was cut after events 2 to 4
 
-  # Guards against: the end of a whole stream kept back longer than needed.
-  Scenario: The end of a stream that begins late leaves as soon as other streams have begun alike
+  # Guards against: the end of a complete stream held longer than needed.
+  Scenario: The end of a stream that begins late is sent as soon as other streams have begun alike
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 7 to 9
@@ -232,8 +228,8 @@
     And 2 other streams of the service begin with event 7 meanwhile
     Then the client has the whole stream of events 7 to 9
 
-  # Guards against: a stream told as whole although the only other one began earlier.
-  Scenario: When the wait is over, one other stream that began earlier decides
+  # Guards against: a stream completed although the only other one began earlier.
+  Scenario: When the hold is over, one other stream that began earlier decides
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 2 to 4
@@ -243,8 +239,8 @@
     When 3.8 seconds pass
     Then the client's connection was cut after events 2 to 4
 
-  # Guards against: an end that comes when its client has given the silent stream up.
-  Scenario: An end waits no longer than a client waits for the next part of a stream
+  # Guards against: an end sent after the client's time-out.
+  Scenario: An end is held no longer than a client waits for the next part of a stream
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 7 to 9
@@ -254,8 +250,8 @@
     When 1.8 seconds pass
     Then the client has the whole stream of events 7 to 9
 
-  # Guards against: an answer cut at its deadline although all of it was there.
-  Scenario: An end waits no longer than the request has time
+  # Guards against: an answer aborted at its deadline although all of it was there.
+  Scenario: An end is held no longer than the request's deadline
     Given a relay with 3 runners and a "stream" route of 1 attempt
     When a client sends a request to the relay with 1 seconds to answer
     And the runner sends events 7 to 9
@@ -263,28 +259,28 @@
     And 1 seconds pass
     Then the client has the whole stream of events 7 to 9
 
-  # Guards against: a stream without numbers kept waiting, though no loss would show in it.
-  Scenario: The end of a stream without numbers does not wait
+  # Guards against: holding the end of a stream without numbers, in which no loss would show.
+  Scenario: The end of a stream without numbers is not held
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends the head of a stream
     And the runner sends data without a number
     And the runner ends its stream
-    Then the client has a stream without numbers, and the end
+    Then the client has a stream without event numbers, and the end
 
-  # Guards against: an end that is written to a client which has left meanwhile.
-  Scenario: A client that leaves while the end of its stream waits is not answered any more
+  # Guards against: an end that is written to a client that has disconnected.
+  Scenario: A client that disconnects while the end of its stream is held gets nothing more
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 7 to 9
     And the runner ends its stream
-    And the client leaves
+    And the client disconnects
     And 4 seconds pass
     Then the client has events 7 to 9 so far
-    And no more is under way at any runner
+    And no request is in flight at any runner
 
   Scenario: A service that numbers from 0 and whose very first stream lacks event 0 is not told as whole
-    # Red: 1 is how nearly all streams begin, so that their ends do not wait for others.
+    # Red: nearly all streams begin with 1, so their ends are not held until others begin.
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 4
@@ -292,10 +288,10 @@
     And 2 other streams of the service begin with event 0 meanwhile
     Then the client's connection was cut after events 1 to 4
 
-  Scenario: A service just added is not held to what another one begins with
+  Scenario: A service that is added again is not compared with its earlier streams
     Given a relay with 3 runners and a "stream" route
     And 20 earlier streams of the service began with event 1
-    When the service is added anew and its runners begin with event 2
+    When the service is removed and added again, and its runners begin with event 2
     And a client sends a request to the relay
     And the runner sends events 2 to 4
     And the runner ends its stream
@@ -303,7 +299,7 @@
     When 3.8 seconds pass
     Then the client has the whole stream of events 2 to 4
 
-  Scenario: A service whose streams begin with many numbers is held to none
+  Scenario: A service whose streams begin with many numbers has no expected number
     Given a relay with 3 runners and a "stream" route
     And earlier streams of the service began with events 1, 6, 9, 13, 1, 7, 12 and 20
     When a client sends a request to the relay
@@ -311,7 +307,7 @@
     And the runner ends its stream
     Then the client has the whole stream of events 3 to 4
 
-  Scenario: Numbers that run on from one answer of a session to the next are no loss
+  Scenario: Numbers that continue from one answer of a session to the next are not a loss
     Given a relay with 3 runners and a "stream" route
     And 20 earlier streams of the service began with event 1
     When a client sends a request to the relay
@@ -319,7 +315,7 @@
     And the runner ends its stream
     Then the client has the whole stream of events 15 to 18
 
-  Scenario: A service that changes its numbers is served by them after four streams
+  Scenario: A service that changes its first number is served after four streams
     Given a relay with 3 runners and a "stream" route
     And 20 earlier streams of the service began with event 0
     And 4 later ones began with event 1
@@ -328,30 +324,30 @@
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 4
 
-  Scenario: A client that takes its stream up again is not told that its beginning is missing
+  Scenario: A resumed stream is not checked for its beginning
     Given a relay with 3 runners and a resumable "stream" route
     And 2 earlier streams of the service began with event 1
-    When a client takes its stream up again behind event 3
+    When a client resumes its stream after event 3
     And the runner sends events 4 to 6
     And the runner ends its stream
     Then the client has the whole stream of events 4 to 6
 
-  Scenario: A client that has the whole stream already gets its end
+  Scenario: A client that resumes after the last event gets the end
     Given a relay with 3 runners and a resumable "stream" route
     And 2 earlier streams of the service began with event 1
-    When a client takes its stream up again behind event 3
+    When a client resumes its stream after event 3
     And the runner sends a stream of no events
     And the runner ends its stream
     Then the client has an empty stream, and the end
 
-  Scenario: A service whose streams have no numbers is served as it is
+  Scenario: A service whose streams have no event numbers is served
     Given a relay with 3 runners and a "stream" route
-    And 20 earlier streams of the service had no numbers
+    And 20 earlier streams of the service had no event numbers
     When a client sends a request to the relay
     And the runner sends the head of a stream
     And the runner sends data without a number
     And the runner ends its stream
-    Then the client has a stream without numbers, and the end
+    Then the client has a stream without event numbers, and the end
 
   Scenario: A route whose streams have no numbers is served beside one of the same service that numbers them
     Given a relay with 3 runners and a "stream" route
@@ -361,4 +357,4 @@
     And the runner sends the head of a stream
     And the runner sends data without a number
     And the runner ends its stream
-    Then the client has a stream without numbers, and the end
+    Then the client has a stream without event numbers, and the end
--- a/features/relay/choice.feature
+++ b/features/relay/choice.feature
@@ -5,30 +5,30 @@
     When 9 clients send requests to the relay
     Then every runner has 3 of them
 
-  Scenario: A long shared part goes where it lies
+  Scenario: Requests with a long shared prompt part go to the runner that has it cached
     Given a relay with 3 runners and a "stream" route
-    When 3 clients send requests to the relay with a shared part of 13000 tokens
+    When 3 clients send requests to the relay with a shared prompt part of 13000 tokens
     Then all of them went to one runner
 
-  Scenario: The home of a shared part draws that part's reading alone
+  Scenario: A prompt part's preferred runner is favoured only by the prefill time of that part
     Given a relay with 3 runners and a "stream" route
-    When the home of a part of 2000 tokens is full with streams
+    When the preferred runner of a prompt part of 2000 tokens is full of streams
     And a client sends a request with that part and 60000 tokens of its own
     Then it went elsewhere
 
-  Scenario: A crowded runner loses even what it has read
+  Scenario: A crowded runner loses requests even for prompt parts that it has cached
     Given a relay with 3 runners and a "stream" route
-    When 9 clients send requests to the relay with a shared part of 13000 tokens
+    When 9 clients send requests to the relay with a shared prompt part of 13000 tokens
     Then no runner has more than 6 of them
 
-  Scenario: A runner that breaks answers off is left alone for a while
+  Scenario: A runner that interrupts answers is ejected for a while
     Given a relay with 3 runners and a "safe" route of 1 attempt
     When every request to runner 1 breaks, 12 times
     Then runner 1 gets none of the next 6 requests
     When 9 seconds pass
     Then runner 1 gets some of the next 12 requests
 
-  Scenario: A split is kept evenly
+  Scenario: A route is split by weight, evenly over time
     Given a relay whose route is split 90 to 10 over two services
     When 200 requests are sent by the split
     Then 180 of them went to the first service, give or take 1
@@ -42,30 +42,30 @@
       | /a/b/x | /a/b/  |
       | /a     | /      |
 
-  Scenario: A short request avoids a runner that reads a long prompt
+  Scenario: A short request avoids a runner that is in the prefill of a long prompt
     Given a relay with 2 runners and a "stream" route
-    When a client sends a request to the relay with an own part of 60000 tokens
-    And 6 clients send requests to the relay with a shared part of 200 tokens
+    When a client sends a request to the relay with an unshared prompt part of 60000 tokens
+    And 6 clients send requests to the relay with a shared prompt part of 200 tokens
     Then none of the last 6 went where the first went
     When 2 seconds pass
-    And 4 clients send requests to the relay with a shared part of 200 tokens
+    And 4 clients send requests to the relay with a shared prompt part of 200 tokens
     Then some of the last 4 went where the first went
 
-  Scenario: Another gateway's word of a long prompt counts like an own one
+  Scenario: A prefill announced by another gateway counts like one of this gateway
     Given a relay with 2 runners and a "stream" route
-    When another gateway says that runner 1 reads for 0.9 seconds
-    And 4 clients send requests to the relay with a shared part of 200 tokens
+    When another gateway announces for runner 1 a prefill of 0.9 seconds
+    And 4 clients send requests to the relay with a shared prompt part of 200 tokens
     Then all of them went to runner 2
 
-  Scenario: A long prompt is told to the other gateways, a short one is not
+  Scenario: A long prompt is announced to the other gateways, a short one is not
     Given a relay with 2 runners and a "stream" route
-    When 3 clients send requests to the relay with a shared part of 200 tokens
-    Then nothing was told to the other gateways
-    When a client sends a request to the relay with an own part of 20000 tokens
-    Then one long prompt was told to the other gateways
+    When 3 clients send requests to the relay with a shared prompt part of 200 tokens
+    Then nothing was announced to the other gateways
+    When a client sends a request to the relay with an unshared prompt part of 20000 tokens
+    Then one long prompt was announced to the other gateways
 
-  Scenario: A runner that owes an answer and says nothing is left out
+  Scenario: A runner that has pending answers and sends nothing is ejected
     Given a relay with 2 runners and a "stream" route
-    When 4 clients send requests to the relay with a shared part of 200 tokens
+    When 4 clients send requests to the relay with a shared prompt part of 200 tokens
     And runner 2 sends an event on all its streams every 0.1 seconds, for 0.6 seconds
     Then runner 1 is silent and runner 2 is not
--- a/features/relay/continuation.feature
+++ b/features/relay/continuation.feature
@@ -1,9 +1,9 @@
-Feature: One decision says whether a request goes on, and what its client gets otherwise
+Feature: One decision says whether a request is retried, and what its client gets otherwise
 
-  A request has a deadline in 2 seconds, no attempt so far, and its client has nothing, unless a row
-  says otherwise. Its route allows 2 attempts.
+  Unless a row says otherwise, a request has a deadline in 2 seconds and no attempt so far, and its
+  client has received nothing. Its route allows 2 attempts.
 
-  Scenario Outline: The head of an answer says what the attempt is
+  Scenario Outline: An attempt is classified by the head of its answer
     When an answer has the status <status>, <belongs>, <proof> and <content>
     Then the head is judged as "<kind>"
 
@@ -48,9 +48,9 @@
       | resumable | numbered_events | yes      |
       | resumable | other_bytes     | no       |
 
-  Scenario Outline: A whole answer that ends as "<end>" on a <route> route is passed on: <passed>
+  Scenario Outline: A whole answer that ends as "<end>" on a <route> route is forwarded: <passed>
     Given a decision on a "<route>" route
-    Then a whole answer that ends as "<end>" is passed on: <passed>
+    Then a whole answer that ends as "<end>" is forwarded: <passed>
 
     Examples:
       | route     | end               | passed |
@@ -62,57 +62,57 @@
       | unsafe    | failed_as_not_run | no     |
       | safe      | failed_as_not_run | no     |
 
-  Scenario Outline: A sending is allowed: <route> route, <attempts> attempts, may have run: <ran>, <left> s left
+  Scenario Outline: An attempt is allowed: <route> route, <attempts> attempts, may have run: <ran>, <left> s left
     Given a decision on a "<route>" route
     And <attempts> attempts were made, and the request may have run: <ran>
     And <left> seconds are left
-    When it is decided on the next sending
+    When the next attempt is decided on
     Then the request is sent again, <how>
 
     Examples:
-      | route     | attempts | ran | left | how    |
-      | unsafe    | 0        | no  | 2.0  | afresh |
-      | unsafe    | 1        | no  | 2.0  | afresh |
-      | unsafe    | 0        | no  | 0.03 | afresh |
-      | safe      | 1        | yes | 2.0  | afresh |
-      | resumable | 1        | yes | 2.0  | afresh |
-
-  Scenario: A resumable stream is sent again behind the last event that the client has
+      | route     | attempts | ran | left | how            |
+      | unsafe    | 0        | no  | 2.0  | from the start |
+      | unsafe    | 1        | no  | 2.0  | from the start |
+      | unsafe    | 0        | no  | 0.03 | from the start |
+      | safe      | 1        | yes | 2.0  | from the start |
+      | resumable | 1        | yes | 2.0  | from the start |
+
+  Scenario: A resumable stream is continued after the last event that the client has
     Given a decision on a "resumable" route
     And 1 attempt was made, and the request may have run: yes
     And the client has "numbered_events" up to event 7
-    When it is decided on the next sending
-    Then the request is sent again, behind event 7
+    When the next attempt is decided on
+    Then the request is sent again, after event 7
 
-  Scenario: A client that takes a stream up again has nothing of this answer, and some events
+  Scenario: A client that resumes a stream has nothing of this answer, but some events
     Given a decision on a "stream" route
     And the client has "nothing" up to event 3
-    When it is decided on the next sending
-    Then the request is sent again, behind event 3
+    When the next attempt is decided on
+    Then the request is sent again, after event 3
 
   Scenario Outline: A request that may not be sent ends with <status>: <cause>
     Given a decision on an "unsafe" route
     And <attempts> attempts were made, and the request may have run: <ran>
     And <cause>
-    When it is decided on the next sending
+    When the next attempt is decided on
     Then the client is refused with <status>, <retry>, as "<outcome>"
 
     Examples:
-      | attempts | ran | cause                      | status | retry                  | outcome |
-      | 2        | no  | a runner was found         | 503    | to come back in 0.25 s | refused |
-      | 0        | no  | 0.029 seconds are left     | 503    | to come back in 0.8 s  | refused |
-      | 1        | yes | a runner was found         | 502    | not to come back       | failed  |
-      | 0        | no  | the request is quarantined | 502    | not to come back       | held    |
-      | 1        | yes | the request is quarantined | 502    | not to come back       | held    |
-      | 0        | no  | the route is gone          | 404    | not to come back       | failed  |
-      | 1        | yes | the route is gone          | 502    | not to come back       | failed  |
+      | attempts | ran | cause                      | status | retry              | outcome |
+      | 2        | no  | a runner was found         | 503    | retry after 0.25 s | refused |
+      | 0        | no  | 0.029 seconds are left     | 503    | retry after 0.8 s  | refused |
+      | 1        | yes | a runner was found         | 502    | no retry           | failed  |
+      | 0        | no  | the request is quarantined | 502    | no retry           | held    |
+      | 1        | yes | the request is quarantined | 502    | no retry           | held    |
+      | 0        | no  | the route is gone          | 404    | no retry           | failed  |
+      | 1        | yes | the route is gone          | 502    | no retry           | failed  |
 
   Scenario Outline: An answer that has begun is cut off as "<outcome>": <cause>
     Given a decision on a "resumable" route
     And <attempts> attempts were made, and the request may have run: yes
     And the client has "<has>" up to event 7
     And <cause>
-    When it is decided on the next sending
+    When the next attempt is decided on
     Then the answer is cut off as "<outcome>"
 
     Examples:
@@ -149,11 +149,11 @@
     When an attempt ends as "broken"
     Then the answer is cut off as "broken"
 
-  Scenario Outline: A request whose time is over: may have run <ran>, at a runner <sent>, has <has>
+  Scenario Outline: A request at its deadline: may have run <ran>, at a runner <sent>, has <has>
     Given a decision on an "unsafe" route
     And 1 attempt was made, and the request may have run: <ran>
     And the client has "<has>"
-    When its time is over while it is at a runner: <sent>
+    When its deadline passes while it is at a runner: <sent>
     Then the request <follows>
 
     Examples:
@@ -174,7 +174,7 @@
       |                     | no runner is known  |
       | connection refused  | connection refused  |
 
-  Scenario Outline: A silent runner is left on a <route> route with <other> other runner: <left>
+  Scenario Outline: A request moves away from a silent runner on a <route> route with <other> other runner: <left>
     Given a decision on a "<route>" route
     Then a silent runner may be left while there is <other> other runner: <left>
 
@@ -185,6 +185,6 @@
       | resumable | one   | yes  |
       | unsafe    | one   | no   |
 
-  Scenario: What no runner has seen is refused with the time to come back
-    Then an overloaded service refuses with 503 and the time to come back, as "refused"
-    And a tenant's quota refuses with 429 and the time to come back, as "over_quota"
+  Scenario: A request that no runner has received is refused with a retry time
+    Then an overloaded service refuses with 503 and a retry time, as "refused"
+    And a tenant's quota refuses with 429 and a retry time, as "over_quota"
--- a/features/relay/early_requests.feature
+++ b/features/relay/early_requests.feature
@@ -1,4 +1,4 @@
-Feature: What comes to a gateway before its first table waits a moment for it
+Feature: Requests that reach a gateway before its first routing table are held briefly
 
   Scenario: Requests are served as soon as the table is there
     Given a gateway that knows no table yet
@@ -8,14 +8,14 @@
     When the table is there
     Then 3 requests have gone to runners
 
-  Scenario: A client that leaves meanwhile has nothing sent
+  Scenario: The held request of a client that disconnects is dropped
     Given a gateway that knows no table yet
     When 2 clients send requests before the table is there
     And the first of them leaves
     And the table is there
     Then 1 requests have gone to runners
 
-  Scenario: No table comes
+  Scenario: Held requests are refused if no table arrives
     Given a gateway that knows no table yet
     When 2 clients send requests before the table is there
     And 0.8 seconds pass at the gateway without a table
@@ -27,13 +27,13 @@
     And 2 clients send requests before the table is there
     Then each early client has 503 with a time to come back
 
-  Scenario: Many more than fit are refused at once, and the others wait
+  Scenario: Requests beyond the limit are refused at once, and the others are held
     Given a gateway that knows no table yet
     When 510 clients send requests before the table is there
     And the table is there
     Then 500 requests have gone to runners
 
-  Scenario: Bodies are held up to a bound
+  Scenario: Bodies are held up to a total size
     Given a gateway that knows no table yet
     When 9 clients send requests of 1 MiB before the table is there
     And the table is there
--- a/features/relay/placement.feature
+++ b/features/relay/placement.feature
@@ -1,6 +1,6 @@
-Feature: While a service is busy the ledger's leader says where each request goes
+Feature: While a service is busy the ledger's leader places each request
 
-  Scenario: A request goes where the leader says
+  Scenario: A request goes to the runner that the leader chose
     Given a relay with 3 runners and a "safe" route that asks the leader
     When the leader names runner 2
     And a client asks the relay
@@ -12,7 +12,7 @@
     And a client asks the relay
     Then that request is sent at once, and the leader was asked 0 times
 
-  Scenario: A leader that says nothing delays a request for a moment, and the next ones not at all
+  Scenario: A leader that does not answer delays one request briefly, and the next ones not at all
     Given a relay with 2 runners and a "safe" route that asks the leader
     When the leader says nothing
     And a client asks the relay
@@ -30,14 +30,14 @@
     And a client asks the relay
     Then that request is sent at once, and the leader was asked 0 times
 
-  Scenario: A client that leaves while the leader is asked has nothing sent
+  Scenario: The request of a client that disconnects while the leader is asked is not sent
     Given a relay with 2 runners and a "safe" route that asks the leader
     When the leader says nothing
     And a client asks the relay and leaves
     And 0.1 seconds pass at the asking relay
     Then nothing was sent to a runner
 
-  Scenario: A request without attempts left is given up at once, the leader is not asked again
+  Scenario: A request without attempts left ends at once, without asking the leader again
     Given a relay with 2 runners and a "safe" route that asks the leader
     When the leader names runner 1
     And a client asks the relay
@@ -52,7 +52,7 @@
     And runner 1 is drained meanwhile
     Then the asked request went to runner 2
 
-  Scenario: What would wait too long is refused at once with the time to come back, and has not run
+  Scenario: A request that would wait too long is refused at once with a retry time, without a run
     Given a relay with 2 runners and a "safe" route that asks the leader
     When the leader finds no place in time
     And a client asks the relay
--- a/features/relay/soak.feature
+++ b/features/relay/soak.feature
@@ -1,9 +1,9 @@
-Feature: Whatever runners do, a client's answer is whole or is seen to be broken
+Feature: Whatever runners do, a client's answer is complete or recognisably broken
 
-  Scenario Outline: Runners that refuse, fail, break off, fall silent and spoil events, seed <seed>
+  Scenario Outline: Runners that refuse, fail, disconnect, stop sending and corrupt events, seed <seed>
     When clients of a relay meet such runners, drawn from seed <seed>
-    Then no promise of the relay was broken
-    And streams were served, taken up at other runners, and met failures there
+    Then no guarantee of the relay was violated
+    And streams were served, resumed at other runners, and met failures there
 
     Examples:
       | seed |
@@ -16,24 +16,24 @@
       | 7    |
       | 8    |
 
-  Scenario: Runners that also lose or spoil the first event, or send none, seeds 1 to 4
+  Scenario: Runners that also lose or corrupt the first event, or send none, seeds 1 to 4
     When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1 to 4
-    Then no promise of any of these relays was broken
+    Then no guarantee of any of these relays was violated
 
   Scenario: A gateway whose very first streams lack their beginning, seeds 61 to 62
-    # Guards against: the first streams after a start told as whole without their beginning.
+    # Guards against: the first streams after a start completed without their beginning.
     When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 61 to 62
-    Then no promise of any of these relays was broken
+    Then no guarantee of any of these relays was violated
 
   Scenario: A gateway whose very first streams may run once only and lack their beginning, seed 1073
-    # Guards against: such a stream told as whole before other streams could tell what it lacks.
+    # Guards against: such a stream completed before other streams could show what it lacks.
     When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1073 to 1073
-    Then no promise of any of these relays was broken
+    Then no guarantee of any of these relays was violated
 
   Scenario: A stream that lacks its beginning and is the only one while its client waits, seed 1406
-    # Red: its end waits 2.1 s, as long as a client bears, and no other stream comes meanwhile.
+    # Red: its end is held for 2.1 s, the limit of the client's time-out, and no other stream begins.
     When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1406 to 1406
-    Then no promise of any of these relays was broken
+    Then no guarantee of any of these relays was violated
 
   Scenario Outline: The soak catches a relay that <defect>
     Given a relay that <defect>
@@ -47,7 +47,7 @@
       | lets a hole through                        |
       | tells 503 after a run                      |
 
-  Scenario Outline: A history in which <what> is seen as broken
+  Scenario Outline: A history in which <what> is reported as a violation
     Given a history of relaying in which <what>
     Then the judge of relaying finds "<words>"
 
@@ -66,7 +66,7 @@
       | a stream that nothing frames ends before its runner's close | its last events missing |
       | a stream that nothing frames ends without any event         | no event                |
 
-  Scenario Outline: A history in which <what> is taken as kept
+  Scenario Outline: A history in which <what> is accepted
     Given a history of relaying in which <what>
     Then the judge of relaying finds nothing, and <unclear> streams whose end is unclear
 
--- a/features/relay/streams.feature
+++ b/features/relay/streams.feature
@@ -1,33 +1,33 @@
-Feature: A stream's events go on at once, in order, and are taken up at another runner where allowed
+Feature: Events are forwarded at once and in order, and streams resume at another runner where allowed
 
-  Scenario: Whole events go on, and a part of one waits for its rest
+  Scenario: Complete events are forwarded, and a partial one waits for its rest
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 2
     And the runner sends half of event 3
     Then the client has events 1 to 2 so far
 
-  Scenario: A stream that may not be resumed is cut where it broke
+  Scenario: A stream that may not be resumed is aborted where it was interrupted
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 2
     And the runner's connection breaks
     Then the client's connection was cut after events 1 to 2
-    And 1 sending was made
+    And 1 attempt was made
 
-  Scenario: A resumable stream goes on at another runner behind its last whole event
+  Scenario: A resumable stream continues at another runner after its last complete event
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 2
     And the runner sends half of event 3
     And the runner's connection breaks
-    Then the last sending asks to go on behind event 2
-    And the first sending's connection was closed
+    Then the last attempt asks to resume after event 2
+    And the first attempt's connection was closed
     When the runner sends events 3 to 4
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 4
 
-  Scenario: Events that the client has are not sent to it twice
+  Scenario: Events that a second runner repeats are not sent to the client twice
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 2
@@ -36,15 +36,15 @@
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 3
 
-  Scenario: A resumable stream leaves a runner that falls silent
+  Scenario: A resumable stream moves away from a runner that stops sending
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 2
     And 1.2 seconds pass
-    Then the last sending asks to go on behind event 2
-    And the first sending's connection was closed
+    Then the last attempt asks to resume after event 2
+    And the first attempt's connection was closed
 
-  Scenario: No answer has begun while no event has come
+  Scenario: The answer does not begin before the first event
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends the head of a stream
@@ -52,23 +52,23 @@
     And the runner refuses it as not run
     Then the client has the status 502
 
-  Scenario Outline: A stream in which an event is missing is taken up behind the last whole one
+  Scenario Outline: A stream in which an event is missing is resumed after the last complete one
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 3
     And the runner sends <spoilt>
     Then the client has events 1 to 3 so far
-    And the last sending asks to go on behind event 3
+    And the last attempt asks to resume after event 3
     When the runner sends events 4 to 6
     And the runner ends its stream
     Then the client has the whole stream of events 1 to 6
 
     Examples:
-      | spoilt                              |
-      | event 5 without event 4 before it   |
-      | event 4 behind bytes of nothing     |
+      | spoilt                            |
+      | event 5 without event 4 before it |
+      | event 4 after garbage bytes       |
 
-  Scenario: A stream that may not be resumed and misses an event is cut, never told as whole
+  Scenario: A stream that may not be resumed and misses an event is aborted, never completed
     Given a relay with 3 runners and a "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 3
--- a/features/steps/continuation_steps.py
+++ b/features/steps/continuation_steps.py
@@ -142,12 +142,12 @@
     assert may_repeat(context.route, context.progress.client_has) == _is_yes(repeated)
 
 
-@then('a whole answer that ends as "{end}" is passed on: {passed}')
+@then('a whole answer that ends as "{end}" is forwarded: {passed}')
 def passed_on(context, end, passed):
     assert forwards_answer(AttemptEnd(end), context.route, ClientHas.NOTHING) == _is_yes(passed)
 
 
-@when("it is decided on the next sending")
+@when("the next attempt is decided on")
 def decide(context):
     context.decision = decide_send(context.progress, context.terms, SETTINGS)
 
@@ -157,7 +157,7 @@
     context.decision = end_after_attempt(AttemptEnd(end), context.route, context.progress, SETTINGS)
 
 
-@when("its time is over while it is at a runner: {sent}")
+@when("its deadline passes while it is at a runner: {sent}")
 def time_is_over(context, sent):
     context.decision = time_out(context.progress, _is_yes(sent), SETTINGS)
 
@@ -167,12 +167,12 @@
     context.decision = give_up_without_runner(context.progress, why, SETTINGS)
 
 
-@then("the request is sent again, afresh")
+@then("the request is sent again, from the start")
 def sent_afresh(context):
     assert context.decision == SendAgain(context.route, None), context.decision
 
 
-@then("the request is sent again, behind event {number:d}")
+@then("the request is sent again, after event {number:d}")
 def sent_behind(context, number):
     assert context.decision == SendAgain(context.route, number), context.decision
 
@@ -187,10 +187,10 @@
     assert isinstance(context.decision, Refuse), context.decision
     found = context.decision
     assert (found.status, found.outcome) == (status, outcome), found
-    if retry == "not to come back":
+    if retry == "no retry":
         assert found.retry_after_s is None, found
     else:
-        assert retry == f"to come back in {found.retry_after_s:g} s", found
+        assert retry == f"retry after {found.retry_after_s:g} s", found
 
 
 @then("the request is refused with {status:d}")
@@ -219,13 +219,13 @@
     assert found == _is_yes(left), found
 
 
-@then('an overloaded service refuses with 503 and the time to come back, as "{outcome}"')
+@then('an overloaded service refuses with 503 and a retry time, as "{outcome}"')
 def overloaded(context, outcome):
     found = refuse_overloaded("model", 0.4)
     assert (found.status, found.retry_after_s, found.outcome) == (503, 0.4, outcome), found
 
 
-@then('a tenant\'s quota refuses with 429 and the time to come back, as "{outcome}"')
+@then('a tenant\'s quota refuses with 429 and a retry time, as "{outcome}"')
 def over_quota(context, outcome):
     found = refuse_over_quota("tenant-1", 0.7)
     assert (found.status, found.retry_after_s, found.outcome) == (429, 0.7, outcome), found
--- a/features/steps/overload_guard_steps.py
+++ b/features/steps/overload_guard_steps.py
@@ -117,6 +117,6 @@
     world.context.overload.update_load(load, world.clock.seconds())
 
 
-@then("0 sendings were made")
+@then("0 attempts were made")
 def none_sent(context):
     assert context.relay.pool.calls == []
--- a/features/steps/relay_choice_steps.py
+++ b/features/steps/relay_choice_steps.py
@@ -22,7 +22,7 @@
         context.relay.request(request=f"request-{number}")
 
 
-@when("{count:d} clients send requests to the relay with a shared part of {tokens:d} tokens")
+@when("{count:d} clients send requests to the relay with a shared prompt part of {tokens:d} tokens")
 def send_shared(context, count, tokens):
     for number in range(count):
         prompt = (PromptPart("shared", tokens), PromptPart(f"own-{number}", 100))
@@ -108,7 +108,7 @@
         assert route is not None and route.prefix == row["route"], row
 
 
-@when("a client sends a request to the relay with an own part of {tokens:d} tokens")
+@when("a client sends a request to the relay with an unshared prompt part of {tokens:d} tokens")
 def send_long(context, tokens):
     context.told = getattr(context, "told", [])
     prompt = (PromptPart("common", 100), PromptPart(f"long-{tokens}", tokens))
@@ -129,7 +129,7 @@
     assert context.long_runner in runners, runners
 
 
-@when("another gateway says that runner {number:d} reads for {seconds:g} seconds")
+@when("another gateway announces for runner {number:d} a prefill of {seconds:g} seconds")
 def told_reading(context, number, seconds):
     loads = context.relay.context.loads
     loads.add_prefill(f"runner-{number}", seconds, context.relay.clock.seconds())
@@ -140,13 +140,13 @@
     assert set(_by_runner(context.relay.pool.calls)) == {f"runner-{number}"}
 
 
-@then("nothing was told to the other gateways")
+@then("nothing was announced to the other gateways")
 def nothing_told(context):
     context.told = getattr(context, "told", [])
     assert context.told == []
 
 
-@then("one long prompt was told to the other gateways")
+@then("one long prompt was announced to the other gateways")
 def one_told(context):
     assert len(context.told) == 1 and context.told[0][1] > 0.2, context.told
 
@@ -175,7 +175,7 @@
 HOMED = "homed"
 
 
-@when("the home of a part of {tokens:d} tokens is full with streams")
+@when("the preferred runner of a prompt part of {tokens:d} tokens is full of streams")
 def fill_home(context, tokens):
     relay = context.relay
     records = relay.registry.ready("model")
--- a/features/steps/relay_request_steps.py
+++ b/features/steps/relay_request_steps.py
@@ -88,7 +88,7 @@
     assert len(context.exchange.body) == size and context.exchange.ended
 
 
-@step("the runner answers 503 without a word of it")
+@step("the runner answers 503 without proof that it did not run")
 def answer_503(context):
     context.relay.last_call.answer(503)
 
@@ -118,7 +118,7 @@
     context.relay.clock.advance(seconds)
 
 
-@step("the client leaves")
+@step("the client disconnects")
 def leave(context):
     context.exchange.left()
 
@@ -181,7 +181,7 @@
     context.relay.last_call.listener.answer_data(event(number))
 
 
-@step("the runner sends event {number:d} behind bytes of nothing")
+@step("the runner sends event {number:d} after garbage bytes")
 def send_spoilt(context, number):
     context.relay.last_call.listener.answer_data(b"\xff\x00spoilt" + event(number))
 
@@ -256,13 +256,13 @@
     assert context.exchange.body == _events(first, last), context.exchange.body
 
 
-@then("the last sending asks to go on behind event {number:d}")
+@then("the last attempt asks to resume after event {number:d}")
 def goes_on(context, number):
     assert len(context.relay.pool.calls) == 2
     assert context.relay.last_call.field(b"after-event") == str(number)
 
 
-@then("the third sending asks to go on behind event {number:d}")
+@then("the third attempt asks to resume after event {number:d}")
 def third_goes_on(context, number):
     assert len(context.relay.pool.calls) == 3
     assert context.relay.last_call.field(b"after-event") == str(number)
@@ -296,18 +296,18 @@
     assert context.exchange.answered_at_s == context.exchange.request.received_s
 
 
-@then("{count:d} sending was made")
+@then("{count:d} attempt was made")
 def sendings(context, count):
     assert len(context.relay.pool.calls) == count, len(context.relay.pool.calls)
 
 
-@then("{count:d} sendings were made, each to another runner")
+@then("{count:d} attempts were made, each to another runner")
 def sendings_apart(context, count):
     runners = [call.field(b"runner") for call in context.relay.pool.calls]
     assert len(runners) == count == len(set(runners)), runners
 
 
-@then("the last sending says that {seconds:g} seconds are left")
+@then("the last attempt states that {seconds:g} seconds are left")
 def deadline_left(context, seconds):
     left_s = float(context.relay.last_call.field(b"deadline-left"))
     assert abs(left_s - seconds) < TOLERANCE_S, left_s
@@ -318,17 +318,17 @@
     assert context.relay.last_call.cancelled
 
 
-@then("the first sending's connection was closed")
+@then("the first attempt's connection was closed")
 def first_closed(context):
     assert context.relay.pool.calls[0].cancelled
 
 
-@then("no more is under way at any runner")
+@then("no request is in flight at any runner")
 def nothing_under_way(context):
     assert context.relay.context.loads.in_flight() == {}
 
 
-@then("the client is refused with 503 and told to come back after {seconds:g} seconds")
+@then("the client is refused with 503 and asked to retry after {seconds:g} seconds")
 def told_when(context, seconds):
     assert context.exchange.status == 503
     assert float(dict(context.exchange.headers)[b"retry-after"]) == seconds
@@ -339,12 +339,12 @@
     context.relay.last_call.listener.answer_begun(AnswerHead(status, ()))
 
 
-@step("the route is resumable no more")
+@step("the route is no longer resumable")
 def not_resumable(context):
     context.relay.put_route("stream", 2, resumable=False, version=2)
 
 
-@step("the runner sends events 1 to {last:d} behind a mark of the byte order")
+@step("the runner sends events 1 to {last:d} after a byte order mark")
 def send_behind_mark(context, last):
     context.relay.last_call.begin_stream()
     context.relay.last_call.listener.answer_data(b"\xef\xbb\xbf" + event(1))
--- a/features/steps/relay_resumption_steps.py
+++ b/features/steps/relay_resumption_steps.py
@@ -9,28 +9,25 @@
 from rainsail.relay.client_answer import ClientAnswer
 
 
-@when("a client takes its stream up again behind event {number:d}")
+@when("a client resumes its stream after event {number:d}")
 def take_up(context, number):
     context.exchange = context.relay.request(after_event=number)
 
 
-@then("the first runner is asked to go on behind event {number:d}")
+@then("the first runner is asked to resume after event {number:d}")
 def asked_behind(context, number):
     (call,) = context.relay.pool.calls
     assert call.field(b"after-event") == str(number), call.request.headers
 
 
-@when(
-    "{count:d} clients read streams of {events:d} events that break at random, "
-    "and take them up again"
-)
+@when("{count:d} clients read streams of {events:d} events that break at random, and resume them")
 def read_streams(context, count, events):
     context.clients = [ResumingClient(seed, events) for seed in range(count)]
     for client in context.clients:
         client.run()
 
 
-@then("every stream was whole, and many were put together from several runs")
+@then("every stream was complete, and many were assembled from several runs")
 def all_whole(context):
     clients = context.clients
     faults = [(seed, client.faults[:2]) for seed, client in enumerate(clients) if client.faults]
@@ -40,7 +37,7 @@
     assert min(len(joined), len(asked_again)) > len(clients) // 3, (len(joined), len(asked_again))
 
 
-@then("some stream was not whole")
+@then("some stream was incomplete")
 def some_not_whole(context):
     assert any(client.faults for client in context.clients)
 
@@ -63,8 +60,8 @@
 
 
 DEFECTS = {
-    "an event is passed on whatever came before": (ClientAnswer, "_take_new", _take_all),
-    "runs are asked for from the start of the stream": (
+    "an event is forwarded whatever came before": (ClientAnswer, "_take_new", _take_all),
+    "runs are requested from the start of the stream": (
         PlainProtocol,
         "relayed",
         _relayed_from_the_start(PlainProtocol.relayed),
--- a/features/steps/relay_soak_steps.py
+++ b/features/steps/relay_soak_steps.py
@@ -39,7 +39,7 @@
         soak.run()
 
 
-@then("no promise of any of these relays was broken")
+@then("no guarantee of any of these relays was violated")
 def no_promise_of_any_broken(context):
     for soak in context.relay_soaks:
         context.relay_soak = soak
@@ -47,13 +47,13 @@
         work_was_done(context)
 
 
-@then("no promise of the relay was broken")
+@then("no guarantee of the relay was violated")
 def no_promise_broken(context):
     violations = context.relay_soak.violations
     assert not violations, "\n".join(violations)
 
 
-@then("streams were served, taken up at other runners, and met failures there")
+@then("streams were served, resumed at other runners, and met failures there")
 def work_was_done(context):
     counts = context.relay_soak.counts
     assert counts["served_stream"] >= LEAST_STREAMS, counts
--- a/features/steps/stream_beginning_steps.py
+++ b/features/steps/stream_beginning_steps.py
@@ -45,14 +45,14 @@
     context.relay.pool.calls.clear()
 
 
-@given("{count:d} earlier streams of the service had no numbers")
+@given("{count:d} earlier streams of the service had no event numbers")
 def play_unnumbered(context, count):
     for _ in range(count):
         _play_stream(context.relay, UNNUMBERED, UNNUMBERED)
     context.relay.pool.calls.clear()
 
 
-@when("the service is added anew and its runners begin with event 2")
+@when("the service is removed and added again, and its runners begin with event 2")
 def add_anew(context):
     beginnings: StreamBeginnings = context.relay.context.beginnings
     beginnings.keep_only((), ())
@@ -79,12 +79,12 @@
     call.listener.answer_begun(AnswerHead(200, (*EVENT_STREAM_FIELDS, *CHUNKED_FIELDS)))
 
 
-@then("nothing has left for the client")
+@then("nothing has been sent to the client")
 def nothing_left(context):
     assert not context.exchange.status and not context.exchange.body, context.exchange
 
 
-@then("the last sending asks for the stream from its start")
+@then("the last attempt asks for the stream from its start")
 def asks_from_start(context):
     call = context.relay.last_call
     assert len(context.relay.pool.calls) == 2, "it was not sent again"
@@ -103,7 +103,7 @@
     assert exchange.status == 200 and exchange.ended and not exchange.body, exchange
 
 
-@then("the client has a stream without numbers, and the end")
+@then("the client has a stream without event numbers, and the end")
 def has_unnumbered(context):
     assert context.exchange.body == UNNUMBERED and context.exchange.ended, context.exchange
 
--- a/src/rainsail/relay/__init__.py
+++ b/src/rainsail/relay/__init__.py
@@ -1,19 +1,21 @@
-"""Relaying of opaque requests: match a route, choose a runner, send, retry, resume, answer.
+"""Proxying of opaque requests: match a route, choose a runner, send, retry, resume, answer.
 
-Read first ``run``: one client's request from its beginning to its one answer. What follows each
-attempt is decided in ``continuation``, which is pure. Around them:
+Start with ``run``, which handles one client's request from arrival to its single answer. What
+happens after each attempt is decided in ``continuation``, which is pure. Around them:
 
-* ``gateway`` takes requests and starts a ``RelayRun`` for each; ``early_requests`` holds those that
-  come before the first routing table; ``fleet_updates`` takes up what nodes report;
-* ``table``, ``table_reader`` and ``split``: the routing table, the service of a split route;
-* ``runner_finder`` and ``placement``: which runner gets the request (``rainsail.routing`` decides);
-* ``sender`` and ``attempt``: one attempt after the other; ``response_timeout`` and
-  ``idle_runners``: runners that send nothing;
-* ``events`` and ``client_answer``: whole events of a stream, and what the client has of its answer;
-  ``stream_beginnings``: whether what has come begins at the beginning; ``held_end``: the end of a
-  stream that waits until that is known;
-* ``recorder`` and ``load_reports``: log lines, metrics, and what is under way;
-* ``protocol`` and ``header_protocol``: what a platform's adapter translates.
+* ``gateway`` accepts requests and starts a ``RelayRun`` for each; ``early_requests`` holds those
+  that arrive before the first routing table; ``fleet_updates`` applies what nodes report;
+* ``table``, ``table_reader`` and ``split``: the routing table, and traffic splitting among the
+  services of a route;
+* ``runner_finder`` and ``placement``: which runner gets the request (the policy is in
+  ``rainsail.routing``);
+* ``sender`` and ``attempt``: the attempts of a request; ``response_timeout`` and ``idle_runners``:
+  time-outs of unresponsive runners;
+* ``events`` and ``client_answer``: parsing of event streams, and the answer as sent to the client;
+  ``stream_beginnings``: detects streams whose first events were lost; ``held_end``: delays the end
+  of a stream while that is undecided;
+* ``recorder`` and ``load_reports``: log lines, metrics, and load reports;
+* ``protocol`` and ``header_protocol``: the headers that a platform's adapter translates.
 
-All state here is soft and ends with the gateway's process.
+All state here is in memory and ends with the gateway's process.
 """
--- a/src/rainsail/relay/attempt.py
+++ b/src/rainsail/relay/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a relayed request to one runner."""
+"""One attempt: a relayed request sent to one runner."""
 
 from typing import Protocol
 
@@ -20,41 +20,41 @@
 
 
 class AttemptOwner(Protocol):
-    """Listens to an attempt; one of the last five calls ends it.
+    """Receives the callbacks of an attempt; one of the last five ends it.
 
     The owner may cancel the attempt in any of them.
     """
 
     def head_received(self, attempt: "Attempt") -> None:
-        """The runner has begun to answer: a stream, or something else."""
+        """The head of the runner's answer has arrived: a stream or another body follows."""
         ...
 
     def events_received(self, attempt: "Attempt", events: list[Event]) -> None:
-        """Whole events of a stream."""
+        """Complete events of a stream have arrived."""
         ...
 
     def body_received(self, attempt: "Attempt") -> None:
-        """More of an answer that is no stream has been gathered."""
+        """More of an answer that is not a stream has been buffered."""
         ...
 
     def stream_ended(self, attempt: "Attempt") -> None:
-        """The stream is whole."""
+        """The stream has ended without an error."""
         ...
 
     def answer_received(self, attempt: "Attempt") -> None:
-        """A whole answer that is no stream has been gathered."""
+        """A complete answer that is not a stream has been buffered."""
         ...
 
     def runner_refused(self, attempt: "Attempt") -> None:
-        """The runner has not run the request and never will."""
+        """The runner has not run the request and will not."""
         ...
 
     def runner_unreachable(self, attempt: "Attempt", reason: str) -> None:
-        """The request has not left."""
+        """No connection could be opened, so the request was not sent."""
         ...
 
     def answer_interrupted(self, attempt: "Attempt", reason: str) -> None:
-        """The answer broke off or was none; the request may have run."""
+        """The answer was interrupted or invalid; the request may have run."""
         ...
 
 
@@ -77,7 +77,7 @@
         self.stream: EventStream | None = None
         self.call: Call | None = None
         self.connection_ended = False
-        """The answer broke off because the connection ended, as when a runner ends."""
+        """The answer was interrupted by the end of the connection, as when a runner crashes."""
         self._owner = owner
         self._context = context
         self._request = request
@@ -86,14 +86,14 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the runner answered with a failure of its own."""
+        """Tell whether the runner answered with an error status."""
         if self.head is None or self.verdict is None:
             return False
         return judge_body(self.head.status, self.verdict) != AttemptEnd.ANSWERED
 
     @property
     def body_end(self) -> AttemptEnd:
-        """How the attempt ends if its answer, which is no stream, is whole."""
+        """The result of the attempt once its answer, which is not a stream, is complete."""
         assert self.head is not None and self.verdict is not None
         return judge_body(self.head.status, self.verdict)
 
@@ -104,22 +104,22 @@
 
     @property
     def proves_survival(self) -> bool:
-        """Tell whether the whole answer shows that the runner outlived the request.
+        """Tell whether the complete answer proves that the runner survived the request.
 
-        Without a length or chunks nothing but the end of the connection marks the end of the
-        answer, and a runner that ends closes its connections too.
+        Without a length or chunks only the end of the connection marks the end of the answer, and
+        a runner that crashes closes its connections too.
         """
         return self.head is not None and not self.failed and self.head.framing != Framing.CLOSE
 
     @property
     def summary(self) -> str:
-        """Return, for the log, the answer's status and what marks its end; ``none`` before it."""
+        """Return the answer's status and framing for the log; ``none`` before its head."""
         return "none" if self.head is None else f"{self.head.status} {self.head.framing}"
 
     # --- UnsentListener ------------------------------------------------------------------
 
     def answer_begun(self, head: AnswerHead) -> None:
-        """Judge the head."""
+        """Classify the answer by its head."""
         context = self._context
         self.head = head
         context.loads.received(self.record.runner, context.clock.seconds())
@@ -138,7 +138,7 @@
             self._owner.head_received(self)
 
     def answer_data(self, data: bytes) -> None:
-        """Gather the body, or hand whole events on."""
+        """Buffer the body, or pass complete events on."""
         if self._over:
             return
         self._context.loads.received(self.record.runner, self._context.clock.seconds())
@@ -157,7 +157,7 @@
             self._fail(OVERLONG_EVENT)
 
     def answer_ended(self) -> None:
-        """The answer has ended in order, which a stream may do too early."""
+        """The answer has ended without an error, which a truncated stream may do too."""
         if not self._end():
             return
         if self.stream is None:
@@ -169,19 +169,19 @@
             self._owner.answer_interrupted(self, CLOSED_EARLY)
 
     def answer_failed(self, reason: str) -> None:
-        """The answer broke off."""
+        """The answer was interrupted."""
         self.connection_ended = reason in CONNECTION_ENDS
         self._fail(reason)
 
     def request_unsent(self, reason: str) -> None:
-        """Nothing was sent."""
+        """No connection could be opened; nothing was sent."""
         if self._end():
             self._owner.runner_unreachable(self, reason)
 
-    # --- the owner's calls ---------------------------------------------------------------
+    # --- called by the owner -------------------------------------------------------------
 
     def cancel(self) -> None:
-        """Close its connection; the owner gets no more calls."""
+        """Close the connection; the owner gets no more callbacks."""
         if self._end() and self.call is not None:
             self.call.cancel()
 
@@ -193,7 +193,7 @@
         self._owner.answer_interrupted(self, reason)
 
     def _end(self) -> bool:
-        """Note the end once; False when it had ended already."""
+        """Mark the attempt as ended; return False if it had ended already."""
         if self._over:
             return False
         self._over = True
--- a/src/rainsail/relay/client_answer.py
+++ b/src/rainsail/relay/client_answer.py
@@ -1,6 +1,6 @@
-"""Writes the answer that a client gets, which may be put together from several runners.
+"""Writes a client's answer, which may be assembled from the streams of several runners.
 
-Owns how much of the answer has left. Relies on the HTTP server's exchange to send it.
+Tracks how much of the answer has been sent. Relies on the HTTP server's exchange to send it.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class AnswerState(StrEnum):
-    """How far an answer is."""
+    """How far an answer has been sent."""
 
     NOTHING_SENT = "nothing_sent"
     BEGUN = "begun"
@@ -37,11 +37,12 @@
 
 
 class ClientAnswer:
-    """Writes one answer; the head is that of the runner that began it.
+    """Writes one answer; its head is that of the first runner whose answer was used.
 
-    ``first_s`` is when its first byte left, in seconds since the request came; ``last_event`` the
-    number of the last event that the client has, from an earlier answer at first; ``last_sent_s``
-    when its last events left by the clock, or when the request came.
+    ``first_s`` is when the first byte was sent, in seconds since the request arrived.
+    ``last_event`` is the number of the last event that the client has; initially it is the one that
+    a resuming client states. ``last_sent_s`` is the clock time at which the last events were sent,
+    initially that of the request's arrival.
     """
 
     def __init__(
@@ -54,9 +55,10 @@
         last_event: int | None,
         may_compare_runs: Callable[[], bool],
     ) -> None:
-        """``route`` is the name of the route by which the request came.
+        """``route`` is the name of the request's route.
 
-        ``may_compare_runs`` tells whether the run under way may be given up for another one.
+        ``may_compare_runs`` tells whether the current run may be dropped and repeated on another
+        runner.
         """
         self._exchange = exchange
         self._protocol = protocol
@@ -70,22 +72,22 @@
         self.last_sent_s = exchange.request.received_s
         self._begun_by: Attempt | None = None
         self._has_unnumbered = False
-        """Some data without a number has left."""
+        """Some data without an event number has been sent."""
         self._continues_earlier = last_event is not None
-        """The client has the beginning of the stream from an earlier answer."""
+        """The client resumes: it has the beginning of the stream from an earlier answer."""
         self._beginning: StreamBeginning | None = None
-        """How the events that have left begin; None before the first."""
+        """The first event sent to the client; None before that."""
         self._compared: set[FirstEvent] = set()
-        """What the runs began with that were given up to be compared with another one."""
+        """The first events of the runs that were dropped to be compared with another run."""
 
     @property
     def begun(self) -> bool:
-        """Tell whether some of the answer has left, and not yet all."""
+        """Tell whether the answer has been sent in part."""
         return self.state == AnswerState.BEGUN
 
     @property
     def client_has(self) -> ClientHas:
-        """How much of the answer has left, and so whether another runner can continue it."""
+        """What has been sent, which decides whether another runner can continue it."""
         if not self.begun or self._begun_by is None:
             return ClientHas.NOTHING
         if self._begun_by.is_stream and self.last_event is not None:
@@ -93,9 +95,10 @@
         return ClientHas.OTHER_BYTES
 
     def may_include(self, attempt: Attempt) -> bool:
-        """Tell whether a runner's answer can be this one, or a part of it.
+        """Tell whether a runner's answer can become this answer or continue it.
 
-        The bytes of one that can't do not belong here, and its end is not the end of this one.
+        Only a stream can continue a stream. The body of any other answer must not be appended, and
+        its end is not the end of the client's answer.
         """
         begun_by = self._begun_by
         if begun_by is None or begun_by is attempt:
@@ -103,10 +106,10 @@
         return begun_by.is_stream and attempt.is_stream
 
     def write_events(self, attempt: Attempt, events: list[Event]) -> str | None:
-        """Write the events that the client doesn't have yet, at once.
+        """Write the events that the client does not have yet, without buffering.
 
-        Returns why the run can't be used any more, None while it can. The event that shows it and
-        those behind are not written.
+        Returns the reason if the run can't be used any more, otherwise None. The event that shows
+        the flaw and those after it are not written.
         """
         flaw = self._judge_first_event(attempt, events)
         if flaw is not None:
@@ -135,7 +138,7 @@
         return True
 
     def _judge_first_event(self, attempt: Attempt, events: list[Event]) -> str | None:
-        """Judge the first event of the whole stream; None: there is none here, or it is good."""
+        """Check the first event of the stream; return None if it is absent here or acceptable."""
         if self._continues_earlier or self._beginning is not None:
             return None
         first = next(filter(is_part_of_stream, events), None)
@@ -148,7 +151,7 @@
         return flaw
 
     def _judge_beginning(self, beginning: StreamBeginning) -> str | None:
-        """Judge a beginning by what other streams began with, and remember it."""
+        """Check a beginning against those of other streams, and record it."""
         is_lost = self._beginnings.is_lost(beginning)
         is_unusual = self._beginnings.is_unusual(beginning)
         self._beginnings.observe(beginning)
@@ -159,7 +162,7 @@
         return None
 
     def _compare_runs(self, first: FirstEvent) -> str | None:
-        """Believe what another run of the request began with, else give this one up if possible."""
+        """Accept a beginning that another run of the request had too, else ask for such a run."""
         if first in self._compared or not self._may_compare_runs():
             return None
         self._compared.add(first)
@@ -169,10 +172,10 @@
         return StreamSource(attempt.record.service, self._route)
 
     def judge_end(self, attempt: Attempt) -> str | None:
-        """Return, at the end of a stream, why it is not whole; None if it is.
+        """Return, at the end of a stream, why it is incomplete; None if it is complete.
 
-        Streams that were seen since its first event may have told only now that it lacks some. One
-        that ends without any event is judged here.
+        Streams observed since its first event may have shown that it lacks earlier ones. A stream
+        that ends without any event is checked here for the first time.
         """
         if self._continues_earlier:
             return None
@@ -185,7 +188,10 @@
         return flaw
 
     def judge_held_end(self, attempt: Attempt) -> str | None:
-        """Judge, by all that is known now, a stream whose end was held back."""
+        """Check a stream whose end was held, when its wait is over; as ``judge_end``.
+
+        Also applies the weaker evidence of ``StreamBeginnings.is_outnumbered``.
+        """
         flaw = self.judge_end(attempt)
         if flaw is not None or self._beginning is None:
             return flaw
@@ -194,16 +200,16 @@
 
     @property
     def unconfirmed(self) -> StreamBeginning | None:
-        """How the stream begins, while only other streams can tell whether that is its beginning.
+        """The stream's beginning if it is not confirmed by other streams yet, else None.
 
-        Streams of which no event has a number are not doubted: a loss would not show in them.
+        Streams without event numbers are never unconfirmed: a loss would not show in them.
         """
         if self._beginning is None or self._has_unnumbered:
             return None
         return self._beginning if self._beginnings.is_unusual(self._beginning) else None
 
     def write_body(self, attempt: Attempt) -> None:
-        """Write what has been gathered of a body."""
+        """Write what has been buffered of a body."""
         self._begin(attempt)
         body, attempt.body = attempt.body, []
         self._exchange.write(b"".join(body))
@@ -219,7 +225,7 @@
         self._exchange.end()
 
     def pass_on(self, attempt: Attempt) -> None:
-        """Answer with a whole answer of a runner, of which nothing was written yet."""
+        """Forward a runner's complete answer, of which nothing was written yet."""
         assert attempt.head is not None
         self._note_first()
         self.state = AnswerState.OVER
@@ -227,7 +233,7 @@
         self._exchange.answer(attempt.head.status, headers, b"".join(attempt.body))
 
     def refuse(self, status: int, retry_after_s: float | None) -> None:
-        """Answer without a body, in our own name; an answer that has begun can only be cut."""
+        """Answer with a status and no body; an answer that has begun is aborted instead."""
         if self.begun:
             self.abort()
             return
@@ -235,12 +241,12 @@
         self._exchange.answer(status, self._protocol.refusal_headers(retry_after_s), b"")
 
     def abort(self) -> None:
-        """Break the answer off, so that it doesn't look complete."""
+        """Abort the answer, so that it does not look complete."""
         self.state = AnswerState.OVER
         self._exchange.abort()
 
     def close(self) -> None:
-        """Write no more: the client has left."""
+        """Stop writing: the client has disconnected."""
         self.state = AnswerState.OVER
 
     def _begin(self, attempt: Attempt) -> None:
--- a/src/rainsail/relay/context.py
+++ b/src/rainsail/relay/context.py
@@ -1,4 +1,4 @@
-"""What all relayed requests of a gateway share: its knowledge, and calls to its other parts."""
+"""State and dependencies that all relayed requests of a gateway share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True)
 class RelayContext:
-    """One for each gateway; ``table`` is None until a routing table is known.
+    """One per gateway; ``table`` is None until a routing table is known.
 
-    The callables at the end do nothing until the gateway connects them.
+    The callables at the end are no-ops until the gateway sets them.
     """
 
     zone: str
@@ -49,21 +49,24 @@
     beginnings: StreamBeginnings
     table: RoutingTable | None = None
     place: Callable[[PlaceRequest, Placed, bool], None] = lambda request, placed, must: placed(None)
-    """Asks where a request should go; calls back with None when the gateway has to choose."""
+    """Asks the leader to place a request; calls back with None if the gateway has to choose."""
     admit: Callable[[Identity, Callable[[float], None]], None] = lambda identity, done: done(0.0)
-    """Decides whether a tenant's quota allows a request: calls back with 0, or with the wait."""
+    """Checks a request against its tenant's quota.
+
+    Calls back with 0 if it is admitted, otherwise with the seconds to wait.
+    """
     give_back: Callable[[Identity], None] = lambda identity: None
-    """Takes back an admission of a request that has not run and never will."""
+    """Refunds the quota of a request that was admitted and will not run."""
     announce_prefill: Callable[[str, float], None] = lambda runner, prefill_s: None
-    """Tells the other gateways that the prefill of a long prompt occupies a runner, in seconds."""
+    """Announces to the other gateways for how many seconds a long prefill occupies a runner."""
 
     def allowed_regions(self, route: Route, identity: Identity) -> AllowedRegions:
-        """Return where a request may be served by the table in force; None: everywhere."""
+        """Return the regions that the current table allows for a request; None means all."""
         assert self.table is not None
         return self.table.allowed_regions(route, identity.tenant)
 
     def ready(self, service: str, allowed: AllowedRegions) -> list[RunnerRecord]:
-        """Return the runners of a service that may get a request of some regions."""
+        """Return a service's ready runners in the allowed regions."""
         ready = self.registry.ready(service)
         return [record for record in ready if self.regions.allows(allowed, record.zone)]
 
@@ -79,7 +82,7 @@
     regions: RegionMap = NO_REGIONS,
     guard: RequestGuard | None = None,
 ) -> RelayContext:
-    """Put a gateway's context together."""
+    """Build a gateway's context."""
     loads = RunnerLoads(settings.mechanisms)
     prefixes = PrefixMemory(settings.mechanisms)
     chooser = RunnerChooser(
--- a/src/rainsail/relay/continuation.py
+++ b/src/rainsail/relay/continuation.py
@@ -1,22 +1,22 @@
-"""Decides whether a request goes on after what a runner answered, or did not answer. Pure.
+"""Decides whether a request is retried after an attempt, and what the client gets. Pure.
 
-The only place that says what may be sent a second time and what a client gets in the end. Clients'
-requests (``relay.run``) and batch items (``jobs.item_run``) judge a runner's answer by the same
-``judge_head``. What follows from it differs, for these reasons:
+This is the only place that defines what may be sent again and how a request ends. Clients' requests
+(``relay.run``) and batch items (``jobs.item_run``) classify a runner's answer by the same
+``judge_head``. The consequences differ, for these reasons:
 
-* Running a client's request twice may do harm. What may have run is repeated only on routes that
-  allow it: ``safe`` ones, and resumable streams. An item may always run again, since the ledger
-  lists one result for it, whichever run brings it. ``jobs.after_run`` decides when it does.
-* A client waits: its request ends at its deadline and after so many attempts. For an item only
-  answers that report a failure count as attempts, and no deadline ends it.
-* A failure that a runner reports is an answer, which a client gets unless another runner may still
-  do better. It is never part of an item's text.
+* Running a client's request twice may do harm. A request that may have run is repeated only on
+  routes that allow it: ``safe`` routes and resumable streams. An item may always run again, since
+  the ledger keeps one result per item, whichever run produced it. ``jobs.after_run`` decides when.
+* A client waits: its request ends at its deadline and after a maximum number of attempts. For an
+  item only answers that report a failure count as attempts, and it has no deadline.
+* A failure that a runner reports is forwarded to a client unless another runner may still succeed.
+  It never becomes part of an item's text.
 
-A client is told 503, which says that its request was not run and may be sent again, only while no
-runner can have run it; afterwards it is told 502 or 504.
+Status 503 promises the client that its request was not run and may be sent again, so it is used
+only while no runner can have run it; afterwards the status is 502 or 504.
 
-``gateway.retry`` decides for the native front by the request's class, since native engines say for
-certain what they did not run.
+The native API's retries are decided in ``gateway.retry`` by the request's class, since native
+engines state for certain what they did not run.
 """
 
 from dataclasses import dataclass, replace
@@ -47,24 +47,24 @@
 QUARANTINED = "runners ended under this request, so that it is held"
 TIMED_OUT = "the time allowed is over"
 
-# --- what a runner's answer is ---------------------------------------------------------------
+# --- classification of a runner's answer -----------------------------------------------------
 
 
 class HeadKind(StrEnum):
-    """What the head of an answer says of the attempt."""
+    """Classes of answers by their head."""
 
     FOREIGN = "foreign"
-    """It answers another request, so that this one may have run or not."""
+    """It answers another request; this one may have run or not."""
     NOT_RUN = "not_run"
-    """The runner has not run the request and never will."""
+    """The runner has not run the request and will not."""
     EVENTS = "events"
-    """A stream of events follows."""
+    """An event stream follows."""
     BODY = "body"
-    """Anything else follows: another kind of success, or a failure."""
+    """Another body follows, of a success or a failure."""
 
 
 def judge_head(head: AnswerHead, verdict: AnswerVerdict) -> HeadKind:
-    """Judge the head of an answer to a client's request or to an item."""
+    """Classify the head of an answer to a client's request or to an item."""
     if not verdict.belongs:
         return HeadKind.FOREIGN
     if verdict.not_run:
@@ -73,45 +73,45 @@
 
 
 class AttemptEnd(StrEnum):
-    """What became of one sending of a request to a runner."""
+    """Results of one attempt."""
 
     NOT_RUN = "not_run"
-    """The request never left, or the runner has not run it and never will."""
+    """The request was not sent, or the runner has not run it and will not."""
     ANSWERED = "answered"
-    """A whole answer that reports no failure of the runner."""
+    """A complete answer that reports no failure of the runner."""
     FAILED = "failed"
-    """A whole answer by which the runner reports a failure of its own."""
+    """A complete answer by which the runner reports a failure."""
     FAILED_AS_NOT_RUN = "failed_as_not_run"
-    """The same with a status that promises the client that nothing was run, without any proof."""
+    """The same, with a status that clients take for "not run", but without proof of that."""
     UNUSABLE = "unusable"
-    """An answer that can't be part of the one which the client has begun to get."""
+    """An answer that can't continue the one that the client has received in part."""
     BROKEN = "broken"
-    """The answer broke off, lacked an event, was another request's, or did not come in time."""
+    """The answer was interrupted, lacked an event, was another request's, or timed out."""
     BROKEN_SUSPECT = "broken_suspect"
-    """The same, and the request is not to reach another runner before the cause is known."""
+    """The same, and the request must not reach another runner before the cause is known."""
     IMPOSSIBLE = "impossible"
-    """The runner says that no run of this item can succeed; items only."""
+    """The runner reports that no run of this item can succeed; items only."""
 
 
 def judge_body(status: int, verdict: AnswerVerdict) -> AttemptEnd:
-    """Judge a whole answer to a client's request that is no stream of events."""
+    """Classify a complete answer to a client's request that is not an event stream."""
     if verdict.promises_not_run:
         return AttemptEnd.FAILED_AS_NOT_RUN
     return AttemptEnd.FAILED if status >= STATUS_SERVER_ERROR else AttemptEnd.ANSWERED
 
 
 def judge_item_body(status: int) -> AttemptEnd:
-    """Judge a whole answer to an item that is no stream of events, and so not its text.
+    """Classify a complete answer to an item that is not an event stream, and so not its text.
 
-    Only 422 and 500 say something of the item itself. What else comes tells as little as a
-    connection that breaks: a proxy or a program in the runner's place may have sent it.
+    Only 422 and 500 concern the item itself. Any other status counts like a broken connection: a
+    proxy, or another program at the runner's address, may have sent it.
     """
     if status == STATUS_IMPOSSIBLE:
         return AttemptEnd.IMPOSSIBLE
     return AttemptEnd.FAILED if status == STATUS_SERVER_ERROR else AttemptEnd.BROKEN
 
 
-# --- what follows for a client's request -----------------------------------------------------
+# --- decisions on a client's request ---------------------------------------------------------
 
 
 class ClientHas(StrEnum):
@@ -119,35 +119,35 @@
 
     NOTHING = "nothing"
     NUMBERED_EVENTS = "numbered_events"
-    """Whole events of a stream, which any runner can continue behind the last one."""
+    """Complete events of a stream, which any runner can continue after the last one."""
     OTHER_BYTES = "other_bytes"
-    """What only the runner that sent it can continue."""
+    """Data that only the runner that sent it can continue."""
 
 
 class RequestOutcome(StrEnum):
-    """How a client's request ended, as logs and metrics name it."""
+    """Outcomes of a client's request, as named in logs and metrics."""
 
     COMPLETED = "completed"
     FAILED = "failed"
     REFUSED = "refused"
     OVER_QUOTA = "over_quota"
     BROKEN = "broken"
-    """The answer was cut off after it had begun."""
+    """The answer was aborted after a part had been sent."""
     EXPIRED = "expired"
-    """The answer was cut off when the request's time was over."""
+    """The answer was aborted at the request's deadline."""
     HELD = "held"
-    """No runner may get the request: it is suspected of ending runners."""
+    """The request is quarantined: it is suspected of crashing runners."""
     LEFT = "left"
     """The client closed the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestProgress:
-    """What was sent of a request, and what came of it.
+    """The attempts of a request so far, and their results.
 
-    ``attempts`` counts the sendings that reached the runner which was meant. ``runner_found`` tells
-    whether any runner was chosen, ``last_event`` is the number of the last event that the client
-    has, now or from an earlier answer. ``reason`` says what became of the last attempt.
+    ``attempts`` counts the attempts that reached the intended runner. ``runner_found`` tells
+    whether any runner was chosen. ``last_event`` is the number of the last event that the client
+    has, from this answer or an earlier one. ``reason`` is the result of the last attempt.
     """
 
     attempts: int
@@ -160,10 +160,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTerms:
-    """What limits the next sending: all of it may have changed since the last one.
+    """The constraints on the next attempt; all of them may have changed since the last one.
 
-    ``route`` is that of the routing table in force, None when it has none for the request any more.
-    ``quarantined`` requests reach no runner. ``time_left_s`` is the time until the deadline.
+    ``route`` comes from the current routing table; None means that the table no longer has one for
+    the request. ``quarantined`` requests reach no runner. ``time_left_s`` is the time until the
+    deadline.
     """
 
     route: Route | None
@@ -175,7 +176,7 @@
 class SendAgain:
     """Send to a runner that was not tried, by the rules of ``route``.
 
-    The runner continues behind the event ``after_event``, or begins afresh if that is None.
+    The runner resumes after event ``after_event``, or starts from the beginning if that is None.
     """
 
     route: Route
@@ -184,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Cut off the answer that the client has begun to get, so that it does not look complete."""
+    """Abort the answer that the client has received in part, so that it does not look complete."""
 
     outcome: RequestOutcome
     reason: str
@@ -192,9 +193,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the client with a status of the gateway's own.
+    """Answer the client with a status set by the gateway.
 
-    ``retry_after_s`` is when the client should send its request again (None: not said).
+    ``retry_after_s`` is sent as ``Retry-After``; None omits it.
     """
 
     status: int
@@ -216,10 +217,10 @@
 
 
 def forwards_answer(end: AttemptEnd, route: Route, client_has: ClientHas) -> bool:
-    """Tell whether the client gets a whole answer as the runner gave it.
+    """Tell whether a runner's complete answer is forwarded to the client unchanged.
 
-    It does not get a failure that another runner may still make good, nor one whose status would
-    make it send again what may have run.
+    A failure is not forwarded while another runner may still succeed, nor is one whose status would
+    make the client repeat a request that may have run.
     """
     if end == AttemptEnd.FAILED:
         return not may_repeat(route, client_has)
@@ -227,7 +228,7 @@
 
 
 def may_leave_silent_runner(route: Route, client_has: ClientHas, other_runner_left: bool) -> bool:
-    """Tell whether a request may leave a runner that sends nothing, though it may still answer."""
+    """Tell whether a request may move away from a silent runner, which may still answer."""
     return other_runner_left and may_repeat(route, client_has)
 
 
@@ -238,7 +239,7 @@
     other_runner_left: bool,
     settings: RelaySettings,
 ) -> bool:
-    """Tell whether a run that is under way may be given up for one to compare it with."""
+    """Tell whether the current run may be dropped and repeated elsewhere for comparison."""
     progress = replace(progress, may_have_run=True)
     if not other_runner_left:
         return False
@@ -250,7 +251,7 @@
 def decide_send(
     progress: RequestProgress, terms: SendTerms, settings: RelaySettings
 ) -> SendAgain | Ending:
-    """Decide whether a request may be sent to one more runner, the first one included."""
+    """Decide whether a request may be sent to a runner; used before every attempt."""
     route = terms.route
     if terms.quarantined:
         return _end_quarantined(progress)
@@ -266,11 +267,11 @@
 def end_after_attempt(
     end: AttemptEnd, sent_by: Route, progress: RequestProgress, settings: RelaySettings
 ) -> Ending | None:
-    """Return the end of a request after an attempt whose answer is not passed on.
+    """Return how a request ends after an attempt whose answer is not forwarded.
 
-    None leaves the decision to ``decide_send``: the request may go on if the terms of now allow it.
-    So after a possible run both routes have to allow a repetition, the one by which the request was
-    sent and the one in force. A new table can't make a request repeatable that was not.
+    None leaves the decision to ``decide_send``, which applies the current terms. So after a
+    possible run both routes have to allow a repetition: the one by which the request was sent and
+    the one of the current table. A new table can't make a request repeatable in retrospect.
     """
     if end == AttemptEnd.NOT_RUN:
         return None
@@ -280,7 +281,7 @@
 
 
 def give_up(progress: RequestProgress, settings: RelaySettings) -> Ending:
-    """Return the end of a request that no further runner may get."""
+    """Return how a request ends that may not be sent to another runner."""
     if progress.client_has != ClientHas.NOTHING:
         return Abort(RequestOutcome.BROKEN, progress.reason)
     status = STATUS_BAD_GATEWAY if progress.may_have_run else STATUS_UNAVAILABLE
@@ -290,13 +291,16 @@
 def give_up_without_runner(
     progress: RequestProgress, no_runner_reason: str, settings: RelaySettings
 ) -> Ending:
-    """Return the end of a request for which no runner is left; an earlier failure is the reason."""
+    """Return how a request ends for which no runner is left.
+
+    The reason is that of the last failed attempt, if there was one.
+    """
     reason = progress.reason or no_runner_reason
     return give_up(replace(progress, reason=reason), settings)
 
 
 def time_out(progress: RequestProgress, is_sent: bool, settings: RelaySettings) -> Ending:
-    """Return the end of a request whose time is over; ``is_sent``: a runner has it just now."""
+    """Return how a request ends at its deadline; ``is_sent``: an attempt is under way."""
     if progress.client_has != ClientHas.NOTHING:
         return Abort(RequestOutcome.EXPIRED, TIMED_OUT)
     may_have_run = progress.may_have_run or is_sent
@@ -305,21 +309,21 @@
 
 
 def refuse_overloaded(service: str, retry_after_s: float) -> Refuse:
-    """Return the end of a request that would wait too long for a slot; it has reached no runner."""
+    """Return the refusal of a request that would wait too long for a slot; no runner has run it."""
     reason = f"{service} has no slot within the target"
     return Refuse(STATUS_UNAVAILABLE, retry_after_s, RequestOutcome.REFUSED, reason)
 
 
 def refuse_over_quota(tenant: str, wait_s: float) -> Refuse:
-    """Return the end of a request that its tenant's quota allows only after ``wait_s``."""
+    """Return the refusal of a request that its tenant's quota admits only after ``wait_s``."""
     reason = f"tenant {tenant} is over its quota"
     return Refuse(STATUS_OVER_QUOTA, wait_s, RequestOutcome.OVER_QUOTA, reason)
 
 
 def _end_quarantined(progress: RequestProgress) -> Ending:
-    """End a request that is suspected of ending runners.
+    """End a request that is suspected of crashing runners.
 
-    The client is not asked to send it again, and an earlier sending of the same may have run.
+    The client is not asked to retry, and an earlier request with the same content may have run.
     """
     if progress.client_has != ClientHas.NOTHING:
         return Abort(RequestOutcome.HELD, QUARANTINED)
@@ -333,10 +337,10 @@
 
 
 def _refuse(status: int, reason: str, progress: RequestProgress, settings: RelaySettings) -> Refuse:
-    """Refuse with a status; only a client that is told 503 is told when to come back."""
+    """Refuse with a status; only 503 comes with a retry delay."""
     if status != STATUS_UNAVAILABLE:
         return Refuse(status, None, RequestOutcome.FAILED, reason)
-    # A full runner has a free slot soon; a runner that is not there takes longer to appear.
+    # A full runner soon has a free slot again; a missing runner takes longer to appear.
     after_full_s, without_runner_s = settings.retry_after_s, settings.no_runner_retry_after_s
     retry_after_s = after_full_s if progress.runner_found else without_runner_s
     return Refuse(status, retry_after_s, RequestOutcome.REFUSED, reason)
--- a/src/rainsail/relay/early_requests.py
+++ b/src/rainsail/relay/early_requests.py
@@ -1,7 +1,7 @@
-"""Requests that come to a gateway which has just started and knows no routing table yet.
+"""Holds requests that reach a gateway after its start, before it has a routing table.
 
-The table is a moment away unless controllers are away too. A refused client comes back only once or
-so, and late; so requests wait for the table, not for long, and only right after the start.
+Unless the controllers are down, the table arrives within a second. A refused client retries late
+and only about once, so requests wait briefly for the table instead, and only right after the start.
 """
 
 from collections.abc import Callable
@@ -10,24 +10,23 @@
 from rainsail.runtime.clock import Clock
 
 STARTUP_PERIOD_S = 2.0
-"""A gateway without a table that has run for longer has no controller that answers.
+"""A gateway that has no table after this time has no controller that answers.
 
-Not measured by itself; well above the 0.6 s after which gateways had a table.
+Well above the 0.6 s within which gateways get a table.
 """
 MAX_HOLD_S = 0.8
-"""A request waits this long at most: two gateways had one 0.5 to 0.6 s after their start."""
+"""A request waits at most this long: gateways get a table 0.5 to 0.6 s after their start."""
 MAX_HELD_REQUESTS = 500
-"""Requests that wait at once. Not measured; chosen so that they cost a few megabytes at most."""
+"""Requests held at once, so that they take a few megabytes at most."""
 MAX_HELD_BYTES = 8 * 1024 * 1024
-"""Bytes of the bodies that wait at once.
+"""Total size of the bodies held at once.
 
-Not measured; chosen since bodies of whole jobs may have a megabyte each, and a gateway has some
-200 MB in all.
+The body of a job may have a megabyte, and a gateway has about 200 MB in all.
 """
 
 
 class EarlyRequests:
-    """Holds requests back until ``release``; what waits too long is refused."""
+    """Holds requests until ``release``; refuses those that wait for too long."""
 
     def __init__(self, clock: Clock, refuse: Callable[[Exchange], None]) -> None:
         self._clock = clock
@@ -38,7 +37,7 @@
         self._last_number = 0
 
     def hold(self, exchange: Exchange) -> None:
-        """Take a request that can't be served yet."""
+        """Hold a request, or refuse it after the startup period or if too many are held."""
         starting = self._clock.seconds() - self._started_s < STARTUP_PERIOD_S
         size = len(exchange.request.body)
         full = len(self._held) >= MAX_HELD_REQUESTS or self._held_bytes + size > MAX_HELD_BYTES
@@ -67,7 +66,7 @@
             self._refuse(exchange)
 
     def release(self, handle: Callable[[Exchange], None]) -> None:
-        """Have all that wait served, in the order in which they came."""
+        """Pass all held requests to ``handle`` in the order of their arrival."""
         held, self._held = self._held, {}
         self._held_bytes = 0
         for exchange in held.values():
--- a/src/rainsail/relay/events.py
+++ b/src/rainsail/relay/events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream into whole events."""
+"""Parsing of server-sent event streams into complete events."""
 
 import re
 from dataclasses import dataclass
@@ -14,30 +14,30 @@
 MAX_BLANK_LINE_BYTES = 3
 BYTE_ORDER_MARK = "\ufeff"
 REPLACEMENT_CHARACTER = "\ufffd"
-"""Stands for bytes that are not UTF-8."""
+"""What the decoder puts in the place of bytes that are not UTF-8."""
 MAX_EVENT_BYTES = 4 * 1024 * 1024
-"""An event that is longer counts as broken.
+"""A longer event counts as broken.
 
-Not measured; chosen far above any answer's event, to bound what a runner can make a gateway hold.
+Far above any real event; bounds how much a runner can make a gateway buffer.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event: its bytes as they came, its id as a number, its data."""
+    """One complete event: its bytes as received, its ``id`` as a number, its data."""
 
     raw: bytes
     number: int | None
     data: str
     is_spoilt: bool = False
-    """The name of a field is not text, so that bytes of something else stand in its line."""
+    """The name of a field is not valid UTF-8, so the line holds foreign bytes."""
 
 
 def leaves_gap(event: Event, last_event: int | None) -> bool:
-    """Tell whether an event can't come next after the last one: something between is lost.
+    """Tell whether events are missing between the last event and this one.
 
-    Numbers rise by one: a run that goes on behind event n begins at n + 1. Data without a number
-    among numbered events is what is left of an event that was spoilt on its way.
+    Numbers increase by one: a run that resumes after event n begins at n + 1. Data without a number
+    among numbered events is the rest of an event that was corrupted in transit.
     """
     if last_event is None:
         return False
@@ -47,17 +47,17 @@
 
 
 def is_part_of_stream(event: Event) -> bool:
-    """Tell whether an event is one of those that are numbered: a comment or a blank is not."""
+    """Tell whether an event counts as content: comments and blank events do not."""
     return event.number is not None or bool(event.data) or event.is_spoilt
 
 
 def first_event(event: Event) -> FirstEvent:
-    """Return what a stream begins with whose first event is this one."""
+    """Return the beginning of a stream whose first event is this one."""
     return Unnumbered.SPOILT if event.is_spoilt else event.number
 
 
 def is_event_stream(head: AnswerHead) -> bool:
-    """Tell whether an answer is a series of events, and a success."""
+    """Tell whether an answer is a successful event stream."""
     return head.status == STATUS_OK and any(
         name.lower() == b"content-type" and value.lower().startswith(EVENT_STREAM)
         for name, value in head.headers
@@ -65,7 +65,7 @@
 
 
 class EventStream:
-    """The events of one run's answer; ``rest`` is what has come of the next one."""
+    """The events of one runner's answer; ``rest`` is the received part of the next one."""
 
     def __init__(self, framing: Framing) -> None:
         self.rest = b""
@@ -74,15 +74,15 @@
 
     @property
     def is_overlong(self) -> bool:
-        """Tell whether an event has no end in sight."""
+        """Tell whether the pending event exceeds ``MAX_EVENT_BYTES``."""
         return len(self.rest) > MAX_EVENT_BYTES
 
     @property
     def may_end_here(self) -> bool:
-        """Tell whether an end in order, at this point, ends the stream as a whole.
+        """Tell whether an orderly end of the answer at this point may complete the stream.
 
-        Where only the connection's end marks it, a runner that dies looks like one that is done:
-        before the first event, or inside of one, it is not the end.
+        Where only the connection's close marks the end, a crashed runner looks like one that has
+        finished: a close before the first event or inside an event is not the end.
         """
         if self._framing != Framing.CLOSE:
             return True
@@ -100,16 +100,16 @@
         return [parse_event(raw) for raw in raw_events]
 
     def last_events(self) -> list[Event]:
-        """Return what a declared end ends in the place of a blank line, an event or nothing."""
+        """Return the pending event, if any: a framed end completes it without a blank line."""
         return [parse_event(self.rest)] if self.rest else []
 
 
 def _split(rest: bytes, data: bytes) -> list[bytes]:
-    """Return the raw events in ``rest`` and ``data``, and what is left behind them."""
+    """Return the raw events in ``rest`` and ``data``, followed by the incomplete remainder."""
     gathered = rest + data
     if b"\r" in gathered:
         return _split_any(gathered, max(0, len(rest) - MAX_BLANK_LINE_BYTES))
-    # Nearly all streams end lines in LF alone, and this is much faster.
+    # Nearly all streams end lines with LF alone; for these ``split`` is much faster.
     pieces = gathered.split(BLANK_LINE)
     left = pieces.pop()
     return [*(piece + BLANK_LINE for piece in pieces), left]
@@ -122,7 +122,7 @@
 
 
 def parse_event(raw: bytes) -> Event:
-    """Parse the fields of one event; fields that are not known are passed over."""
+    """Parse the fields of one event; unknown fields are ignored."""
     number: int | None = None
     data: list[str] = []
     is_spoilt = False
--- a/src/rainsail/relay/fleet_updates.py
+++ b/src/rainsail/relay/fleet_updates.py
@@ -1,7 +1,7 @@
-"""Applies what a relaying gateway learns of its fleet: routing tables, runners, leaders, loads.
+"""Applies a relaying gateway's fleet updates: routing tables, runners, leaders, loads.
 
-Nothing here is durable: a gateway that starts again learns all of it anew. The routing table never
-goes back to an older version while the process runs.
+Nothing here is durable; a restarted gateway learns all of it again. The routing table never goes
+back to an older version while the process runs.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class FleetUpdates:
-    """Listens to the follower and to the ledger's leader, and updates what requests go by."""
+    """Updates the relay context with what the follower and the ledger's leader report."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         placements: PlacementClient,
         reporter: LoadReporter,
     ) -> None:
-        """``limits`` are those of the server for clients, which routing tables set."""
+        """``limits`` are those of the client-facing server; routing tables change them."""
         self._context = context
         self._registry = follower.registry
         self._read_table = read_table
@@ -53,7 +53,7 @@
         self._incarnations = IncarnationTracker()
         self._ledger_leader = ""
         self.on_table: Callable[[], None] = lambda: None
-        """Called whenever a newer routing table has come into force."""
+        """Called after a newer routing table was applied."""
         self.on_ledger_leader: Callable[[str], None] = lambda address: None
         """Called with the address of a new leader of the ledger."""
         follower.on_table = self._take_table
@@ -100,7 +100,7 @@
                 self._runner_left(record)
 
     def _runner_started_again(self, record: RunnerRecord) -> None:
-        """Forget what held of the incarnation before, which had its own state and connections."""
+        """Drop the state and connections of the runner's previous incarnation."""
         self._context.loads.runner_started_again(record.runner)
         self._context.prefixes.forget(record.runner)
         self._context.pool.forget(record.address)
@@ -113,7 +113,7 @@
             self._context.loads.forget(record.runner)
 
     def _take_prefill(self, source: str, message: RunnerReads) -> None:
-        """Another gateway has sent a long prompt to a runner."""
+        """Record that another gateway has sent a long prompt to a runner."""
         now = self._context.clock.seconds()
         self._context.loads.add_prefill(message.runner, message.reading_s, now)
 
@@ -126,7 +126,7 @@
             self._set_ledger_leader(view.ledger_leader)
 
     def _ledger_term_began(self, address: str) -> None:
-        """Report to a leader of a new term, though it led before: it has dropped all reports."""
+        """Report to the leader of a new term, even if it led before: it has dropped all reports."""
         self._set_ledger_leader(address)
         self._reporter.plan()
 
@@ -141,14 +141,14 @@
         self.on_ledger_leader(address)
 
     def _take_load(self, source: str, message: ServiceLoad) -> None:
-        """The ledger's leader reports what all gateways have under way at a busy service."""
+        """Apply the leader's count of the requests that all gateways have at a busy service."""
         if source != self._ledger_leader:
             return
         self._context.overload.update_load(message, self._context.clock.seconds())
         self._placements.update_busy(message.service, message.places)
 
     def _take_ejection(self, source: str, message: RunnerUnsound) -> None:
-        """The ledger's leader ejects a runner that failed too often, by what all gateways saw."""
+        """Eject a runner that, by the leader's count over all gateways, failed too often."""
         if source == self._ledger_leader and self._context.settings.mechanisms.ejection:
             now = self._context.clock.seconds()
             self._context.loads.eject(message.runner, now, message.out_s)
--- a/src/rainsail/relay/gateway.py
+++ b/src/rainsail/relay/gateway.py
@@ -1,7 +1,7 @@
-"""The relaying gateway: takes clients' requests, checks their keys, and reports its readiness.
+"""The relaying gateway: accepts clients' requests, checks their keys, and reports readiness.
 
-Each request becomes a ``RelayRun``. What the gateway knows of its fleet is kept up to date by
-``fleet_updates``; nothing of it is durable.
+Each request becomes a ``RelayRun``. The gateway's view of the fleet is kept up to date by
+``fleet_updates``; none of it is durable.
 """
 
 from collections.abc import Callable
@@ -29,22 +29,22 @@
 
 STATUS_UNAUTHORIZED = 401
 STALE_CONNECTIONS_PERIOD_S = 1.0
-"""Connections that have rested too long are closed this often.
+"""How often stale idle connections are closed.
 
-Not measured; chosen to be short against the seconds that a connection may rest.
+Short compared with the seconds that a connection may be idle.
 """
 RUNNERS_EXPECTED_AFTER_S = 1.5
-"""After its start a gateway waits this long for runners' heartbeats before it calls itself ready.
+"""After its start a gateway waits this long for runners' heartbeats before it reports ready.
 
-Not measured; longer than the 1.2 s between two heartbeats of a runner.
+Longer than the 1.2 s between two heartbeats of a runner.
 """
 
 BatchHandler = Callable[[Exchange, Route, RequestFacts, Identity], None]
-"""Takes a request on a batch route: a whole job."""
+"""Handles a request on a batch route, which submits a job."""
 
 
 class RelayGateway:
-    """Relays requests over the fleet that its follower knows."""
+    """Relays requests to the runners that its follower reports."""
 
     def __init__(
         self,
@@ -85,17 +85,17 @@
         context.give_back = quotas.give_back
 
     def start(self) -> None:
-        """Begin to close connections to runners that have rested too long."""
+        """Start the periodic closing of stale idle connections to runners."""
         self._close_stale_connections()
 
     def stop(self) -> None:
-        """Report nothing more, and stop all timers that start themselves again."""
+        """Stop load reports and all recurring timers."""
         self._is_stopped = True
         self._reporter.stop()
         self._idle_runners.stop()
 
     def is_ready(self) -> bool:
-        """Tell whether new clients may come."""
+        """Tell whether new clients may be routed here."""
         if self.draining or self._context.table is None:
             return False
         age_s = self._context.clock.seconds() - self._started_s
@@ -128,7 +128,10 @@
         self._refuse_unready(exchange, self._context.protocol.describe(exchange.request))
 
     def identify_job_call(self, exchange: Exchange) -> Identity | None:
-        """Return on whose behalf a call about a job comes; answers it when that is nobody's."""
+        """Return the identity behind a call about a job.
+
+        Without a valid one the call is answered here, and None is returned.
+        """
         table = self._context.table
         facts = self._context.protocol.describe(exchange.request)
         if table is None:
@@ -141,7 +144,7 @@
         return identity
 
     def _is_allowed(self, identity: Identity | None) -> TypeGuard[Identity]:
-        """Tell whether a request may go on: its key is known and can still be trusted."""
+        """Tell whether a request may proceed: its key is known and not expired."""
         if identity is None:
             return False
         return not identity.tenant or not self._context.settings.keys_expired(
@@ -149,13 +152,13 @@
         )
 
     def _without_controllers_s(self) -> float:
-        """Return for how long too few controllers have answered to know of the newest table."""
+        """Return for how long too few controllers have answered to be sure of the newest table."""
         return self._follower.controllers.silent_s(self._context.settings.trusted_controllers)
 
     def _refuse_key(
         self, exchange: Exchange, facts: RequestFacts, identity: Identity | None
     ) -> None:
-        """Refuse a request whose key is unknown, or can't be relied on any more."""
+        """Refuse a request whose key is unknown, or was not confirmed for too long."""
         if identity is not None:
             self._refuse_unready(exchange, facts, "keys are too old while controllers are away")
             return
@@ -185,7 +188,7 @@
         context = self._context
         allowed = context.allowed_regions(route, identity)
         if not context.regions.may_be_kept(allowed, context.zone):
-            # The ledger keeps copies in all regions: better not taken than kept where it must not.
+            # The ledger keeps copies in all regions, also in those that the job must not enter.
             self._refuse_unready(exchange, facts, "the ledger lies in regions that are not allowed")
             return
         self.on_batch(exchange, route, facts, identity)
@@ -205,10 +208,10 @@
         if run.first_s is not None:
             metrics.observe("request_first_seconds", run.first_s, kind=run.kind.value)
 
-    # --- housekeeping --------------------------------------------------------------------
+    # --- periodic work -------------------------------------------------------------------
 
     def _load_changed(self) -> None:
-        """Report what is under way, and watch the runners that have it."""
+        """Plan a load report and a check for idle runners."""
         self._reporter.plan()
         self._idle_runners.plan()
 
--- a/src/rainsail/relay/header_protocol.py
+++ b/src/rainsail/relay/header_protocol.py
@@ -1,6 +1,6 @@
-"""Reads and writes the headers of relayed requests, by names that each platform chooses.
+"""Reads and writes the headers of relayed requests, with header names chosen by each platform.
 
-Implements ``relay.protocol``. Decides nothing: what follows from a head is up to ``continuation``.
+Implements ``relay.protocol``. Makes no decisions: the consequences are up to ``continuation``.
 """
 
 import math
@@ -27,16 +27,16 @@
 STATUS_MISDIRECTED = 421
 STATUS_MIN_FAILURE = 400
 PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses by which a client takes it that its request was not run."""
+"""Statuses that tell a client that its request was not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """What the headers are called.
+    """The names of the headers.
 
-    ``key_scheme`` stands before an API key in ``Authorization``; ``deadline`` holds how long the
-    client waits, in units of ``deadline_unit_s``; ``runner`` names the runner that a request is
-    meant for; ``load`` holds running, waiting and slots, by commas.
+    ``key_scheme`` precedes an API key in ``Authorization``. ``deadline`` holds how long the client
+    waits, in units of ``deadline_unit_s``. ``runner`` names the runner that a request is meant for.
+    ``load`` holds running requests, waiting requests and slots, separated by commas.
     """
 
     request: bytes = b"Rainsail-Request"
@@ -65,7 +65,7 @@
         self._not_forwarded = frozenset(name.lower() for name in (names.load, names.not_run))
 
     def describe(self, request: HttpRequest) -> RequestFacts:
-        """Read what a client's request says of itself."""
+        """Parse the headers of a client's request."""
         names, fields = self._names, request.headers
         deadline = header_number(fields, names.deadline.lower())
         prompt_tokens, answer_tokens = _usage(header_text(fields, names.usage.lower()))
@@ -83,7 +83,7 @@
         )
 
     def _key(self, fields: HeaderFields) -> KeyDigest | None:
-        """Return the digest of the one key that a request states."""
+        """Return the digest of the request's API key; None unless there is exactly one."""
         name = AUTHORIZATION.lower()
         values = [value for each, value in fields if each.lower() == name]
         if len(values) != 1:
@@ -102,7 +102,7 @@
         after_event: int | None,
         identity: Identity,
     ) -> OutgoingRequest:
-        """Return the request as it goes to a runner: with its tenant, without its key."""
+        """Return the request as sent to a runner: with its tenant, without its API key."""
         replaced = self._replaced_with_key if identity.keyed else self._replaced
         fields = list(end_to_end(request.headers, replaced))
         if deadline_left_s is not None:
@@ -111,14 +111,14 @@
         return OutgoingRequest(request.method, request.target, tuple(fields), request.body)
 
     def _deadline(self, left_s: float) -> bytes:
-        """Return the time left; whole units where these are short."""
+        """Format the time left; in whole units if a unit is shorter than a second."""
         left = left_s / self._names.deadline_unit_s
         if self._names.deadline_unit_s < 1:
             return str(max(1, math.floor(left))).encode()
         return f"{left:.3f}".encode()
 
     def item_request(self, item: ItemRequest, target: RunnerTarget) -> OutgoingRequest:
-        """Return an item's request as it goes to a runner."""
+        """Return an item's request as sent to a runner."""
         fields = [(HOST, item.host.encode()), (self._names.request, item.item.item.encode())]
         stated = [
             (header.name.encode("latin-1"), header.value.encode("latin-1"))
@@ -141,7 +141,7 @@
         return fields
 
     def judge(self, head: AnswerHead, request: str) -> AnswerVerdict:
-        """Judge the head of a runner's answer to a request."""
+        """Interpret the head of a runner's answer to a request."""
         answered = header_text(head.headers, self._names.request.lower())
         says_not_run = header_value(head.headers, self._names.not_run.lower()) is not None
         other_runner = head.status == STATUS_MISDIRECTED
@@ -156,11 +156,11 @@
         )
 
     def answer_headers(self, head: AnswerHead) -> HeaderFields:
-        """Return the fields of a runner's answer that travel on to the client."""
+        """Return the fields of a runner's answer that are forwarded to the client."""
         return end_to_end(head.headers, self._not_forwarded)
 
     def refusal_headers(self, retry_after_s: float | None) -> HeaderFields:
-        """Return the fields of an answer of our own."""
+        """Return the fields of an answer that the gateway gives itself."""
         if retry_after_s is None:
             return ()
         return ((RETRY_AFTER, f"{retry_after_s:g}".encode()),)
--- a/src/rainsail/relay/held_end.py
+++ b/src/rainsail/relay/held_end.py
@@ -1,10 +1,11 @@
-"""Holds back the end of a stream while other streams may still tell whether it is whole.
+"""Delays the end of a stream until other streams show whether its first events were lost.
 
-All events of the stream have left; only the mark that it is complete is missing. A request that may
-run once only can't be compared with a second run, so that a loss at its beginning shows by the
-streams of other requests alone, and these may come after its first event.
+All events have been sent; only the terminator, by which the client knows that the stream is
+complete, is held. A request that may run only once can't be compared with a second run. A loss at
+its beginning then shows only by the streams of other requests, which may come after its own first
+event.
 
-Owns the time that an end may wait. Relies on ``stream_beginnings`` for what is known.
+Defines how long an end may be held. Relies on ``stream_beginnings`` for the comparison.
 """
 
 from collections.abc import Callable
@@ -14,19 +15,20 @@
 from rainsail.runtime.clock import Clock
 
 MIN_CLIENT_TIMEOUT_S = 2.0
-"""Clients wait at least this long for the next part of a stream, by the platform's protocol."""
+"""By the platform's protocol, clients wait at least this long for the next part of a stream."""
 CLIENT_TIMEOUT_TARGETS = 4
-"""They wait for so many of the route's targets, if that is longer."""
+"""Clients wait this many times the route's target, if that is longer."""
 CLIENT_TIMEOUT_GAP_TARGETS = 8
-"""They wait for so many of the pauses that the route aims at, if that is longer."""
+"""Clients wait this many times the route's gap target, if that is longer."""
 TRANSIT_S = 0.25
-"""An end leaves this long before its client would give up, for its way to the client."""
+"""Margin for the network: the end is sent this long before the client's time-out."""
 
 
 def max_end_hold_s(route: Route, since_last_event_s: float, time_left_s: float) -> float:
-    """Return how long an end may be held; 0 or less: not at all.
+    """Return how long the end of a stream may be held; 0 or less means not at all.
 
-    ``time_left_s`` is the time until the deadline of the request.
+    ``since_last_event_s`` is the time since the last event was sent, ``time_left_s`` the time until
+    the request's deadline.
     """
     client_timeout_s = max(
         MIN_CLIENT_TIMEOUT_S,
@@ -37,7 +39,7 @@
 
 
 class HeldEnd:
-    """Calls ``released`` once: when more is known of the beginning, or after ``max_hold_s``."""
+    """Calls ``released`` once: when the beginning is settled, or after ``max_hold_s``."""
 
     def __init__(
         self,
@@ -55,7 +57,7 @@
         self._stop_listening = beginnings.listen(self._review)
 
     def cancel(self) -> None:
-        """Wait no more, and call nothing."""
+        """Stop waiting, without calling ``released``."""
         if self._is_over:
             return
         self._is_over = True
--- a/src/rainsail/relay/idle_runners.py
+++ b/src/rainsail/relay/idle_runners.py
@@ -1,4 +1,4 @@
-"""Ejects runners that send nothing for too long while answers are awaited from them."""
+"""Ejects runners that send nothing for too long while answers from them are pending."""
 
 from rainsail.cluster.registry import RunnerRegistry
 from rainsail.logs import logger
@@ -6,7 +6,7 @@
 
 
 class IdleRunnerCheck:
-    """Looks at all runners from which an answer is awaited, again and again."""
+    """Periodically checks the runners that have pending answers."""
 
     def __init__(self, context: RelayContext, registry: RunnerRegistry) -> None:
         self._context = context
@@ -15,14 +15,14 @@
         self._is_stopped = False
 
     def plan(self) -> None:
-        """Look after the period, unless that is planned already."""
+        """Schedule a check after one period, unless one is scheduled already."""
         if not self._is_planned and not self._is_stopped:
             self._is_planned = True
             period_s = self._context.settings.idle_check_period_s
             self._context.clock.callLater(period_s, self._look)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         self._is_stopped = True
 
     def _look(self) -> None:
@@ -37,7 +37,7 @@
             self.plan()
 
     def _eject(self, runner: str, now: float) -> None:
-        """Leave a runner out; what is sent to it later gets a new connection."""
+        """Eject a runner and close its idle connections, so that later requests open new ones."""
         self._context.loads.eject(runner, now, self._context.settings.idle_ejection_s)
         record = self._registry.get(runner)
         if record is not None and record.address:
--- a/src/rainsail/relay/load_reports.py
+++ b/src/rainsail/relay/load_reports.py
@@ -1,6 +1,6 @@
-"""Reports to the ledger's leader what this gateway has under way, soon after it has changed.
+"""Reports this gateway's requests in flight to the ledger's leader, shortly after each change.
 
-Owns the address of the leader and the timer of the next report. An idle gateway sends nothing.
+Owns the leader's address and the timer of the next report. An idle gateway sends nothing.
 """
 
 from rainsail.relay.context import RelayContext
@@ -10,7 +10,7 @@
 
 
 class LoadReporter:
-    """Sends a report at most once in a period."""
+    """Sends at most one report per period."""
 
     def __init__(
         self, context: RelayContext, messenger: Messenger, placements: PlacementClient
@@ -24,21 +24,21 @@
         self._is_stopped = False
 
     def set_leader(self, address: str) -> None:
-        """Report to this node from now on; empty when none is known."""
+        """Set the node to report to; empty when no leader is known."""
         self._leader = address
 
     def set_gateways(self, gateways: int) -> None:
-        """Report the less often, the more gateways share the leader."""
+        """Adapt the report period to the number of gateways that share the leader."""
         self._period_s = self._context.settings.use_report_period_s_at(gateways)
 
     def plan(self) -> None:
-        """Send a report within the period, unless one is planned already."""
+        """Schedule a report after one period, unless one is scheduled already."""
         if not self._is_planned and not self._is_stopped:
             self._is_planned = True
             self._context.clock.callLater(self._period_s, self._report)
 
     def stop(self) -> None:
-        """Report no more."""
+        """Stop reporting."""
         self._is_stopped = True
 
     def _report(self) -> None:
--- a/src/rainsail/relay/placement.py
+++ b/src/rainsail/relay/placement.py
@@ -1,7 +1,7 @@
-"""Asks the ledger's leader where a request should go, while its service is busy.
+"""Asks the ledger's leader where to send a request while its service is busy.
 
-An answer takes a round trip between zones, a few milliseconds. The leader may be gone: then the
-gateway chooses at once by what it knows itself, and asks again a little later.
+An answer takes a round trip between zones, a few milliseconds. If the leader does not answer, the
+gateway chooses by its own data, and does not ask again for ``RETRY_PAUSE_S``.
 """
 
 from collections.abc import Callable
@@ -17,25 +17,22 @@
 ANSWER_TIMEOUT_S = 0.04
 """How long a request waits for the leader's answer.
 
-Not measured; chosen longer than a busy leader takes, and short beside any target for a first byte.
+Longer than a busy leader takes, and short compared with any target for a first byte.
 """
 RETRY_PAUSE_S = 0.5
-"""Pause after an answer that did not come.
-
-Not measured; chosen as the time in which the group elects a new leader.
-"""
+"""Pause after an unanswered call: the time in which the group elects a new leader."""
 BUSY_VALID_S = 0.4
-"""For how long a service counts as busy after the leader has said so.
+"""How long a service counts as busy after the leader has reported it.
 
-Not measured; chosen as several of the leader's reports, which follow those of this gateway.
+Several of the leader's report periods; its reports follow those of this gateway.
 """
 
 Placed = Callable[[Placement | None], None]
-"""Called with where a request should go, or with None when the gateway has to choose."""
+"""Called with the placement, or with None if the gateway has to choose."""
 
 
 class PlacementClient:
-    """A gateway's side of placements."""
+    """Requests placements from the ledger's leader."""
 
     def __init__(self, messenger: Messenger, clock: Clock, metrics: NodeMetrics) -> None:
         self._messenger = messenger
@@ -45,28 +42,28 @@
         self._ask_after_s = float("-inf")
         self._busy_until_s: dict[str, float] = {}
         self.seen = 0
-        """The highest number of a placement by this leader."""
+        """The highest placement number received from this leader."""
         self.on_placed: Callable[[], None] = lambda: None
-        """Called after each placement, which the next report to the leader confirms."""
+        """Called after each placement; the next load report to the leader confirms it."""
 
     def set_leader(self, address: str) -> None:
-        """Ask this node from now on; empty when none is known."""
+        """Set the node to ask; empty when no leader is known."""
         self._leader = address
         self._ask_after_s = float("-inf")
         self._busy_until_s.clear()
         self.seen = 0
 
     def update_busy(self, service: str, places: bool) -> None:
-        """Note whether the leader places requests of a service, as it has just reported."""
+        """Record the leader's report on whether it places requests of a service."""
         if places:
             self._busy_until_s[service] = self._clock.seconds() + BUSY_VALID_S
         else:
             self._busy_until_s.pop(service, None)
 
     def place(self, request: PlaceRequest, placed: Placed, must_ask: bool = False) -> None:
-        """Ask the leader to place a request if it does that, then call ``placed``, in any case.
+        """Ask the leader to place a request if the service is busy; always call ``placed``.
 
-        With ``must_ask`` the leader is asked though it has not said that it places requests.
+        With ``must_ask`` the leader is asked even if it has not reported the service as busy.
         """
         now = self._clock.seconds()
         busy = self._busy_until_s.get(request.service, float("-inf")) >= now
--- a/src/rainsail/relay/protocol.py
+++ b/src/rainsail/relay/protocol.py
@@ -1,6 +1,6 @@
-"""The port to a platform's headers: what relaying reads from them and writes into them.
+"""Interface to a platform's headers: what the relay reads from them and writes into them.
 
-An adapter implements it for one platform's names and decides nothing.
+An adapter implements it for one platform's header names and makes no decisions.
 """
 
 from dataclasses import dataclass
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a request says of itself.
+    """The contents of a request's headers.
 
-    ``deadline_s`` is how long the client waits from when it sent the request (None: not said);
-    ``after_event`` is the last event that a client which takes a stream up again has seen.
+    ``deadline_s`` is how long the client waits from when it sent the request (None: not stated);
+    ``after_event`` is the last event that a client resuming a stream has received.
     """
 
     request: str
@@ -31,7 +31,7 @@
     answer_tokens: int
     after_event: int | None
     key: KeyDigest | None = None
-    """The digest of the API key; None when there is none, several, or one in another form."""
+    """The digest of the API key; None if there is none, more than one, or a malformed one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerVerdict:
-    """What an answer's head says.
+    """The contents of an answer's head.
 
-    ``belongs``: it answers this request. ``not_run``: the runner has not run it and never will.
-    ``promises_not_run``: its status would promise that to a client, true or not. ``other_runner``:
-    the address belongs to another runner now.
-    ``load`` is what the runner reports of its load (None: nothing).
+    ``belongs``: it answers this request. ``not_run``: the runner has not run it and will not.
+    ``promises_not_run``: its status means the same to a client, whether true or not.
+    ``other_runner``: the address now belongs to another runner.
+    ``load`` is the load that the runner reports (None: not reported).
     """
 
     belongs: bool
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemRequest:
-    """An item that is to be sent, going on behind ``after_event`` if that is given."""
+    """An item to be sent; its run resumes after ``after_event`` if that is given."""
 
     host: str
     item: RelayedItem
@@ -73,7 +73,7 @@
     """Reads and writes a platform's headers."""
 
     def describe(self, request: HttpRequest) -> RequestFacts:
-        """Read what a client's request says of itself."""
+        """Parse the headers of a client's request."""
         ...
 
     def relayed(
@@ -84,21 +84,21 @@
         after_event: int | None,
         identity: Identity,
     ) -> OutgoingRequest:
-        """Return the request as it goes to a runner: with its tenant, without its key."""
+        """Return the request as sent to a runner: with its tenant, without its API key."""
         ...
 
     def item_request(self, item: ItemRequest, target: RunnerTarget) -> OutgoingRequest:
-        """Return an item's request as it goes to a runner."""
+        """Return an item's request as sent to a runner."""
         ...
 
     def judge(self, head: AnswerHead, request: str) -> AnswerVerdict:
-        """Judge the head of a runner's answer to a request."""
+        """Interpret the head of a runner's answer to a request."""
         ...
 
     def answer_headers(self, head: AnswerHead) -> HeaderFields:
-        """Return the fields of a runner's answer that travel on to the client."""
+        """Return the fields of a runner's answer that are forwarded to the client."""
         ...
 
     def refusal_headers(self, retry_after_s: float | None) -> HeaderFields:
-        """Return the fields of an answer of our own."""
+        """Return the fields of an answer that the gateway gives itself."""
         ...
--- a/src/rainsail/relay/recorder.py
+++ b/src/rainsail/relay/recorder.py
@@ -1,7 +1,7 @@
-"""Records what becomes of one relayed request: for routing, for quarantine and in the log.
+"""Records the attempts and the outcome of one relayed request for routing, quarantine and the log.
 
-Owns the request's fingerprint and the reason that the log gives for its end. Relies on the
-gateway's runner loads, connection pool, overload guard and quarantine guard to keep its reports.
+Owns the request's fingerprint and the logged reason for its end. The records are kept by the
+gateway's runner loads, connection pool, overload guard and quarantine guard.
 """
 
 from collections.abc import Sequence
@@ -31,21 +31,21 @@
         identity: Identity,
     ) -> None:
         self.reason = ""
-        """Why the last attempt did not complete the request; empty before one has failed."""
+        """Why the last attempt did not complete the request; empty if none has failed."""
         self._context = context
         self._request = request
         self._facts = facts
         self._identity = identity
         self.split_service = ""
-        """The service that the request goes to, where its route is split among several."""
+        """The service chosen for the request if its route is split among several, else empty."""
         self._fingerprints: dict[str, Fingerprint] = {}
-        """By ``split_service``."""
+        """Cache of fingerprints by ``split_service``."""
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What this request has in common with its repetitions at the same service.
+        """The hash that identifies repetitions of this request at the same service.
 
-        It costs a digest of the body, so that it is made when it is first asked for.
+        Computed on first use, since it costs a digest of the body.
         """
         known = self._fingerprints.get(self.split_service)
         if known is not None:
@@ -62,26 +62,26 @@
         return made
 
     def is_quarantined(self) -> bool:
-        """Tell whether no runner may get the request now."""
+        """Tell whether the request is quarantined now, so that no runner may get it."""
         guard = self._context.guard
         return guard.holds_any and guard.holds(self.fingerprint)
 
     # --- attempts ------------------------------------------------------------------------
 
     def answered(self, attempt: Attempt) -> None:
-        """The runner has answered without a failure: the request has not ended it."""
+        """Record a success; it shows that the request did not crash the runner."""
         self._context.loads.answered(attempt.record.runner)
         if self._context.guard.wants_answers and attempt.proves_survival:
             self._context.guard.answered(self.fingerprint)
 
     def failed(self, attempt: Attempt) -> None:
-        """The runner answered with a failure of its own."""
+        """Record an answer with an error status."""
         assert attempt.head is not None
         self.reason = f"the runner answered {attempt.head.status}"
         self._count_failure(attempt)
 
     def refused(self, attempt: Attempt) -> None:
-        """The runner was full, or its address belongs to another one."""
+        """Record that the runner was full, or that its address belongs to another runner."""
         assert attempt.verdict is not None and attempt.head is not None
         self.reason = f"the runner refused with {attempt.head.status}"
         now = self._context.clock.seconds()
@@ -91,16 +91,16 @@
             self._context.loads.full(attempt.record.runner, now)
 
     def unreachable(self, attempt: Attempt, reason: str) -> None:
-        """No connection to the runner could be opened."""
+        """Record that no connection to the runner could be opened."""
         self.reason = reason
         now = self._context.clock.seconds()
         self._context.loads.failed(attempt.record.runner, now, at_once=True)
         self._context.pool.forget(attempt.record.address)
 
     def interrupted(self, attempt: Attempt, reason: str, last_event: int | None) -> bool:
-        """The runner's answer broke off behind an event; tell whether the request may go elsewhere.
+        """Record an answer interrupted after an event; tell whether the request may be resent.
 
-        It may not while the quarantine has to find out whether the request has ended the runner.
+        It may not while the quarantine investigates whether the request has crashed the runner.
         """
         self.reason = reason
         self._count_failure(attempt)
@@ -118,13 +118,13 @@
         return may_resend
 
     def dropped_unconfirmed(self, attempt: Attempt) -> None:
-        """The stream's beginning is compared with another run's; the runner may have done well."""
+        """Record that the stream is compared with another run; the runner may be without fault."""
         self.reason = UNCONFIRMED_BEGINNING
         log = logger.bind(request=self._facts.request, runner=attempt.record.runner)
         log.bind(reason=UNCONFIRMED_BEGINNING).info("attempt_unconfirmed")
 
     def end_held(self, attempt: Attempt, max_hold_s: float) -> None:
-        """The stream is over, and its end is held back for ``max_hold_s`` at most."""
+        """Record that the stream has ended and its end is held for at most ``max_hold_s``."""
         log = logger.bind(request=self._facts.request, runner=attempt.record.runner)
         log.bind(most_ms=round(max_hold_s * MILLISECONDS_PER_S)).info("stream_end_held")
 
@@ -132,17 +132,17 @@
         self._context.loads.failed(attempt.record.runner, self._context.clock.seconds())
 
     def streamed(self, service: str, first_s: float | None) -> None:
-        """A stream is complete; the overload guard learns how long streams hold a slot.
+        """Report to the overload guard how long a complete stream has held a slot.
 
-        ``first_s`` is when its first byte left, in seconds since the request came.
+        ``first_s`` is when its first byte was sent, in seconds since the request arrived.
         """
         if first_s is not None:
             self._context.overload.answered(service, self._elapsed_s() - first_s)
 
-    # --- the end -------------------------------------------------------------------------
+    # --- end of the request --------------------------------------------------------------
 
     def log_end(self, outcome: RequestOutcome, sender: RequestSender, answer: ClientAnswer) -> None:
-        """Log how the request ended, and what was sent and answered until then."""
+        """Log the outcome of the request and a summary of its attempts and answers."""
         context = self._context
         first_s = answer.first_s
         logger.bind(
--- a/src/rainsail/relay/response_timeout.py
+++ b/src/rainsail/relay/response_timeout.py
@@ -1,4 +1,4 @@
-"""The time that a runner has for the next part of an answer before the request leaves it."""
+"""The time-out after which a request is moved away from a runner that sends nothing."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 from rainsail.runtime.clock import Timer
 
 GAP_TARGETS = 2
-"""A stream times out after this many times the pause that its route aims at.
+"""A stream times out after this many times its route's gap target.
 
-Not measured; chosen so that one pause that is late, but not lost, does not move the stream.
+So a single late event does not move the stream to another runner.
 """
 
 
 class ResponseTimeout:
-    """Calls ``timed_out`` once a runner has sent nothing for too long; one for each request."""
+    """Calls ``timed_out`` when a runner has sent nothing for too long; one per request."""
 
     def __init__(self, context: RelayContext, timed_out: Callable[[], None]) -> None:
         self._context = context
@@ -22,7 +22,7 @@
         self._timer: Timer | None = None
 
     def request_sent(self, route: Route, attempts: int) -> None:
-        """Wait for the first part of an answer; ``attempts`` counts this sending too."""
+        """Start the time-out for the first part of an answer; ``attempts`` includes this one."""
         settings = self._context.settings
         wait_s = max(
             settings.min_response_timeout_s, settings.response_timeout_targets * route.target_s
@@ -30,12 +30,12 @@
         self._restart(route, attempts, wait_s)
 
     def events_received(self, route: Route, attempts: int) -> None:
-        """Wait for the next events of a stream."""
+        """Restart the time-out for the next events of a stream."""
         wait_s = max(self._context.settings.min_event_timeout_s, GAP_TARGETS * route.gap_target_s)
         self._restart(route, attempts, wait_s)
 
     def stop(self) -> None:
-        """Wait for nothing."""
+        """Cancel the time-out."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -1,8 +1,8 @@
-"""Runs one client's request: sends it, follows its attempts, and ends it with one answer.
+"""Runs one client's request: sends it, handles its attempts, and ends it with one answer.
 
-``continuation`` decides what follows each attempt, ``sender`` sends, ``client_answer`` writes what
-the client gets and ``recorder`` records what happened. This module connects them and owns the
-request's deadline.
+``continuation`` decides what follows each attempt, ``sender`` sends, ``client_answer`` writes to
+the client and ``recorder`` records what happened. This module connects them and owns the request's
+deadline.
 """
 
 from collections.abc import Callable
@@ -65,7 +65,7 @@
         ended: Callable[["RelayRun"], None],
         identity: Identity = NOBODY,
     ) -> None:
-        """``ended`` is called once, when the client has got all that it will get."""
+        """``ended`` is called once, when the request is over."""
         request = exchange.request
         self.outcome: RequestOutcome | None = None
         self._context = context
@@ -94,29 +94,29 @@
 
     @property
     def kind(self) -> RouteKind:
-        """What may be repeated of the request."""
+        """The kind of the request's route, which decides what may be repeated."""
         return self._sender.route.kind
 
     @property
     def attempts_counted(self) -> int:
-        """How many times it was sent to a runner that was meant to get it."""
+        """The number of attempts that reached the intended runner."""
         return self._sender.attempts_counted
 
     @property
     def first_s(self) -> float | None:
-        """When the first byte of the answer left, in seconds since the request came."""
+        """When the first byte of the answer was sent, in seconds since the request arrived."""
         return self._answer.first_s
 
-    # --- beginning and end ---------------------------------------------------------------
+    # --- start and end -------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start the deadline, and send to a first runner once the tenant's quota allows it."""
+        """Start the deadline timer, and send the request once the tenant's quota admits it."""
         left_s = max(0.0, self._time_left_s())
         self._deadline_timer = self._context.clock.callLater(left_s, self._deadline_passed)
         self._context.admit(self._identity, self._quota_decided)
 
     def _quota_decided(self, wait_s: float) -> None:
-        """Go on, or have the client come back when the quota allows it."""
+        """Send the request, or refuse it with the time to wait for the quota."""
         is_allowed = wait_s <= 0
         if self.outcome is not None:
             if is_allowed:
@@ -139,7 +139,7 @@
             self._end(time_out(self._progress(), is_sent, self._context.settings))
 
     def _end(self, ending: Ending) -> None:
-        """Answer the client as was decided."""
+        """Carry out the decided end of the request."""
         self._recorder.reason = ending.reason
         match ending:
             case Abort():
@@ -166,7 +166,7 @@
         self._on_ended(self)
 
     def _give_back_unrun(self, outcome: RequestOutcome) -> None:
-        """Give a request that has certainly not run back to the tenant's quota."""
+        """Refund the tenant's quota for a request that has certainly not run."""
         never_sent = not self._sender.attempts_counted and not self._may_have_run
         if self._is_admitted and (outcome == RequestOutcome.REFUSED or never_sent):
             self._context.give_back(self._identity)
@@ -174,7 +174,7 @@
     # --- deciding and sending ------------------------------------------------------------
 
     def _try_next(self) -> None:
-        """Have the next sending placed if it is allowed, else end the request."""
+        """Ask for the next attempt's placement if it is allowed, else end the request."""
         if self.outcome is not None:
             return
         decision = decide_send(self._progress(), self._terms(), self._context.settings)
@@ -184,7 +184,7 @@
             self._end(decision)
 
     def _send_placed(self, placement: Placement | None) -> None:
-        """Send to a runner; what was allowed may have changed since the leader was asked."""
+        """Send to a runner, after deciding again: the terms may have changed meanwhile."""
         if self.outcome is not None:
             return
         settings = self._context.settings
@@ -204,7 +204,7 @@
             self._sender.send(found.record, decision)
 
     def _note_service(self) -> None:
-        """Have the recorder mean the request at the service that was chosen for it."""
+        """Tell the recorder which service was chosen for the request."""
         self._recorder.split_service = self._sender.route.split_service(self._sender.service)
 
     def _progress(self) -> RequestProgress:
@@ -218,7 +218,7 @@
         )
 
     def _terms(self) -> SendTerms:
-        """Return what limits a sending now: quarantine and routing table may just have changed."""
+        """Return the current constraints: quarantine and routing table may have changed."""
         return SendTerms(
             self._current_route(), self._recorder.is_quarantined(), self._time_left_s()
         )
@@ -231,7 +231,7 @@
         return self._deadline_s - self._context.clock.seconds()
 
     def _continue_after(self, end: AttemptEnd) -> None:
-        """Go on after an attempt whose answer the client does not get."""
+        """Retry or end the request after an attempt whose answer is not forwarded."""
         self._sender.attempt = None
         self._may_have_run = self._may_have_run or end != AttemptEnd.NOT_RUN
         sent_by, settings = self._sender.route, self._context.settings
@@ -241,19 +241,20 @@
         else:
             self._end(ending)
 
-    # --- AttemptOwner: what came ---------------------------------------------------------
+    # --- AttemptOwner: answers -----------------------------------------------------------
 
     def head_received(self, attempt: Attempt) -> None:
-        """Leave a runner whose answer can't be part of the one that the client has begun to get.
+        """Drop an answer that can't continue the one that the client has received in part.
 
-        It is left at once: the end of its answer, say of a failure, would look like the stream's.
+        It is dropped at its head: the end of an error's body, for example, would look like the end
+        of the stream.
         """
         if not self._answer.may_include(attempt):
             attempt.cancel()
             self._leave_answer(attempt, AttemptEnd.UNUSABLE)
 
     def events_received(self, attempt: Attempt, events: list[Event]) -> None:
-        """Hand whole events on, at once."""
+        """Write complete events to the client without buffering."""
         if self.outcome is not None:
             return
         flaw = self._answer.write_events(attempt, events)
@@ -264,7 +265,7 @@
             self._leave_flawed(attempt, flaw)
 
     def body_received(self, attempt: Attempt) -> None:
-        """Pass a large answer on before it has ended, unless it's a failure that no client gets."""
+        """Forward a large answer before its end, unless it is a failure that is not forwarded."""
         if attempt.body_bytes < self._context.settings.buffered_bytes:
             return
         if self._passes_on(attempt):
@@ -274,7 +275,7 @@
             self._leave_answer(attempt, attempt.body_end)
 
     def stream_ended(self, attempt: Attempt) -> None:
-        """End the answer as complete, if what the end left open is the next event."""
+        """Write the last event, then complete the answer, hold its end, or drop a flawed stream."""
         assert attempt.stream is not None
         flaw = self._answer.write_events(attempt, attempt.stream.last_events())
         flaw = flaw or self._answer.judge_end(attempt)
@@ -292,7 +293,7 @@
             self._hold_end(attempt, unconfirmed, max_hold_s)
 
     def _hold_end(self, attempt: Attempt, unconfirmed: StreamBeginning, max_hold_s: float) -> None:
-        """Keep the end of a stream back until other streams tell whether it has its beginning."""
+        """Delay the end of a stream until other streams show whether its beginning is missing."""
         self._sender.stop_timeout()
         self._sender.attempt = None
         self._recorder.end_held(attempt, max_hold_s)
@@ -306,7 +307,7 @@
         )
 
     def _release(self, attempt: Attempt) -> None:
-        """End a stream whose end was held, by what is known now."""
+        """End a stream whose end was held, as complete or as flawed."""
         flaw = self._answer.judge_held_end(attempt)
         if flaw is None:
             self._complete_stream(attempt)
@@ -329,7 +330,7 @@
         )
 
     def _leave_flawed(self, attempt: Attempt, flaw: str) -> None:
-        """Go on at another runner, or cut off a stream that has left without its beginning."""
+        """Retry on another runner, or abort a stream that was sent without its beginning."""
         if flaw == UNCONFIRMED_BEGINNING:
             self._recorder.dropped_unconfirmed(attempt)
             self._continue_after(AttemptEnd.BROKEN)
@@ -341,7 +342,7 @@
             self.answer_interrupted(attempt, flaw)
 
     def answer_received(self, attempt: Attempt) -> None:
-        """Pass a whole answer on, or try again where its status asks for that."""
+        """Forward a complete answer, or retry if its status calls for that."""
         if not self._passes_on(attempt):
             self._leave_answer(attempt, attempt.body_end)
             return
@@ -361,15 +362,15 @@
         return forwards_answer(attempt.body_end, self._sender.route, self._answer.client_has)
 
     def _leave_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
-        """Drop a runner's answer that the client does not get; the request may have run."""
+        """Drop an answer that is not forwarded; the request may have run."""
         attempt.body.clear()
         self._recorder.failed(attempt)
         self._continue_after(end)
 
-    # --- AttemptOwner: what did not come -------------------------------------------------
+    # --- AttemptOwner: failures ----------------------------------------------------------
 
     def runner_refused(self, attempt: Attempt) -> None:
-        """Try another runner: this one has not run the request."""
+        """Try another runner: this one has not run the request and will not."""
         assert attempt.verdict is not None
         if attempt.verdict.other_runner:
             self._sender.uncount_attempt()
@@ -377,18 +378,18 @@
         self._continue_after(AttemptEnd.NOT_RUN)
 
     def runner_unreachable(self, attempt: Attempt, reason: str) -> None:
-        """Try another runner: the request never left for this one."""
+        """Try another runner: the request was not sent to this one."""
         self._sender.uncount_attempt()
         self._recorder.unreachable(attempt, reason)
         self._continue_after(AttemptEnd.NOT_RUN)
 
     def answer_interrupted(self, attempt: Attempt, reason: str) -> None:
-        """Go on at another runner where that is allowed; otherwise end the request."""
+        """Retry on another runner where that is allowed, otherwise end the request."""
         may_resend = self._recorder.interrupted(attempt, reason, self._answer.last_event)
         self._continue_after(AttemptEnd.BROKEN if may_resend else AttemptEnd.BROKEN_SUSPECT)
 
     def _response_timed_out(self) -> None:
-        """Leave a runner that sends nothing, if another one is there and can go on."""
+        """Move away from a runner that sends nothing, if another runner can take over."""
         attempt, route = self._sender.attempt, self._sender.route
         other_runner_left = self._sender.other_runner_left()
         may_leave = may_leave_silent_runner(route, self._answer.client_has, other_runner_left)
--- a/src/rainsail/relay/runner_finder.py
+++ b/src/rainsail/relay/runner_finder.py
@@ -1,7 +1,7 @@
-"""Finds the runner that one request is sent to next, or refuses it because of overload.
+"""Finds the runner for a request's next attempt, or refuses the request because of overload.
 
-The ledger's leader places requests while their service is busy. Otherwise, and where the leader
-does not answer, the gateway chooses by what it knows itself.
+The ledger's leader places requests while their service is busy. Otherwise, and if the leader does
+not answer, the gateway chooses by its own data.
 """
 
 from collections.abc import Callable
@@ -17,19 +17,19 @@
 from rainsail.tenancy.tenants import Identity
 
 ANY_WAIT = -1.0
-"""Has the leader place a request however long it will wait there."""
+"""Value of ``most_waiting`` that lets the leader place a request whatever its wait."""
 
 
 @dataclass(frozen=True, slots=True)
 class FindResult:
-    """A runner; or, if the request is refused, when to come back; or neither: no runner is left."""
+    """A runner, or the retry delay of a refusal; neither if no runner is left."""
 
     record: RunnerRecord | None = None
     retry_after_s: float | None = None
 
 
 class RunnerFinder:
-    """Finds runners for one request; ``tried`` are those that it was sent to."""
+    """Finds runners for one request; ``tried`` has the names of those that it was sent to."""
 
     def __init__(
         self, context: RelayContext, facts: RequestFacts, route: Route, identity: Identity
@@ -43,9 +43,9 @@
         self._is_resent = context.overload.is_resent(route.name, facts.deadline_s)
 
     def ask(self, route: Route, answered: Callable[[Placement | None], None]) -> None:
-        """Have the ledger's leader place the request, unless a runner may have cached its prompt.
+        """Ask the ledger's leader for a placement, unless a runner may have the prompt cached.
 
-        ``answered`` gets None when this gateway has to choose by itself.
+        ``answered`` gets None if this gateway has to choose.
         """
         self._use_route(route)
         context = self._context
@@ -76,20 +76,20 @@
         return FindResult(self._placed_record(placement) or self._choose())
 
     def _only_granted_left(self) -> bool:
-        """Tell whether every runner that is left warms up, and gets only what is granted."""
+        """Tell whether all remaining runners are warming up, which need a grant of the leader."""
         left = [each for each in self._ready() if each.runner not in self.tried]
         return bool(left) and all(map(self._context.registry.warm_ups.is_limited, left))
 
     def _ready(self) -> list[RunnerRecord]:
-        """Return the runners that may get the request, tried ones too."""
+        """Return the runners that may get the request, including those tried already."""
         return self._context.ready(self.service, self._allowed)
 
     def others_left(self) -> bool:
-        """Tell whether some runner was not tried."""
+        """Tell whether a ready runner was not tried yet."""
         return any(record.runner not in self.tried for record in self._ready())
 
     def no_runner_reason(self) -> str:
-        """Say, for the log, why no runner may get the request now."""
+        """Return, for the log, why no runner may get the request now."""
         registry = self._context.registry
         drained = outside = warming = 0
         for record in registry.records():
@@ -111,7 +111,7 @@
         )
 
     def note_sent(self, record: RunnerRecord) -> None:
-        """Note a runner as tried, and what it caches and how long its prefill will take.
+        """Record a runner as tried, the prompt that it caches, and the time of its prefill.
 
         The prefill of a long prompt is announced to the other gateways.
         """
@@ -127,13 +127,16 @@
             context.announce_prefill(record.runner, prefill_s)
 
     def _use_route(self, route: Route) -> None:
-        """Take the service and the allowed regions from a route as it is now."""
+        """Apply a route's current services and allowed regions."""
         self._allowed = self._context.allowed_regions(route, self._identity)
         if not route.allows(self.service):
             self.service = self._context.split.service(route)
 
     def _may_be_refused(self) -> bool:
-        """Tell whether too long a wait may refuse the request: once at most, and before any run."""
+        """Tell whether the request may be refused for its expected wait.
+
+        Only before its first attempt, and not again after an earlier refusal.
+        """
         if not self._context.settings.mechanisms.admission or self.tried:
             return False
         return not self._is_resent and self._facts.after_event is None
@@ -153,7 +156,7 @@
         return context.overload.retry_after_s(self.service, own, route.target_s, left_s, now)
 
     def _placed_record(self, placement: Placement | None) -> RunnerRecord | None:
-        """Return the runner that the leader named, if it still takes work."""
+        """Return the runner named by the leader if it is still ready."""
         if placement is None or placement.runner in self.tried:
             return None
         context = self._context
@@ -163,7 +166,7 @@
         return record if context.regions.allows(self._allowed, record.zone) else None
 
     def _choose(self) -> RunnerRecord | None:
-        """Choose by what this gateway knows, among the runners that need no grant of the leader."""
+        """Choose by this gateway's own data, among the runners that need no grant of the leader."""
         context = self._context
         records = [
             record for record in self._ready() if not context.registry.warm_ups.is_limited(record)
--- a/src/rainsail/relay/sender.py
+++ b/src/rainsail/relay/sender.py
@@ -1,7 +1,7 @@
-"""Sends one relayed request to one runner after another, and keeps its attempts.
+"""Sends a relayed request to one runner after another, and keeps its attempts.
 
 Relies on ``runner_finder`` to choose the runner and on the gateway's connection pool to send.
-Whether a request may be sent at all is decided by ``continuation``.
+``continuation`` decides whether a request may be sent at all.
 """
 
 from collections.abc import Callable
@@ -19,16 +19,16 @@
 from rainsail.tenancy.tenants import Identity
 
 MIN_DEADLINE_S = 0.001
-"""What a runner is told of a deadline that is over: none at all would mean no deadline.
+"""Sent to a runner when the deadline has passed, since an absent header would mean no deadline.
 
-Not measured; chosen as the shortest time that the platform's header can state.
+The shortest time that the platform's header can state.
 """
 
 
 class RequestSender:
-    """The attempts of one request; ``attempt`` is the one under way, ``route`` that of the last.
+    """The attempts of one request; ``attempt`` is the current one.
 
-    While the next one is being placed, ``route`` is already that of the next.
+    ``route`` is that of the last attempt, or of the next one while that is being placed.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
         owner: AttemptOwner,
         response_timed_out: Callable[[], None],
     ) -> None:
-        """``response_timed_out`` is called when the runner has sent nothing for too long."""
+        """``response_timed_out`` is called when a runner has sent nothing for too long."""
         self.route = route
         self.attempt: Attempt | None = None
         self.attempts: list[Attempt] = []
         self.attempts_counted = 0
-        """Sendings that count against the route's most attempts."""
+        """Attempts that count towards the route's maximum."""
         self._context = context
         self._request = request
         self._facts = facts
@@ -57,7 +57,7 @@
 
     @property
     def service(self) -> str:
-        """The service that serves the request, empty before a runner was looked for."""
+        """The service that serves the request; empty before the first placement."""
         return self._finder.service
 
     @property
@@ -66,25 +66,25 @@
         return self._finder.tried
 
     def ask_placement(self, route: Route, placed: Callable[[Placement | None], None]) -> None:
-        """Ask where the request should go; ``placed`` gets None if this gateway has to choose."""
+        """Ask for a placement; ``placed`` gets None if this gateway has to choose."""
         self.route = route
         self._finder.ask(route, placed)
 
     def find(self, route: Route, placement: Placement | None, left_s: float) -> FindResult:
-        """Find the runner of the next sending, ``left_s`` before the request's deadline."""
+        """Find the runner for the next attempt, ``left_s`` before the request's deadline."""
         self.route = route
         return self._finder.find(route, placement, left_s)
 
     def no_runner_reason(self) -> str:
-        """Say, for the log, why no runner may get the request now."""
+        """Return, for the log, why no runner may get the request now."""
         return self._finder.no_runner_reason()
 
     def other_runner_left(self) -> bool:
-        """Tell whether some runner that may get the request was not tried."""
+        """Tell whether a runner that may get the request was not tried yet."""
         return self._finder.others_left()
 
     def send(self, record: RunnerRecord, how: SendAgain) -> None:
-        """Send to a runner."""
+        """Start an attempt at a runner."""
         context = self._context
         self.attempts_counted += 1
         request = context.protocol.relayed(
@@ -103,32 +103,32 @@
         attempt.call = context.pool.send(record.address, request, attempt)
 
     def events_received(self) -> None:
-        """Give the runner anew the time for the next events."""
+        """Restart the time-out for the next events."""
         self._timeout.events_received(self.route, self.attempts_counted)
 
     def uncount_attempt(self) -> None:
-        """Count the last sending no more: the runner that was meant has not seen the request."""
+        """Take the last attempt out of the count: it has not reached the intended runner."""
         self.attempts_counted -= 1
 
     def stop_timeout(self) -> None:
-        """Wait for nothing more."""
+        """Cancel the response time-out."""
         self._timeout.stop()
 
     def cancel(self) -> None:
-        """Close the connection of the attempt under way, if there is one."""
+        """Cancel the current attempt, if there is one."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.cancel()
 
     def _response_within_s(self) -> float:
-        """Return how long the runner may send nothing before it is left out for all requests."""
+        """Return how long the runner may send nothing before it is ejected for all requests."""
         settings = self._context.settings
         if self.route.kind == RouteKind.STREAM:
             return settings.stream_idle_timeout_s
         return settings.answer_idle_timeout_s
 
     def _deadline_left_s(self) -> float | None:
-        """Return what is left of the time that the client has stated; None when it has not."""
+        """Return the time left until the client's stated deadline; None if it stated none."""
         if self._facts.deadline_s is None:
             return None
         deadline_s = self._request.received_s + self._facts.deadline_s
--- a/src/rainsail/relay/split.py
+++ b/src/rainsail/relay/split.py
@@ -1,4 +1,4 @@
-"""Which service of a split route gets the next request: by weight, evenly over time."""
+"""Chooses the service of a split route for each request, by weight."""
 
 from random import Random
 
@@ -6,14 +6,14 @@
 
 
 class WeightedServicePicker:
-    """Smooth weighted round-robin for each route, begun at random so that nodes differ."""
+    """Smooth weighted round-robin per route, with random initial credits so that nodes differ."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._credit: dict[tuple[str, str], float] = {}
 
     def service(self, route: Route) -> str:
-        """Return the service whose turn it is."""
+        """Return the service for the next request on a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
         total = sum(share.weight for share in route.shares)
--- a/src/rainsail/relay/stream_beginnings.py
+++ b/src/rainsail/relay/stream_beginnings.py
@@ -1,15 +1,15 @@
-"""Learns with which number the streams of each source begin, to notice a lost beginning. Pure.
-
-Nothing that a runner says tells with which number its stream begins, so that a stream without its
-first event looks like a whole one that begins later. What earlier streams of the same source began
-with tells them apart: a loss can only raise the first number or take it away, and most streams are
-not damaged. No number is taken for granted: a source whose streams begin alike is held to that
-number, whatever it is, and one whose streams begin differently is held to nothing. A source is one
-service on one route, since a service may number its streams on one path and not on another.
-
-Owned by the gateway for clients' requests and by the ledger's leader for items; nothing of it is
-durable or shared, so that the first streams after a start have nothing to be compared with. What
-may run again is then compared with a second run of its own.
+"""Learns the first event number of each source's streams, to detect lost first events. Pure.
+
+No header states the number of a stream's first event, so a stream that has lost it looks like a
+complete one that begins later. The first events of earlier streams from the same source tell the
+two apart: a loss can only raise the first number or remove it, and most streams are undamaged. No
+number is assumed: if most streams of a source begin with the same number, all of them are expected
+to; if they differ, nothing is expected. A source is one service on one route, since a service may
+number its streams on one path and not on another.
+
+Each gateway has its own instance for clients' requests, and the ledger's leader has one for items.
+The data is neither durable nor shared, so the first streams after a start can't be compared with
+earlier ones. A request that may run again is then compared with a second run of its own.
 """
 
 from collections import Counter, deque
@@ -18,69 +18,69 @@
 from enum import StrEnum
 
 MAX_REMEMBERED_STREAMS = 64
-"""The last beginnings of a source that count.
+"""Number of the latest beginnings kept per source.
 
-Not measured; chosen so that a third of them is never damaged by chance while one stream in six is.
+Enough that a third of them is never damaged by chance when one stream in six is.
 """
 MIN_MATCHING = 2
-"""Streams that must have begun alike before another one is held to it.
+"""Streams that must have begun alike before that number is expected of others.
 
-Not measured; one alone may itself lack its beginning, or be of a source without a common number.
+A single one may itself lack its beginning, or come from a source without a common number.
 """
 MIN_MATCHING_UNUSUAL = 3
-"""The same for a number that is none of ``USUAL_FIRST_NUMBERS``.
+"""The same for a number that is not in ``USUAL_FIRST_NUMBERS``.
 
-Streams that lost their first event agree on such a number as well as whole ones do.
+Streams that lost their first event agree on such a number just as complete ones do.
 """
 MATCHING_SHARE = 2 / 3
-"""The share of the remembered streams that must have begun alike.
+"""The share of the kept streams that must have begun alike.
 
-Not measured; chosen so that a source whose runners number differently is held to nothing.
+A source whose runners number differently thus has no expected number.
 """
 STREAMS_CONFIRMING_CHANGE = 4
-"""So many streams in a row that began alike say that the source begins with their number now.
+"""After this many consecutive streams with the same first number, that number is expected.
 
-Not measured; chosen so that losses hardly ever do that (one in 10,000 where one stream in ten is
-damaged), and that a fleet which changes its numbers breaks few streams.
+Losses rarely cause this (one in 10,000 where one stream in ten is damaged), and a fleet that
+changes its numbering breaks only a few streams.
 """
 MAX_LOST_EVENTS = 8
-"""A stream that begins later than by this many events is taken for numbered in another way.
+"""A stream that begins more than this many events later counts as numbered in another way.
 
-Not measured; numbers that run on from answer to answer of a session are not to be held for losses.
+Numbers that continue from answer to answer of a session must not count as losses.
 """
 MIN_STREAMS_WITHOUT_MATCH = 6
-"""So many streams without a common number say that their source has none.
+"""After this many streams without a common number, the source counts as having none.
 
-Two damaged streams among fewer would leave the whole ones below ``MATCHING_SHARE``.
+Among fewer, two damaged streams would leave the complete ones below ``MATCHING_SHARE``.
 """
 USUAL_FIRST_NUMBERS = (0, 1)
-"""The numbers with which streams begin nearly everywhere."""
+"""The first numbers of nearly all services."""
 
 
 class Unnumbered(StrEnum):
-    """A first event that has no number to be compared."""
+    """A first event that has no comparable number."""
 
     SPOILT = "spoilt"
-    """The name of one of its fields is not text, as every part of an event stream must be."""
+    """Corrupt: the name of one of its fields is not valid UTF-8, as event streams must be."""
 
 
 FirstEvent = int | Unnumbered | None
-"""What a stream begins with: a number, or None for no number or no event at all."""
+"""The number of a stream's first event; None for no number or no event at all."""
 
 
 class BeginningVerdict(StrEnum):
-    """What is known of a stream's beginning."""
+    """Verdicts on a stream's beginning."""
 
     WHOLE = "whole"
-    """Nothing is missing, or the source's streams have nothing in common to be held to."""
+    """Nothing is missing, or the source's streams have no common first number."""
     LOST = "lost"
     UNKNOWN = "unknown"
-    """Too few streams of the source were seen."""
+    """Too few streams of the source were observed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamSource:
-    """Where streams come from that are taken to be numbered alike, by its names in the table."""
+    """A service on a route, by their names in the routing table; its streams number alike."""
 
     service: str
     route: str
@@ -88,39 +88,39 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamBeginning:
-    """How a stream begins."""
+    """The source and the first event of a stream."""
 
     source: StreamSource
     first: FirstEvent
 
 
 class StreamBeginnings:
-    """The latest beginnings of each source's streams."""
+    """Keeps the latest beginnings of each source's streams and checks others against them."""
 
     def __init__(self) -> None:
         self._recent: dict[StreamSource, deque[FirstEvent]] = {}
         self._listeners: list[Callable[[], None]] = []
 
     def keep_only(self, services: Collection[str], routes: Collection[str]) -> None:
-        """Forget sources that are gone: one that comes back later may number otherwise."""
+        """Forget sources that were removed: one added again later may number differently."""
         for source in list(self._recent):
             if source.service not in services or source.route not in routes:
                 del self._recent[source]
 
     def observe(self, beginning: StreamBeginning) -> None:
-        """Remember how a stream began, whether it was taken for damaged or not."""
+        """Record a stream's beginning, whether it was judged damaged or not."""
         recent = self._recent.setdefault(beginning.source, deque(maxlen=MAX_REMEMBERED_STREAMS))
         recent.append(beginning.first)
         for listener in tuple(self._listeners):
             listener()
 
     def listen(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call ``listener`` after each beginning observed, until the call that is returned."""
+        """Call ``listener`` after each observed beginning; the returned function unsubscribes."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     def judge(self, beginning: StreamBeginning) -> BeginningVerdict:
-        """Tell whether events are missing at the beginning of a stream, as far as is known now."""
+        """Return whether events are missing at a stream's beginning, by the streams so far."""
         recent = self._recent.get(beginning.source, ())
         common = _common_first(recent)
         if beginning.first == Unnumbered.SPOILT and common != [Unnumbered.SPOILT]:
@@ -134,17 +134,17 @@
         return BeginningVerdict.LOST if is_lost else BeginningVerdict.WHOLE
 
     def is_lost(self, beginning: StreamBeginning) -> bool:
-        """Tell whether events are certainly missing at the beginning of a stream."""
+        """Tell whether events are missing at a stream's beginning, by the strict criterion."""
         return self.judge(beginning) == BeginningVerdict.LOST
 
     def is_outnumbered(
         self, beginning: StreamBeginning, own_runs: Collection[FirstEvent] = ()
     ) -> bool:
-        """Tell whether more streams began with one number a few events earlier than like this one.
+        """Tell whether more streams began with one slightly lower number than with this one's.
 
-        Evidence for a last judgement, weaker than that of ``is_lost``: a loss can only raise the
-        first number or take it away. The stream itself, which was observed, is not counted, nor is
-        what earlier runs of its request, ``own_runs``, began with.
+        Weaker evidence than that of ``is_lost``, for the final decision on a held end: a loss can
+        only raise the first number or remove it. The stream itself, which was observed, is not
+        counted, nor are the first events of earlier runs of its request, ``own_runs``.
         """
         recent = self._recent.get(beginning.source, ())
         others = [first for first in recent if first not in own_runs]
@@ -156,7 +156,7 @@
         return most_alike >= least and most_alike > others_like_this
 
     def is_unusual(self, beginning: StreamBeginning) -> bool:
-        """Tell whether a stream is worth a second run: nothing is known, and few begin like it."""
+        """Tell whether a beginning needs confirmation: it is undecided, and few services use it."""
         if beginning.first in USUAL_FIRST_NUMBERS:
             return False
         return self.judge(beginning) == BeginningVerdict.UNKNOWN
@@ -164,10 +164,10 @@
     def judge_by_second_run(
         self, beginning: StreamBeginning, second: FirstEvent
     ) -> BeginningVerdict:
-        """Judge a stream by what another run of the same request begins with.
+        """Judge a stream by the first event of another run of the same request.
 
-        ``second`` has been observed already. A loss can only raise the first number or take it
-        away, so that the lower number is right; UNKNOWN: the second run lacks more than the first.
+        ``second`` has been observed already. A loss can only raise the first number or remove it,
+        so the lower number is right. UNKNOWN means that the second run lacks more than the first.
         """
         if second == beginning.first:
             return BeginningVerdict.WHOLE
@@ -179,7 +179,7 @@
 
 
 def _common_first(recent: Collection[FirstEvent]) -> list[FirstEvent]:
-    """Return what the streams of a source begin with; an empty list: not known, or nothing."""
+    """Return the common first event of a source's streams; an empty list if there is none yet."""
     if len(recent) < MIN_MATCHING:
         return []
     latest = list(recent)[-STREAMS_CONFIRMING_CHANGE:]
@@ -193,7 +193,7 @@
 
 
 def _lacks_events(first: FirstEvent, common: FirstEvent) -> bool:
-    """Tell whether a stream lacks its beginning, where the source's streams have one in common."""
+    """Tell whether a stream lacks events, given the common first event of its source."""
     if not isinstance(common, int):
         return False
     if not isinstance(first, int):
--- a/src/rainsail/relay/table.py
+++ b/src/rainsail/relay/table.py
@@ -1,4 +1,4 @@
-"""The routing table: which service a request goes to, and within what bounds."""
+"""The routing table: which service serves a request, and with which limits."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Kinds of routes by what may be repeated of their requests."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """One part of a split and its weight."""
+    """One service of a split route and its weight."""
 
     service: str
     weight: float
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route. Times are seconds; ``shares`` holds one entry unless the route is split.
-
-    ``target_s`` is the time within which an answer is worth most, ``gap_target_s`` the longest
-    pause of a stream that still is in time, ``completion_s`` the time within which all results of
-    a job are due, counted from its acceptance (0: no time is set), ``kept_s`` how long after that
-    an item is tried before it may be given up (0: without end), ``max_queued_tokens`` how many
-    tokens of a tenant's jobs may wait at once (0: any number). A ``public`` route wants no key. Its
-    requests may be served in the regions ``allowed_regions`` alone (empty: in all).
+    """One route. Times are seconds; ``shares`` has one entry unless the route is split.
+
+    ``target_s`` is the latency target of an answer, ``gap_target_s`` the target for the longest
+    pause of a stream. ``completion_s`` is the time within which all results of a job are
+    due, counted from its acceptance (0: no limit); ``kept_s`` is how long after that an item is
+    retried before it may be given up (0: without limit). ``max_queued_tokens`` limits the queued
+    tokens of a tenant's jobs (0: no limit). A ``public`` route needs no API key. Requests may be
+    served only in ``allowed_regions`` (empty: in all).
     """
 
     name: str
@@ -56,11 +56,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may go to a second runner after it may have run at one."""
+        """Tell whether a request that may have run may be sent to a second runner."""
         return self.kind == RouteKind.SAFE or (self.kind == RouteKind.STREAM and self.resumable)
 
     def split_service(self, service: str) -> str:
-        """Return a service of this route if it is split among several, else an empty name."""
+        """Return ``service`` if the route is split among several services, else an empty name."""
         return service if len(self.shares) > 1 else ""
 
     def allows(self, service: str) -> bool:
@@ -70,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What is known of a service beside its runners."""
+    """The properties of a service, apart from its runners."""
 
     name: str
     max_connections: int
     generates: bool
-    """Its runners work on prompts, so that shared prompt parts are worth something."""
+    """Its runners process prompts, so that routing by cached prompt prefixes pays off."""
     warm_up: WarmUpTerms = NO_TERMS
-    """What its runners bear while they warm up."""
+    """The load that its runners may get while they warm up."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or rest."""
+    """Limits on a client's requests and on the idle time of its connections."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -91,7 +91,7 @@
 
 
 class RoutingTable:
-    """One whole version; finds the route with the longest prefix of a host."""
+    """One version of the table; matches a request to its host's route with the longest prefix."""
 
     def __init__(
         self,
@@ -113,27 +113,27 @@
         self._by_host = by_host
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, None when there is none."""
+        """Return the route of a request; None if there is none."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def allowed_regions(self, route: Route, tenant: str) -> AllowedRegions:
-        """Return where a tenant's requests on a route may be served; None stands for everywhere."""
+        """Return the regions where a tenant's requests on a route may be served; None: all."""
         of_tenant = frozenset() if self.tenants is None else self.tenants.allowed_regions(tenant)
         return allowed_regions(route.allowed_regions, of_tenant)
 
     def identify(self, route: Route, key: KeyDigest | None) -> Identity | None:
-        """Return on whose behalf a request on a route comes; None when its key is nobody's."""
+        """Return the identity behind a request on a route; None if its key is not valid."""
         if self.tenants is None:
             return NOBODY
         return PUBLIC if route.public else self.tenants.identify(key)
 
     def identify_job_call(self, host: str, key: KeyDigest | None) -> Identity | None:
-        """Return on whose behalf a call about a job comes.
+        """Return the identity behind a call about a job; None if its key is not valid.
 
-        Without a key it can only be about a job of a public route.
+        A call without a key can only concern a job of a public route.
         """
         if self.tenants is None:
             return NOBODY
@@ -146,7 +146,7 @@
         return any(route.public and route.kind == RouteKind.BATCH for route in routes)
 
     def warm_up_terms(self) -> dict[str, WarmUpTerms]:
-        """Return what the runners of each service bear while they warm up."""
+        """Return, by service, the load that its runners may get while they warm up."""
         return {name: service.warm_up for name, service in self.services.items()}
 
     def route_names(self) -> frozenset[str]:
--- a/src/rainsail/relay/table_reader.py
+++ b/src/rainsail/relay/table_reader.py
@@ -1,4 +1,4 @@
-"""How an operator's document becomes a routing table."""
+"""The interface for parsing an operator's document into a routing table."""
 
 from collections.abc import Callable
 
@@ -8,4 +8,4 @@
 from rainsail.relay.table import RoutingTable
 
 TableReader = Callable[[bytes], Result[RoutingTable, Fault]]
-"""Reads and checks a whole document; an INVALID fault says what is wrong with it."""
+"""Parses and validates a document; an INVALID fault says what is wrong with it."""
