--- a/features/steps/continuation_steps.py
+++ b/features/steps/continuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the decision whether a relayed request goes on."""
+"""Steps on the decision whether a relayed request is retried."""
 
 from dataclasses import replace
 
--- a/features/steps/relay_resumption_steps.py
+++ b/features/steps/relay_resumption_steps.py
@@ -1,4 +1,4 @@
-"""Steps on clients that take their streams up again, in virtual time."""
+"""Steps on clients that resume their streams, in virtual time."""
 
 from unittest import mock
 
--- a/features/steps/relay_soak_check_steps.py
+++ b/features/steps/relay_soak_check_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the checks of the soak of relaying: histories made by hand."""
+"""Steps on the checks of the relay's soak test, with hand-made histories."""
 
 from dataclasses import replace
 
@@ -41,7 +41,7 @@
 
 
 def _end_between_events(history, framing):
-    """End the client's stream in front of the last event, as its runner did."""
+    """End the client's stream before the last event, as its runner did."""
     short = events(STREAM, 1, last_event(STREAM) - 1)
     history.requests[1].body = short
     history.runs[1] = replace(
--- a/features/steps/relay_soak_steps.py
+++ b/features/steps/relay_soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak of relaying."""
+"""Steps on the soak test of the relay."""
 
 from behave import given, then, when
 from features.support.relay_soak.defects import DEFECTS
--- a/features/steps/relayed_fleet_steps.py
+++ b/features/steps/relayed_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a relayed fleet in virtual time: controllers and emptying."""
+"""Steps on a relayed fleet in virtual time: controllers and the emptying of nodes."""
 
 from behave import given, step, then, when
 from features.support.relayed_fleet import SEED_PORT, RelayedFleet
@@ -325,11 +325,11 @@
 # --- seeds ----------------------------------------------------------------------------------
 
 EXCHANGE_PAUSE_S = 4.0
-"""Time between two exchanges: the group takes a new member in before it loses the next."""
+"""Time between two replacements, so that the group adds a new member before it loses the next."""
 
 
 def _tell_seeds(context):
-    """Have every running node take the seeds of its settings file, which has changed."""
+    """Have every running node apply the changed seeds of its settings."""
     for node in context.fleet.nodes.values():
         settings = node.base.settings
         peers = settings.peers.model_copy(
--- a/features/steps/stream_beginning_steps.py
+++ b/features/steps/stream_beginning_steps.py
@@ -15,7 +15,7 @@
 
 
 def _play_stream(relay, *pieces):
-    """Have some other client read one whole stream; return its exchange."""
+    """Have another client read one complete stream; return its exchange."""
     exchange = relay.request(request="request-0")
     call = relay.last_call
     call.begin_stream()
--- a/features/support/monotonic_checks.py
+++ b/features/support/monotonic_checks.py
@@ -1,6 +1,6 @@
-"""What users of a relayed fleet keep of the numbers they saw, to tell when one goes back.
+"""Checks that what users of a relayed fleet observe never goes back to an older state.
 
-Each watch takes what was seen and returns what is wrong with it, in words.
+Each monitor takes an observation and returns the violations in words.
 """
 
 import re
@@ -14,22 +14,22 @@
 
 @dataclass(frozen=True)
 class ItemRunStart:
-    """A run of an item as its runner was asked for it: it goes on behind event ``after``."""
+    """A requested run of an item; it resumes after event ``after``."""
 
     item: str
     after: int
 
 
 class RunLog:
-    """All runs of items. Each run has words of its own, so that a text shows whose they are."""
+    """All runs of items. Each run has its own texts, so that a text shows which run it is from."""
 
     def __init__(self, events: int) -> None:
-        """Every item has so many events, numbered from 1."""
+        """Every item has ``events`` events, numbered from 1."""
         self.events = events
         self._runs: list[ItemRunStart] = []
 
     def begin(self, item: str, after: int) -> int:
-        """Note a run; return its number."""
+        """Record a run; return its number."""
         self._runs.append(ItemRunStart(item, after))
         return len(self._runs) - 1
 
@@ -39,7 +39,7 @@
         return f"id: {number}\ndata: event {number} of run {run}\n\n".encode()
 
     def faults_of(self, item: str, text: str) -> list[str]:
-        """Return what is wrong with the text of a done item."""
+        """Return the violations in the text of a finished item."""
         pieces = [PIECE.fullmatch(line) for line in text.split("\n")]
         numbered = [(int(piece[1]), int(piece[2])) for piece in pieces if piece]
         numbers = [number for number, _ in numbered]
@@ -55,12 +55,12 @@
         return faults
 
     def joined(self, text: str) -> bool:
-        """Tell whether a text is put together from several runs."""
+        """Tell whether a text is assembled from several runs."""
         return len({piece[2] for piece in PIECE.finditer(text)}) > 1
 
 
 class ResultsMonitor:
-    """The results of one job as all its reads have shown them, wherever these were sent."""
+    """The results of one job as seen by all its reads, whichever node answered them."""
 
     def __init__(self, job: str, items: int, runs: RunLog) -> None:
         self.job = job
@@ -69,18 +69,18 @@
         self.known: dict[int, ResultEntry] = {}
 
     def least(self, after: int) -> int:
-        """Return how many results a read that is sent now has to show from a position on."""
+        """Return how many results a read sent now has to return from a position on."""
         return max(0, len(self.known) - after) if self._is_without_gap() else 0
 
     def _is_without_gap(self) -> bool:
         return len(self.known) == max(self.known, default=-1) + 1
 
     def is_whole(self) -> bool:
-        """Tell whether every item was seen listed."""
+        """Tell whether the results of all items were read."""
         return len(self.known) == self._items
 
     def take(self, page: ResultPage, after: int, least: int) -> list[str]:
-        """Take a page; ``least`` is how many results it has to show, as of the read's sending."""
+        """Check a page, which has to have at least ``least`` results."""
         faults: list[str] = []
         if (page.total, page.after) != (self._items, after):
             faults.append(f"total {page.total}, from position {page.after}, asked for {after}")
@@ -105,7 +105,7 @@
 
 @dataclass
 class TableMonitor:
-    """The versions of the routing table that were acknowledged, read and told to nodes."""
+    """The versions of the routing table that were acknowledged, read and sent to nodes."""
 
     newest: int = 0
     """The highest version that was acknowledged or read."""
@@ -114,11 +114,11 @@
     _drains_at_nodes: dict[tuple[Any, str], int] = field(default_factory=dict)
 
     def acknowledged(self, version: int) -> None:
-        """Take an acknowledgement."""
+        """Record an acknowledgement."""
         self.newest = max(self.newest, version)
 
     def read(self, version: int, content: bytes, least: int) -> list[str]:
-        """Take what a read gave; ``least`` is what ``newest`` was when it was sent."""
+        """Check the result of a read; ``least`` is ``newest`` at the time it was sent."""
         self.newest = max(self.newest, version)
         faults = self._content_changed(version, content)
         if version < least:
@@ -126,17 +126,17 @@
         return faults
 
     def table_sent(self, node: Any, version: int, content: bytes) -> list[str]:
-        """Take a table that a node was told of."""
+        """Check a table that was sent to a node."""
         return self._content_changed(version, content) + self.at_node(node, version)
 
     def at_node(self, node: Any, version: int) -> list[str]:
-        """Take the version that a node has now; ``node`` stands for one life of its process."""
+        """Check a node's current version; ``node`` stands for one incarnation of its process."""
         known = self._at_nodes.get(node, 0)
         self._at_nodes[node] = max(known, version)
         return [f"a node went back from table {known} to {version}"] if version < known else []
 
     def zone_order_at_node(self, node: Any, zone: str, revision: int) -> list[str]:
-        """Take the newest order on a zone that a node has now."""
+        """Check the newest drain order of a zone that a node has now."""
         known = self._drains_at_nodes.get((node, zone), 0)
         self._drains_at_nodes[node, zone] = max(known, revision)
         if revision >= known:
--- a/features/support/persistent_connections.py
+++ b/features/support/persistent_connections.py
@@ -1,4 +1,4 @@
-"""A client's connections, kept open from call to call as an HTTP library's session does."""
+"""A client's persistent connections, as in the session of an HTTP library."""
 
 import http.client
 import random
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True)
 class CallResult:
-    """What became of a call; status 0 stands for no whole answer.
+    """The result of a call; status 0 means that there was no complete answer.
 
-    ``is_answered`` tells whether the head of an answer came. Of a call that was not sent, since no
-    connection could be opened, the client knows that nothing has run.
+    ``is_answered`` tells whether the head of an answer arrived. A call whose connection could not
+    be opened was not sent, so it has certainly not run.
     """
 
     status: int
@@ -23,16 +23,16 @@
     is_sent: bool
     is_answered: bool
     is_first: bool
-    """It was the first call of its connection."""
+    """It was the first call on its connection."""
     sent_s: float
     ended_s: float
 
 
 @dataclass
 class PersistentConnections:
-    """One client's connections, one for each server.
+    """One client's connections, one per server.
 
-    After an answer the client closes the connection in so many cases as ``leave_share`` says.
+    ``leave_share`` is the share of calls after which the client closes the connection.
     """
 
     draw: random.Random
@@ -42,7 +42,7 @@
     def call(
         self, ip: str, port: int, method: str, path: str, body: bytes, fields: dict[str, str]
     ) -> CallResult:
-        """Make one call, on the connection kept open if there is one."""
+        """Make one call, on the open connection if there is one."""
         connection = self._kept(ip, port)
         is_first = connection.sock is None
         sent_s = time.monotonic()
@@ -72,7 +72,7 @@
             self._drop(ip, port)
 
     def _kept(self, ip: str, port: int) -> http.client.HTTPConnection:
-        """Return the connection to a server; one that the server has closed is opened anew."""
+        """Return the connection to a server; a new one if the server has closed the last one."""
         kept = self._open.get((ip, port))
         if kept is not None and kept.sock is not None and _has_ended(kept):
             self._drop(ip, port)
@@ -87,5 +87,5 @@
 
 
 def _has_ended(connection: http.client.HTTPConnection) -> bool:
-    """Tell whether a connection without a call under way can be read: only its end can be there."""
+    """Tell whether an idle connection is readable, which means that the server has closed it."""
     return bool(select.select([connection.sock], [], [], 0)[0])
--- a/features/support/relay_soak/__init__.py
+++ b/features/support/relay_soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak of relaying in virtual time, over real HTTP bytes on both sides of a gateway."""
+"""A seeded soak test of the relay in virtual time, with real HTTP bytes on both sides."""
--- a/features/support/relay_soak/answers.py
+++ b/features/support/relay_soak/answers.py
@@ -1,9 +1,8 @@
-"""Draws what a runner does with a request: answer well, refuse, fail, or break in some way.
+"""Draws how a runner handles a request: it answers, refuses, fails, or breaks in some way.
 
-Left out is what nobody behind a runner can notice, since no gateway can be blamed for it: the loss
-of a stream's last event before an end in order; bytes changed within an event's text or within a
-body; and a body that is no stream, closed in order before its end though neither a length nor
-chunks would tell where that is.
+Faults that no gateway can detect are not drawn: the loss of a stream's last event before an orderly
+end; bytes changed within an event's text or within a body; and a body that is not a stream, without
+a length or chunks, truncated by an orderly close.
 """
 
 import random
@@ -20,7 +19,7 @@
 REFUSAL_SHARE = 0.08
 FAILURE_SHARE = 0.12
 OTHER_TYPE_SHARE = 0.08
-"""Of the runs that take a stream up, those answered 200 with something that is no stream."""
+"""The share of resumed runs that are answered 200 with something that is not a stream."""
 FAULT_SHARE = 0.45
 LOST_EVENT_SHARE = 0.08
 SPOILT_EVENT_SHARE = 0.08
@@ -39,21 +38,21 @@
 
 @dataclass(frozen=True)
 class Asked:
-    """What a runner is asked for."""
+    """A request as the runner sees it."""
 
     request: str
     kind: Kind
     after_event: int | None
     taken_up: bool
-    """Another runner has begun the client's answer."""
+    """It resumes an answer that another runner has begun."""
 
 
 @dataclass(frozen=True)
 class RunnerAnswer:
-    """Bytes in pieces, sent ``pause_s`` after each other, and what happens behind them.
+    """The pieces of an answer, sent ``pause_s`` apart, and what happens after them.
 
-    ``status`` is 0 when not even a head is sent; ``whole`` says that the framing has come to its
-    end, whatever happens to the connection then.
+    ``status`` is 0 if not even a head is sent; ``whole`` tells whether the framed answer is
+    complete, whatever happens to the connection then.
     """
 
     ran: bool
@@ -68,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """An answer before it is framed: its head's facts, and its body in pieces."""
+    """An answer before framing: status and type, and its body in pieces."""
 
     asked: Asked
     status: int
@@ -76,16 +75,16 @@
     pieces: list[bytes]
     ran: bool = True
     spoilt: int | None = None
-    """The piece that has bytes of nothing before it."""
+    """The index of the piece that is preceded by garbage bytes."""
     lacks_event: bool = False
 
     @property
     def is_sound(self) -> bool:
-        """Tell whether the body is as it should be."""
+        """Tell whether the body is undamaged."""
         return self.spoilt is None and not self.lacks_event
 
     def body(self, count: int) -> bytes:
-        """Return what is sent of the body with so many pieces."""
+        """Return the first ``count`` pieces of the body as sent."""
         return b"".join(
             JUNK + piece if number == self.spoilt else piece
             for number, piece in enumerate(self.pieces[:count])
@@ -93,7 +92,7 @@
 
 
 class Break:
-    """Where an answer breaks off: behind so many pieces of the body and a part of the next one."""
+    """Where an answer is interrupted: after ``count`` pieces and a part of the next one."""
 
     def __init__(self, draw: random.Random, pieces: list[bytes], may_close: bool) -> None:
         endings = [Ending.RESET, Ending.SILENT, *([Ending.CLOSE] * 3 if may_close else [])]
@@ -104,16 +103,16 @@
             piece = pieces[self.count]
             self.part = piece[: draw.randint(0, max(0, len(piece) - 1))]
         self.cut_chunk = draw.random() < 0.5
-        """In chunks: whether the part's own chunk is cut, too."""
+        """For chunked answers: whether the chunk of that part is truncated, too."""
         self.has_body = bool(self.count or self.part)
         self.before_head = not self.has_body and draw.random() < 0.5
 
 
 class AnswerDrawer:
-    """Draws one answer after the other from one source of chance.
+    """Draws answers from one random generator.
 
-    With ``spoils_beginnings`` streams may also lack their first event, have it spoilt, or come
-    without any.
+    With ``spoils_beginnings`` streams may also lack their first event, have it corrupted, or have
+    no events.
     """
 
     def __init__(self, draw: random.Random, spoils_beginnings: bool) -> None:
@@ -121,14 +120,14 @@
         self._spoils_beginnings = spoils_beginnings
 
     def answer(self, asked: Asked) -> RunnerAnswer:
-        """Draw what a runner does with a request."""
+        """Draw the answer to a request."""
         message = self._message(asked)
         framing = self._draw.choice(tuple(Framing))
         if self._draw.random() < FAULT_SHARE:
             return self._broken(message, framing)
         return self._ended(message, framing)
 
-    # --- what is said --------------------------------------------------------------------
+    # --- content -------------------------------------------------------------------------
 
     def _message(self, asked: Asked) -> Message:
         chance = self._draw.random()
@@ -169,10 +168,10 @@
         size = max(1, len(body) // self._draw.randint(1, BODY_PIECES))
         return [body[begin : begin + size] for begin in range(0, len(body), size)]
 
-    # --- how it travels ------------------------------------------------------------------
+    # --- transfer ------------------------------------------------------------------------
 
     def _ended(self, message: Message, framing: Framing) -> RunnerAnswer:
-        """Send all of it, at times twice: the second answer is one that nobody asked for."""
+        """Send the complete answer, sometimes twice; the second copy is surplus data."""
         count = len(message.pieces)
         wire = [_head(message, framing), *self._framed(message, framing, count)]
         if framing == Framing.CHUNKS:
@@ -192,7 +191,7 @@
         )
 
     def _broken(self, message: Message, framing: Framing) -> RunnerAnswer:
-        """Send a part of it."""
+        """Send a part of the answer."""
         may_close = framing != Framing.CLOSE or message.content_type == EVENT_STREAM
         broken = Break(self._draw, message.pieces, may_close)
         if not (broken.has_body or self._spoils_beginnings or message.asked.after_event):
@@ -220,7 +219,7 @@
         return wire
 
     def _framed(self, message: Message, framing: Framing, count: int) -> list[bytes]:
-        """Return pieces as they travel; some in two parts, one behind bytes of nothing."""
+        """Return the pieces as sent; some in two parts, one after garbage bytes."""
         wire = []
         for number, piece in enumerate(message.pieces[:count]):
             if number == message.spoilt:
--- a/features/support/relay_soak/checks.py
+++ b/features/support/relay_soak/checks.py
@@ -1,4 +1,4 @@
-"""Which promises a history of relaying breaks; it goes by what clients and runners saw alone."""
+"""Finds the guarantees that a history violates, only by what clients and runners observed."""
 
 from collections import defaultdict
 
@@ -20,13 +20,13 @@
 
 PROMISES_NOT_RUN = (408, 421, 429, 503)
 OWN_STATUSES = (502, 503, 504)
-"""What a gateway answers by itself, without a body."""
+"""Statuses that a gateway sends itself, without a body."""
 SLACK_S = 0.05
-"""Beside the time that a route allows: what the bytes are on their way."""
+"""Tolerance on a route's time-out for the transfer of the bytes."""
 
 
 class Judge:
-    """Judges a history; ``unclear`` counts the streams whose end nobody could know."""
+    """Checks a history; ``unclear`` counts the streams whose true end can't be known."""
 
     def __init__(self, history: History) -> None:
         self._history = history
@@ -36,7 +36,7 @@
         self.unclear = 0
 
     def violations(self) -> list[str]:
-        """Return every broken promise in words."""
+        """Return every violation in words."""
         found = []
         for asked in self._history.requests:
             words = [*self._end(asked), *self._runs_of(asked), *self._answer(asked)]
@@ -71,7 +71,7 @@
         return words if asked.body == whole_body(asked.request) else [*words, "not its answer"]
 
     def _cut(self, asked: ClientRequest) -> list[str]:
-        """A success is not cut before its time when the one runner that was asked did well."""
+        """Check that a success is not cut before its deadline if its only run was complete."""
         runs = self._runs[asked.request]
         assert asked.ended_s is not None
         in_time = asked.ended_s - asked.sent_s < asked.timeout_s - SLACK_S
@@ -81,7 +81,7 @@
     # --- failures ------------------------------------------------------------------------
 
     def _failure(self, asked: ClientRequest) -> list[str]:
-        """A failure is a runner's, whole, or the gateway's own and empty."""
+        """Check that a failure is a runner's, complete, or the gateway's own, without a body."""
         if asked.outcome == Outcome.COMPLETE and not asked.body and asked.status in OWN_STATUSES:
             return []
         same = [run for run in self._runs[asked.request] if run.status == asked.status]
@@ -105,9 +105,9 @@
         return [f"ended as complete with {_what_is_wrong(asked)}"]
 
     def _could_be_whole(self, asked: ClientRequest) -> bool:
-        """Tell whether the stream ends where a runner closed in order between two events.
+        """Tell whether the stream ends where a runner closed in an orderly way between two events.
 
-        Where neither a length nor chunks tell the end, such a close is all that there is to go by.
+        Without a length or chunks such a close can't be told from the end of the stream.
         """
         return any(
             self._ends_between(run, asked)
@@ -137,7 +137,7 @@
 
 
 def _id_lines(stream: bytes) -> list[bytes]:
-    """Return the whole lines that number events, in order."""
+    """Return the complete ``id`` lines in order."""
     return [line for line in stream.split(b"\n")[:-1] if line.startswith(b"id: ")]
 
 
--- a/features/support/relay_soak/client.py
+++ b/features/support/relay_soak/client.py
@@ -1,4 +1,4 @@
-"""Clients on connections in memory; an HTTP parser that is not the gateway's reads the answers."""
+"""Clients on in-memory connections; their parsing is independent of the gateway's code."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class SoakClient(Protocol):
-    """One connection: sends its requests one after the other and notes what comes back."""
+    """One connection: sends its requests one after the other and records the answers."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         requests: list[ClientRequest],
         begun: Callable[[ClientRequest], None],
     ) -> None:
-        """``begun`` hears of each request as it is sent."""
+        """``begun`` is called with each request as it is sent."""
         self._clock = clock
         self._waiting = requests
         self._begun = begun
@@ -56,13 +56,13 @@
         self.transport.write(b"".join(self._http.send(part) or b"" for part in parts))
 
     def leave(self, request: ClientRequest) -> None:
-        """Close the connection if a request still waits for its answer."""
+        """Close the connection if the request still waits for its answer."""
         if self._current is request:
             self._end(Outcome.LEFT)
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the answer; bytes that nobody asked for are noted with the request before."""
+        """Read the answer; surplus bytes are recorded with the request before."""
         try:
             self._http.receive_data(data)
             self._read()
@@ -71,7 +71,7 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        """An answer that no length and no last chunk has ended is cut."""
+        """Record an unfinished answer as cut."""
         self._end(Outcome.CUT)
 
     def _read(self) -> None:
@@ -89,7 +89,7 @@
                 return
 
     def _take_end(self) -> None:
-        """Note the end of an answer, and go on with the next request where that is allowed."""
+        """Record the end of an answer, and send the next request if the connection allows it."""
         assert self._current is not None
         self._current.surplus = self._http.trailing_data[0]
         self._end(Outcome.COMPLETE if self._framed else Outcome.CUT)
--- a/features/support/relay_soak/content.py
+++ b/features/support/relay_soak/content.py
@@ -1,6 +1,6 @@
-"""What runners have to say: each answer follows from its request's name alone.
+"""The content of answers, which depends on the request's name alone.
 
-So every runner says the same, and a checker knows the whole answer without asking one.
+So all runners give the same answer, and a check can compute the complete answer.
 """
 
 import random
@@ -27,12 +27,12 @@
 
 
 def whole_stream(request: str, after_event: int | None) -> bytes:
-    """Return all that a client lacks which has the events up to ``after_event``."""
+    """Return the rest of the stream for a client that has the events up to ``after_event``."""
     return events(request, (after_event or 0) + 1, last_event(request))
 
 
 def whole_body(request: str) -> bytes:
-    """Return an answer that is no stream."""
+    """Return an answer that is not a stream."""
     size = random.Random(request).choice(BODY_BYTES)
     return f"{request} is answered ".encode() + b"." * size
 
--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -1,4 +1,4 @@
-"""Known-bad variants of the relay: each breaks one promise that the soak's checks have to see."""
+"""Known-bad variants of the relay: each violates one guarantee, and the checks must detect it."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A variant; ``words`` are those of the check that has to see it."""
+    """A variant; ``words`` is a part of the violation that the check must report."""
 
     words: str
     patches: tuple[Patch, ...]
 
     @contextmanager
     def in_place(self) -> Iterator[None]:
-        """Have the relay this defect for a while."""
+        """Apply the defect within the context."""
         with ExitStack() as stack:
             for patch in self.patches:
                 stack.enter_context(patch.prepared())
@@ -44,12 +44,12 @@
 
 
 def _take_any_answer(original: Any) -> Any:
-    """Take whatever a runner answers for a part of the client's answer."""
+    """Accept any runner's answer as a part of the client's answer."""
     return lambda self, attempt: True
 
 
 def _append_failures(original: Any) -> Any:
-    """Take the end of any answer for the end of the client's answer."""
+    """Treat the end of any answer as the end of the client's answer."""
 
     def answer_received(self: RelayRun, attempt: Attempt) -> None:
         if not self._answer.begun:
@@ -64,7 +64,7 @@
 
 
 def _end_half_events(original: Any) -> Any:
-    """End a stream as complete with whatever came last."""
+    """Complete a stream with whatever arrived last."""
 
     def answer_ended(self: Attempt) -> None:
         if self.stream is None:
@@ -81,7 +81,7 @@
 
 
 def _allow_gaps(original: Any) -> Any:
-    """Take any event for the next one."""
+    """Accept any event as the next one."""
     return lambda event, last_event: False
 
 
--- a/features/support/relay_soak/history.py
+++ b/features/support/relay_soak/history.py
@@ -1,11 +1,11 @@
-"""What clients and runners saw: all that the checks may go by."""
+"""What clients and runners observed: the only input of the checks."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class Kind(StrEnum):
-    """The kinds of routes."""
+    """Kinds of routes."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -14,7 +14,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether answers are streams of events."""
+        """Tell whether answers are event streams."""
         return self in (Kind.STREAM, Kind.RESUMABLE)
 
     @property
@@ -24,7 +24,7 @@
 
 
 class Framing(StrEnum):
-    """What tells the end of an answer's body."""
+    """What marks the end of an answer's body."""
 
     CHUNKS = "chunks"
     LENGTH = "length"
@@ -33,7 +33,7 @@
 
 
 class Ending(StrEnum):
-    """What a runner does with the connection behind the last byte that it sends."""
+    """What a runner does with the connection after the last byte that it sends."""
 
     KEEP = "keep"
     CLOSE = "close"
@@ -42,11 +42,11 @@
 
 
 class Outcome(StrEnum):
-    """How an answer ended in the client's eyes."""
+    """How an answer ended as seen by the client."""
 
     WAITING = "waiting"
     COMPLETE = "complete"
-    """Its length or its last chunk says so."""
+    """Its length was reached, or its last chunk received."""
     CUT = "cut"
     LEFT = "left"
     """The client itself has closed the connection."""
@@ -60,9 +60,9 @@
     runner: str
     after_event: int | None
     ran: bool
-    """False: it was turned away as not run."""
+    """False: it was refused as not run."""
     status: int
-    """0 when not even a head was sent."""
+    """0 if not even a head was sent."""
     framing: Framing
     body: bytes
     """The body as far as it was meant to be sent."""
@@ -72,7 +72,7 @@
 
 @dataclass
 class ClientRequest:
-    """One request of a client, and what the client has got for it."""
+    """One request of a client, and the answer as the client received it."""
 
     request: str
     kind: Kind
@@ -84,12 +84,12 @@
     outcome: Outcome = Outcome.WAITING
     ended_s: float | None = None
     surplus: bytes = b""
-    """Bytes that came behind the end of the answer."""
+    """Bytes received after the end of the answer."""
 
 
 @dataclass
 class History:
-    """Everything that was seen, in the order in which it began."""
+    """All requests and runs, in the order in which they began."""
 
     requests: list[ClientRequest] = field(default_factory=list)
     runs: list[RunnerRun] = field(default_factory=list)
--- a/features/support/relay_soak/runner.py
+++ b/features/support/relay_soak/runner.py
@@ -1,4 +1,4 @@
-"""Runners on connections in memory: each request is answered as the drawer says, byte for byte."""
+"""Runners on in-memory connections, which send the drawn answers byte for byte."""
 
 import random
 from collections import deque
@@ -14,12 +14,12 @@
 
 REFUSED_CONNECTIONS_SHARE = 0.03
 CLIENT_HAS = b"client-has"
-"""Names the event behind which the client itself asks to go on."""
+"""Header with the event after which the client itself resumes."""
 THINKS_S = (0.0, 0.01, 0.05, 0.3)
 
 
 class SoakRunner:
-    """One runner: takes connections, and notes what it was asked and what it sent."""
+    """One runner: accepts connections, and records its requests and answers."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
         self._drawer = drawer
 
     def accept(self) -> Protocol | None:
-        """Take a connection, or refuse it at times."""
+        """Accept a connection, or sometimes refuse it."""
         if self._draw.random() < REFUSED_CONNECTIONS_SHARE:
             return None
         return RunnerConnection(self)
 
     def thinks_s(self) -> float:
-        """Draw how long it is until the first byte of an answer."""
+        """Draw the time until the first byte of an answer."""
         return self._draw.choice(THINKS_S)
 
     def answer(self, head: h11.Request) -> RunnerAnswer:
-        """Draw the answer to a request, and note it."""
+        """Draw the answer to a request, and record it."""
         fields = tuple(head.headers.raw_items())
         after = header_text(fields, b"last-event-id")
         kind = Kind(head.target.decode().split("/")[1])
@@ -85,7 +85,7 @@
         self._head: h11.Request | None = None
 
     def dataReceived(self, data: bytes) -> None:
-        """Gather a request; answer it once it is whole."""
+        """Read a request; answer it once it is complete."""
         self._http.receive_data(data)
         while True:
             event = self._http.next_event()
@@ -105,7 +105,7 @@
         self._gone = True
 
     def _play_next(self) -> None:
-        """Begin the next answer once the one before it, with all behind it, has been sent."""
+        """Begin the next answer once the one before it has been sent."""
         if self._due and not self._playing:
             self._playing = True
             self._runner.clock.callLater(
@@ -113,7 +113,7 @@
             )
 
     def _play(self, answer: RunnerAnswer, number: int) -> None:
-        """Send one piece and plan the next one; end as the answer says."""
+        """Send one piece and schedule the next one; after the last one, end as drawn."""
         if self._gone:
             return
         if number < len(answer.pieces):
--- a/features/support/relay_soak/soak.py
+++ b/features/support/relay_soak/soak.py
@@ -1,7 +1,7 @@
-"""Many clients' requests on routes of every kind through a gateway's relay, judged at the end.
+"""Sends many clients' requests on routes of every kind through a relay, and checks the history.
 
-The HTTP of both sides is real bytes: the product's server for clients, its pool and client
-connections for runners. Only the sockets and the clock are stand-ins.
+Both sides exchange real HTTP bytes: the product's server for clients, its pool and client
+connections for runners. Only the sockets and the clock are simulated.
 """
 
 import random
@@ -31,13 +31,13 @@
 RUNNERS = 6
 CONNECTIONS = 150
 MAX_REQUESTS = 3
-"""Of one connection, one after the other."""
+"""Per connection, one after the other."""
 SECONDS = 20.0
 TIMEOUT_S = 4.0
 LEAVE_SHARE = 0.1
 LEAVES_AFTER_S = (0.005, 0.5)
 TAKES_UP_SHARE = 0.15
-"""Of the requests on the resumable route, those of clients that have some events already."""
+"""The share of requests on the resumable route whose clients have some events already."""
 BUFFERED_BYTES = 4096
 ROUTE_KINDS = {
     Kind.SAFE: RouteKind.SAFE,
@@ -48,7 +48,7 @@
 
 
 class RelaySoak:
-    """One soak; ``violations`` says what went wrong, ``counts`` what there was to judge."""
+    """One soak; ``violations`` lists what went wrong, ``counts`` what was covered."""
 
     def __init__(self, seed: int, spoils_beginnings: bool = True) -> None:
         self._seed = seed
@@ -66,7 +66,7 @@
             self._start_runner(number)
 
     def run(self) -> None:
-        """Send everything, wait until every request has had its time, and judge."""
+        """Send all requests, wait until their time-outs have passed, and check the history."""
         for _ in range(CONNECTIONS):
             self._clock.callLater(self._draw.uniform(0, SECONDS), self._open_client)
         self._run_until(SECONDS + (MAX_REQUESTS + 1) * TIMEOUT_S)
@@ -75,7 +75,7 @@
         self._count(judge)
 
     def _run_until(self, until_s: float) -> None:
-        """Let time pass; whatever the gateway raises on the way breaks a promise, too."""
+        """Let time pass; an exception raised by the gateway is a violation, too."""
         going_on = True
         while going_on:
             try:
@@ -139,7 +139,7 @@
             after = self._draw.randint(1, last_event(name))
         return ClientRequest(name, kind, after, TIMEOUT_S, 0.0)
 
-    # --- what there was to judge ---------------------------------------------------------
+    # --- coverage ------------------------------------------------------------------------
 
     def _count(self, judge: Judge) -> None:
         counts = self.counts
--- a/features/support/relay_soak/wire.py
+++ b/features/support/relay_soak/wire.py
@@ -1,4 +1,4 @@
-"""Connections in memory, in virtual time: bytes take a moment, and a close comes behind them."""
+"""In-memory connections in virtual time; bytes are delayed, and a close arrives after them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,11 +15,11 @@
 from rainsail.simulation.clock import VirtualClock
 
 DELAY_S = 0.001
-"""How long bytes and closes are on their way."""
+"""Transfer time of bytes and closes."""
 
 
 class MemoryTransport:
-    """One end of a connection; offers what the product asks of Twisted's transports."""
+    """One end of a connection, with the methods of Twisted's transports that the product uses."""
 
     def __init__(self, clock: VirtualClock, protocol: Protocol) -> None:
         self._clock = clock
@@ -37,12 +37,12 @@
             self._clock.callLater(DELAY_S, self.peer.deliver, data)
 
     def deliver(self, data: bytes) -> None:
-        """Hand bytes to this end's protocol."""
+        """Pass bytes to this end's protocol."""
         if not self._lost:
             self._protocol.dataReceived(data)
 
     def loseConnection(self) -> None:
-        """Close in order, behind what was written."""
+        """Close in an orderly way, after what was written."""
         self._close(ConnectionDone(), ConnectionDone())
 
     def abortConnection(self) -> None:
@@ -57,7 +57,7 @@
         self._clock.callLater(DELAY_S, self.peer.lose, reason_of_peer)
 
     def lose(self, reason: Exception) -> None:
-        """Tell this end's protocol, once, that the connection is gone."""
+        """Report the end of the connection to this end's protocol, once."""
         if self._lost:
             return
         self._lost = True
@@ -74,7 +74,7 @@
 
 
 Accept = Callable[[], Protocol | None]
-"""Returns the protocol of a connection that is taken, None for one that is refused."""
+"""Returns the protocol of an accepted connection, None to refuse it."""
 
 
 class MemoryReactor:
@@ -85,11 +85,11 @@
         self._listening: dict[str, Accept] = {}
 
     def listen(self, host: str, accept: Accept) -> None:
-        """Take connections to a host."""
+        """Accept connections to a host."""
         self._listening[host] = accept
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> None:
-        """Open a connection a moment later, as Twisted's reactors do."""
+        """Open a connection after a delay, asynchronously as Twisted's reactors do."""
         self._clock.callLater(2 * DELAY_S, self._open, host, factory)
 
     def _open(self, host: str, factory: Any) -> None:
--- a/features/support/relayed_fleet.py
+++ b/features/support/relayed_fleet.py
@@ -1,5 +1,5 @@
-"""A relaying fleet in virtual time: controllers, storage nodes and followers of the product's own,
-over simulated networks and disks."""
+"""A relaying fleet in virtual time: the product's controllers, storage nodes and followers with
+simulated networks and disks."""
 
 import random
 from collections.abc import Callable
@@ -34,9 +34,9 @@
 
 
 def table_of(content: bytes) -> Any:
-    """Read the tests' tables: a version, for all jobs one service, and the jobs' regions if any.
+    """Parse a test table: its version, and the allowed regions of jobs, if any.
 
-    ``7`` is version 7; ``8 east west`` is version 8, and its jobs may run in these regions.
+    ``7`` is version 7; ``8 east west`` is version 8 whose jobs may run in these two regions.
     """
     version, *regions = content.decode().split()
     routes = (
@@ -58,7 +58,7 @@
 
 
 class SimulatedNode:
-    """One process: its base, its role, its clock."""
+    """One process with its base, role and clock."""
 
     def __init__(self, base: NodeBase, clock: SkewedClock, role: Any) -> None:
         self.base = base
@@ -68,7 +68,7 @@
 
 
 class RelayedFleet:
-    """Nodes by name; a machine's disk outlives its process."""
+    """Nodes by name; a machine's disk survives a crash of its process."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         gateways: int = 2,
         seeds: int | None = None,
     ) -> None:
-        """Start all nodes; the first ``seeds`` controllers (all, when None) found the group."""
+        """Start all nodes; the first ``seeds`` controllers (all, if None) form the group."""
         self.clock = VirtualClock()
         self.max_queued_tokens = 0
         self.random = random.Random(seed)
@@ -149,11 +149,11 @@
         return StorageNode(base, protocol, self.table_of, pool, disk, node.faults.append)  # type: ignore[arg-type]
 
     def table_of(self, content: bytes) -> Any:
-        """Read a table."""
+        """Parse a table."""
         return table_of(content)
 
     def make_gateway(self, base: NodeBase) -> Any:
-        """Return what a gateway does: here it only hands jobs in."""
+        """Return a gateway's role; here it only submits jobs."""
         calls = LeaderCaller(base.messenger, base.clock, None, lambda: base.follower.view().storage)
         return JobClient(calls)
 
@@ -184,16 +184,16 @@
         self.network.freeze(self.address(name))
 
     def thaw(self, name: str) -> None:
-        """Let a paused process go on: what its timers owe comes first, then what has arrived."""
+        """Resume a paused process: overdue timers fire first, then pending messages arrive."""
         self.nodes[name].clock.thaw()
         self.network.thaw(self.address(name))
 
     def isolate(self, name: str) -> None:
-        """Cut a node off from all others, in silence."""
+        """Partition a node from all others; packets are dropped silently."""
         self.network.isolate(self.address(name))
 
     def cut_from_group(self, name: str) -> None:
-        """Cut a node off from the others of its kind, in silence; all else still reaches it."""
+        """Partition a node from the others of its kind; all other nodes still reach it."""
         own = self.address(name)
         for other in self.names(name.partition("-")[0]):
             if other != name:
@@ -201,17 +201,17 @@
                 self.network.cut(self.address(other), own)
 
     def rejoin(self, name: str) -> None:
-        """End a node's cut."""
+        """End a node's partition."""
         self.network.rejoin(self.address(name))
 
-    # --- looking -------------------------------------------------------------------------
+    # --- waiting and inspection ----------------------------------------------------------
 
     def run_until(self, condition: Callable[[], bool], what: str, limit_s: float = LIMIT_S) -> None:
-        """Run the virtual world until something holds."""
+        """Run virtual time until ``condition`` holds."""
         wait_until(self.clock, condition, limit_s, what)
 
     def run_for(self, seconds: float) -> None:
-        """Run the virtual world for a while."""
+        """Run virtual time for ``seconds``."""
         self.clock.advance(seconds)
 
     def result_of(self, done: Any, what: str, limit_s: float = LIMIT_S) -> Any:
@@ -231,7 +231,7 @@
         return [name for name, driver in drivers if driver is not None and driver.is_leader()]
 
     def leader(self, kind: str) -> str:
-        """Return the one leader of a kind; runs until there is one."""
+        """Run until there is exactly one leader of a kind; return its name."""
         self.run_until(lambda: len(self.leading(kind)) == 1, f"a leader of {kind}")
         return self.leading(kind)[0]
 
@@ -240,7 +240,7 @@
         return self.nodes[name].role.controller
 
     def submit(self, gateway: str, job: str, count: int, tenant: str = "") -> Any:
-        """Have a gateway hand a job in; returns its Deferred."""
+        """Have a gateway submit a job; return its Deferred."""
         items = tuple(
             RelayedItem(f"{job}-{number}", f"{JOB_PATH}/{number}", (), b"body", 10)
             for number in range(count)
@@ -249,5 +249,5 @@
         return self.nodes[gateway].role.submit(tenant, job, HOST, JOB_PATH, items, limit)
 
     def calls(self) -> list[Any]:
-        """Return every item's sending, of all storage nodes."""
+        """Return all item requests sent by all storage nodes."""
         return [call for pool in self.pools.values() for call in pool.calls]
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -1,7 +1,7 @@
-"""A relayed fleet under seeded random faults in virtual time, judged by what its users saw.
+"""A relayed fleet under seeded random faults in virtual time, checked by what its users observe.
 
-Faults stay within what the fleet is meant to bear: one machine with a disk lost at a time, with
-time to catch up after each, and losses of power of a whole group that keep all disks.
+Faults stay within what the fleet has to tolerate: the loss of one machine with its disk at a time,
+with time to recover after each, and power losses of a whole group that keep all disks.
 """
 
 import random
@@ -21,10 +21,10 @@
 RECOVERY_S = 5.0
 DRAIN_S = 2.0
 ZONE_DRAIN_S = 5.0
-"""From the acknowledgement of a zone's drain its runners get nothing after this time."""
+"""This long after the acknowledgement of a zone's drain its runners get no more items."""
 ZONE_DRAINED_FOR_S = (4.0, 9.0)
 ORDER_TIMEOUT_S = 1.0
-"""An operator without an answer closes its connection and goes elsewhere after this time."""
+"""An operator without an answer closes its connection and tries another node after this time."""
 LATE_HEARTBEAT_S = (0.2, 3.0)
 CANCEL_S = 3.0
 SETTLE_LIMIT_S = 40.0
@@ -33,17 +33,17 @@
 RESEND_CHANCE = 0.3
 OTHER_CONTENT_CHANCE = 0.3
 TOLERATED_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
-"""What may happen to machines with a disk."""
+"""Faults of machines with a disk, one at a time with recovery after each."""
 KEPT_DISK_KINDS = ("crash", "freeze", "isolate", "cut_from_group", "group", "hand_over")
-"""What may happen to them at any pace: every disk stays."""
+"""Faults of machines with a disk that may come at any rate, since no disk is lost."""
 GATEWAY_KINDS = ("crash", "freeze", "isolate")
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What a soak is made of.
+    """The parameters of a soak.
 
-    ``recovery_s`` is how long nothing happens after a fault: time to catch up where disks are lost.
+    ``recovery_s`` is the minimum time after a fault without another one, to recover lost disks.
     """
 
     seconds: float = 60
@@ -54,7 +54,7 @@
 
 @dataclass
 class SoakJob:
-    """One job as its client knows it."""
+    """One job as known to its client."""
 
     job: str
     count: int
@@ -66,7 +66,7 @@
 
 @dataclass
 class ZoneOrder:
-    """A zone's drain as the operator knows it: when it was acknowledged, and its end first sent."""
+    """A zone's drain as known to the operator: when it was acknowledged, and its end first sent."""
 
     zone: str
     ends_at_s: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Sending:
-    """An item on its way to a runner."""
+    """An item sent to a runner."""
 
     at_s: float
     job: str
@@ -85,7 +85,7 @@
 
 
 class RelayedSoak:
-    """Runs the users and the faults; ``violations`` says what went wrong."""
+    """Runs the users and the faults; ``violations`` lists what went wrong."""
 
     def __init__(self, seed: int, plan: SoakPlan) -> None:
         self.plan = plan
@@ -100,7 +100,7 @@
         self.jobs: dict[str, SoakJob] = {}
         self.runners: dict[str, RunnerRecord] = {}
         self.zones: dict[str, str] = {}
-        """The zone of each runner there ever was."""
+        """The zone of every runner, including those that have gone."""
         self.drained_s: dict[str, float] = {}
         self.sendings: list[Sending] = []
         self.zone_orders: list[ZoneOrder] = []
@@ -110,9 +110,9 @@
         self._next_fault_s = self.now + 2.0
         self._next_runner = 0
         self._recovered_at_s = 0.0
-        """Until then the machine that was lost last counts as lost."""
+        """Until then the last failed machine counts as down."""
         self._unread_orders: list[tuple[str, Callable[[], None]]] = []
-        """Orders on zones that wait at frozen controllers."""
+        """Drain orders that wait at frozen controllers."""
         self._armed: tuple[str, str] | None = None
         for name in self.fleet.names("gateway"):
             self._listen_at_gateway(name)
@@ -123,7 +123,7 @@
         return self.fleet.clock.seconds()
 
     def run(self) -> None:
-        """Run the whole soak, then heal everything and judge."""
+        """Run the soak, then end all faults and check the result."""
         for _ in range(3):
             self._add_runner()
         while self.now < self.until_s:
@@ -211,7 +211,7 @@
                 self._play_call(call)
 
     def _first_event(self, after: int) -> int:
-        """Go on behind the last event; some runners send that one again."""
+        """Return the first event after the last one; some runners repeat that one."""
         return max(1, after if self.random.random() < REPEAT_CHANCE else after + 1)
 
     def _play_call(self, call: Any) -> None:
@@ -247,13 +247,13 @@
         self._retry_zone_orders()
 
     def _begin_zone_drain(self) -> None:
-        """Drain a zone, unless one is drained already."""
+        """Drain a zone, unless a drain is under way."""
         if all(order.ended for order in self.zone_orders):
             ends_at_s = self.now + self.random.uniform(*ZONE_DRAINED_FOR_S)
             self.zone_orders.append(ZoneOrder(self.random.choice(sorted(ZONES)), ends_at_s))
 
     def _retry_zone_orders(self) -> None:
-        """Send the order that is due until it is acknowledged, to any controller."""
+        """Send the current drain order to a random controller until it is acknowledged."""
         controller = self._controller_name()
         if not self.zone_orders or not controller or self.random.random() > 2 * STEP_S:
             return
@@ -265,9 +265,9 @@
             self._send_zone_order(controller, order, False)
 
     def _send_zone_order(self, name: str, order: ZoneOrder, draining: bool) -> None:
-        """Send an order; a controller that stands still reads it when it wakes.
+        """Send a drain order; a frozen controller reads it when it resumes.
 
-        The operator has left by then, if that takes longer than ``ORDER_TIMEOUT_S``.
+        By then the operator has disconnected, if that takes longer than ``ORDER_TIMEOUT_S``.
         """
         until_s = self.now + ORDER_TIMEOUT_S
 
@@ -291,7 +291,7 @@
             order.ended = True
 
     def _replace_runner(self) -> None:
-        """A runner crashes twice; a word of the incarnation between comes after the newest's."""
+        """Crash a runner twice; a heartbeat of the middle incarnation arrives last."""
         names = [name for name in self.runners if name not in self.drained_s]
         if not names:
             return
@@ -324,7 +324,7 @@
         done.addCallback(self._table_taken, version)
 
     def _content(self, version: int) -> bytes:
-        """Return a table's content; now and then another one is sent under the same version."""
+        """Return a table's content; sometimes a different one for the same version."""
         other = self.random.random() < OTHER_CONTENT_CHANCE
         return f"{version} {'east west' if other else 'west east'}".encode()
 
@@ -382,9 +382,9 @@
                 self._read_job(job)
 
     def _read_from_the_start(self) -> None:
-        """Once all is calm clients read what they have not seen whole, as a whole and at a gateway.
+        """After the faults, read incomplete jobs from the first result on, at a gateway.
 
-        Reads at drawn positions and nodes alone may miss a result for the whole calm time.
+        Reads at random positions and nodes alone might miss a result until the time limit.
         """
         for job in self.jobs.values():
             owed = job.accepted_s is not None and not job.results.is_whole()
@@ -393,7 +393,7 @@
                 done.addCallback(self._page_read, job, 0, job.results.least(0))
 
     def _read_job(self, job: SoakJob) -> None:
-        """Read from some position, now and then with a wait, or at a node that may not lead."""
+        """Read from a random position, sometimes with a wait, or at a node that may not lead."""
         after = self.random.choice([0, 0, self.random.randint(0, job.count + 1)])
         wait_s = self.random.choice([0.0, 0.0, 1.0])
         least = job.results.least(after)
@@ -414,7 +414,7 @@
             self.violations.append(f"{job.job} was accepted and is not found")
 
     def _listen_at_gateway(self, name: str) -> None:
-        """Watch what a gateway's process is told of tables, from its start on."""
+        """Check the tables that a gateway receives, from its start on."""
         node = self.fleet.nodes[name]
 
         def table_received(document: TableDocument) -> None:
@@ -423,7 +423,7 @@
         node.base.follower.on_table = table_received
 
     def _watch_nodes(self) -> None:
-        """Watch the versions and the orders on zones that every node has."""
+        """Check the table versions and drain orders of all nodes."""
         for name, node in self.fleet.nodes.items():
             version = node.base.follower.table_version
             if name.startswith("storage"):
@@ -450,7 +450,7 @@
         self._inject(group, kind)
 
     def _inject_if_armed(self, group: str) -> None:
-        """Strike the moment that a client has its acknowledgement."""
+        """Inject the prepared fault right after a client has got an acknowledgement."""
         armed = self._armed
         if armed is None or armed[0] != group or self._down or self.now >= self.until_s:
             return
@@ -512,7 +512,7 @@
                 self.fleet.rejoin(name)
 
     def _read_orders_at(self, name: str) -> None:
-        """Have a controller that wakes read the orders that have come meanwhile."""
+        """Deliver the orders that have arrived while a controller was frozen."""
         waiting = [read for at, read in self._unread_orders if at == name]
         self._unread_orders = [each for each in self._unread_orders if each[0] != name]
         for read in waiting:
@@ -555,12 +555,12 @@
         self._judge_runners()
 
     def _judge_runners(self) -> None:
-        """Once all is calm a runner that lives and goes on speaking gets work everywhere."""
+        """Check that after the faults every live runner with heartbeats gets work everywhere."""
         for name, runner in self._unused_runners():
             self.violations.append(f"{name} sends nothing to {runner}, which lives")
 
     def _unused_runners(self) -> list[tuple[str, str]]:
-        """Return gateways with the living runners that they send nothing to."""
+        """Return pairs of a gateway and a live runner that it does not use."""
         drained = {order.zone for order in self.zone_orders if not order.ended}
         living = [
             record.runner
--- a/features/support/relayed_soak_plans.py
+++ b/features/support/relayed_soak_plans.py
@@ -1,4 +1,4 @@
-"""The soaks of a relayed fleet that features and ``tools/jobs_soak.py`` play, by seed."""
+"""The soak tests of a relayed fleet that features and ``tools/jobs_soak.py`` run, by seed."""
 
 import random
 from unittest import mock
@@ -15,23 +15,23 @@
 LONG_ITEMS_RECOVERY_S = 0.5
 LOST_NOTES = 0.2
 REFUSED_AFTER_S = 0.7
-"""A refusal is heard of when the next note has gone out: that one begins behind a hole."""
+"""A refusal arrives after the next note was sent, so that this note follows a gap."""
 
 
 def play(seed: int, plan: SoakPlan | None = None) -> RelayedSoak:
-    """Run a soak; return it judged."""
+    """Run a soak and its checks; return it."""
     soak = RelayedSoak(seed, plan or SoakPlan())
     soak.run()
     return soak
 
 
 def long_items(seconds: float = 60, events: int = LONG_ITEM_EVENTS) -> SoakPlan:
-    """Items run longer than most leaders lead, so that notes are lost, late and taken up."""
+    """Return a plan whose items outlast most leaders, so that progress notes are lost or late."""
     return SoakPlan(seconds, events, LONG_ITEMS_RECOVERY_S, KEPT_DISK_KINDS)
 
 
 def play_long_items(seed: int, plan: SoakPlan | None = None) -> RelayedSoak:
-    """Run a soak of long items whose groups refuse some notes of progress and go on."""
+    """Run a soak of long items whose groups refuse some progress notes."""
     propose = GroupDriver.propose
     chances = random.Random(seed)
 
--- a/features/support/relaying.py
+++ b/features/support/relaying.py
@@ -1,4 +1,4 @@
-"""A gateway's relay over stand-ins: clients' exchanges, and connections that tests answer on."""
+"""A gateway's relay with fakes for the clients' exchanges and for the connections to runners."""
 
 import random
 from collections.abc import Callable
@@ -34,10 +34,10 @@
 
 
 class PlainProtocol:
-    """A protocol of few headers: what the tests need of a platform."""
+    """A minimal relay protocol with the few headers that the tests need."""
 
     def describe(self, request: HttpRequest) -> RequestFacts:
-        """Not used: tests state the facts."""
+        """Not used: tests construct the facts."""
         raise NotImplementedError
 
     def relayed(
@@ -48,7 +48,7 @@
         after_event: int | None,
         identity: Identity = NOBODY,
     ) -> OutgoingRequest:
-        """Send the deadline left and the event to go on behind."""
+        """Send the time left and the event to resume after."""
         fields = [(b"runner", target.runner.encode())]
         if deadline_left_s is not None:
             fields.append((b"deadline-left", f"{deadline_left_s:.3f}".encode()))
@@ -57,7 +57,7 @@
         return OutgoingRequest(request.method, request.target, tuple(fields), request.body)
 
     def item_request(self, item: ItemRequest, target: RunnerTarget) -> OutgoingRequest:
-        """Send an item with the event to go on behind."""
+        """Send an item with the event to resume after."""
         fields = [(b"runner", target.runner.encode()), (b"item", item.item.item.encode())]
         if item.after_event is not None:
             fields.append((b"after-event", str(item.after_event).encode()))
@@ -66,7 +66,7 @@
         return OutgoingRequest(b"POST", item.item.path.encode(), tuple(fields), item.item.body)
 
     def judge(self, head: AnswerHead, request: str) -> AnswerVerdict:
-        """Read ``not-run`` and ``of``, the request that an answer says it is for."""
+        """Read ``not-run`` and ``of``, the request that an answer belongs to."""
         fields = dict(head.headers)
         belongs = fields.get(b"of", request.encode()) == request.encode()
         not_run = NOT_RUN_FIELD in fields
@@ -76,17 +76,17 @@
         return AnswerVerdict(belongs, not_run, promises, head.status == 421, load)
 
     def answer_headers(self, head: AnswerHead) -> Any:
-        """Pass everything on."""
+        """Forward all fields."""
         return head.headers
 
     def refusal_headers(self, retry_after_s: float | None) -> Any:
-        """Say when to come back."""
+        """Return the retry time as a field."""
         return () if retry_after_s is None else ((b"retry-after", f"{retry_after_s:g}".encode()),)
 
 
 @dataclass
 class StandInCall:
-    """One sending: the request, and the listener that a test answers."""
+    """One sent request, and the listener through which a test answers it."""
 
     address: str
     request: OutgoingRequest
@@ -96,7 +96,7 @@
     over: bool = False
 
     def cancel(self) -> None:
-        """Note that the connection was closed under the request."""
+        """Record that the request was cancelled."""
         self.cancelled = True
 
     def field(self, name: bytes) -> str:
@@ -105,27 +105,27 @@
 
     @property
     def job(self) -> str:
-        """The job of an item's request: what stands before the item's number."""
+        """The job of an item's request: the item's name without its number."""
         return self.field(b"item").rpartition("-")[0]
 
     def answer(self, status: int, body: bytes = b"", *fields: tuple[bytes, bytes]) -> None:
-        """Answer whole."""
+        """Send a complete answer."""
         self.listener.answer_begun(AnswerHead(status, fields))
         if body:
             self.listener.answer_data(body)
         self.listener.answer_ended()
 
     def begin_stream(self, load: str = "") -> None:
-        """Send the head of a stream, with what the runner says of its load, if anything."""
+        """Send the head of a stream, with the runner's load report if there is one."""
         fields = (*EVENT_STREAM_FIELDS, (b"load", load.encode()))
         self.listener.answer_begun(AnswerHead(200, fields))
 
 
 class StandInPool:
-    """Connections that go nowhere: tests answer in the runners' place."""
+    """A connection pool without a network: tests answer in the runners' place."""
 
     def __init__(self, clock: Any = None) -> None:
-        """With a ``clock`` each request is begun to be answered a little later."""
+        """With a ``clock`` the head of each answer is sent after ``HEAD_AFTER_S``."""
         self.calls: list[StandInCall] = []
         self.forgotten: list[str] = []
         self.clock = clock
@@ -133,7 +133,7 @@
     def send(
         self, address: str, request: OutgoingRequest, listener: Any, fresh: bool = False
     ) -> StandInCall:
-        """Note a sending."""
+        """Record a request."""
         call = StandInCall(address, request, listener)
         self.calls.append(call)
         if self.clock is not None:
@@ -146,20 +146,20 @@
             call.begin_stream()
 
     def forget(self, address: str) -> None:
-        """Note that idle connections were closed."""
+        """Record that idle connections were closed."""
         self.forgotten.append(address)
 
     def probe(self, address: str, on_result: Callable[[Reachability], None]) -> None:
-        """Every runner takes connections."""
+        """Report every runner as open."""
         on_result(Reachability.OPEN)
 
     def close_stale(self) -> None:
-        """Nothing rests here."""
+        """There are no idle connections here."""
 
 
 @dataclass
 class StandInExchange:
-    """A client's side: what it has received, and when."""
+    """A client's exchange; records what the client has received, and when."""
 
     request: HttpRequest
     clock: VirtualClock
@@ -172,35 +172,35 @@
     left: Any = None
 
     def answer(self, status: int, headers: Any, body: bytes) -> None:
-        """Take a whole answer."""
+        """Receive a complete answer."""
         assert not self.status, "answered twice"
         self.begin(status, headers)
         self.body = body
         self.end()
 
     def begin(self, status: int, headers: Any) -> None:
-        """Take a head."""
+        """Receive a head."""
         assert not self.status, "begun twice"
         self.status = status
         self.headers = headers
         self.answered_at_s = self.clock.seconds()
 
     def write(self, data: bytes) -> None:
-        """Take a piece."""
+        """Receive a piece of the body."""
         self.body += data
 
     def end(self) -> None:
-        """The answer is complete."""
+        """Receive the end of a complete answer."""
         assert not self.ended and not self.aborted
         self.ended = True
 
     def abort(self) -> None:
-        """The connection was cut."""
+        """Record that the connection was aborted."""
         assert not self.ended
         self.aborted = True
 
     def on_disconnect(self, listener: Any) -> None:
-        """Keep whom to tell when the client leaves."""
+        """Keep the listener; a test calls ``left`` to disconnect the client."""
         self.left = listener
 
 
@@ -230,7 +230,7 @@
     def put_route(
         self, kind: str, attempts: int = 2, resumable: bool = False, version: int = 1, **more: Any
     ) -> None:
-        """Put a table of one route in force."""
+        """Install a table of one route."""
         values: dict[str, Any] = {
             "name": "r",
             "host": HOST,
@@ -248,7 +248,7 @@
         self.context.table = RoutingTable(version, (Route(**values),), services, ClientLimits())
 
     def drop_routes(self) -> None:
-        """Put a table without routes in force."""
+        """Install a table without routes."""
         self.context.table = RoutingTable(9, (), (), ClientLimits())
 
     def request(
@@ -258,7 +258,7 @@
         request: str = "request-1",
         after_event: int | None = None,
     ) -> StandInExchange:
-        """Have a client send a request, or take a stream up again behind an event."""
+        """Have a client send a request, or resume a stream after an event."""
         assert self.context.table is not None
         head = HttpRequest(b"POST", PATH.encode(), (), b"body", self.clock.seconds())
         exchange = StandInExchange(head, self.clock)
@@ -270,14 +270,14 @@
 
     @property
     def last_call(self) -> StandInCall:
-        """The newest sending."""
+        """The latest sent request."""
         return self.pool.calls[-1]
 
 
 def runner_record(
     number: int, state: str = "ready", sequence: int = 1, zone: str = "zone-1"
 ) -> RunnerRecord:
-    """Return the word of a runner."""
+    """Return the record of a runner, as in its heartbeat."""
     return RunnerRecord(
         f"runner-{number}",
         SERVICE,
--- a/features/support/resuming_client.py
+++ b/features/support/resuming_client.py
@@ -1,4 +1,4 @@
-"""A client that takes its stream up again after each break, over runners that fail at random."""
+"""A client that resumes its stream after each interruption, with runners that fail at random."""
 
 import random
 
@@ -18,10 +18,10 @@
 
 
 class ResumingClient:
-    """Reads one stream to its end; ``faults`` says what was wrong with it.
+    """Reads one stream to its end; ``faults`` lists the violations found.
 
-    Runners break off, also inside an event, leave an event out (never the first or the last one),
-    send the last one again, fall silent or refuse; the client leaves and comes back.
+    Runners disconnect, also inside an event, skip an event (never the first or the last one),
+    repeat the last one, stop sending or refuse. The client disconnects and resumes.
     """
 
     def __init__(self, seed: int, events: int) -> None:
@@ -36,11 +36,11 @@
 
     @property
     def text(self) -> str:
-        """The data of all events that came, one on each line."""
+        """The data of all received events, one per line."""
         return "\n".join(self._pieces)
 
     def run(self) -> None:
-        """Ask again behind the last event until the stream was said to be complete."""
+        """Resume after the last event until the stream is complete."""
         while self.requests < MAX_REQUESTS:
             self.requests += 1
             exchange = self._world.request(after_event=len(self._pieces) or None)
@@ -61,7 +61,7 @@
             self._pieces.append(event.data)
 
     def _play(self, exchange: StandInExchange) -> None:
-        """Run until the relay has ended the answer, or the client has left."""
+        """Run until the relay has ended the answer, or the client has disconnected."""
         while not exchange.ended and not exchange.aborted:
             self._world.clock.advance(STEP_S)
             if self._random.random() < LEAVE_CHANCE:
