--- a/features/http/broken_off.feature
+++ b/features/http/broken_off.feature
@@ -1,4 +1,4 @@
-Feature: An answer that breaks off never looks complete to a client on a real socket
+Feature: An interrupted answer never looks complete to a client on a real socket
 
   Scenario Outline: A process that ends in the middle of an answer
     Given a process that serves HTTP on loopback
@@ -18,7 +18,7 @@
       | 1.1     | length  | is killed        |
       | 1.1     | length  | ends its reactor |
 
-  Scenario Outline: A process that ends while an answer that it has written has not all left
+  Scenario Outline: A process that ends while data of a written answer is still unsent
     Given a process that serves HTTP on loopback
     When a client of HTTP <version> asks for "/<framing>/whole/32000000"
     And the first bytes of the answer have come
@@ -32,11 +32,11 @@
       | 1.1     | none    | is killed        |
       | 1.1     | length  | ends its reactor |
 
-  Scenario Outline: A handler that breaks its answer off
+  Scenario Outline: A handler that aborts its answer
     Given a process that serves HTTP on loopback
     When a client of HTTP <version> asks for "/<framing>/never/<count>"
     And the first bytes of the answer have come
-    And the handler breaks the answer off
+    And the handler aborts the answer
     Then the client finds the answer broken
 
     Examples:
@@ -73,7 +73,7 @@
       | 1.1     | none    |
       | 1.1     | length  |
 
-  Scenario Outline: An answer that doesn't break off arrives whole, also when it is read slowly
+  Scenario Outline: An uninterrupted answer arrives complete, also when it is read slowly
     Given a process that serves HTTP on loopback
     When a client of HTTP <version> asks for "/<framing>/whole/<count>"
     And the first bytes of the answer have come
@@ -88,7 +88,7 @@
       | 1.1     | none    | 32000000 |
       | 1.1     | length  | 32000000 |
 
-  Scenario Outline: An answer whose client ends its sending side after the answer's end leaves whole
+  Scenario Outline: An answer is sent completely when its client ends its sending side after the answer's end
     Given a process that serves HTTP on loopback
     When a client of HTTP <version> asks for "/<framing>/whole/32000000"
     And the first bytes of the answer have come
--- a/features/http/connections.feature
+++ b/features/http/connections.feature
@@ -1,6 +1,6 @@
-Feature: Connections tell what became of a request and of its answer
+Feature: Connections report whether a request was sent and how its answer ended
 
-  Scenario: A request with a length and one in chunks arrive whole
+  Scenario: A request with a length and a chunked one arrive complete
     Given an HTTP server that answers with the body it got
     When a client sends "POST /x HTTP/1.1|Host: a|Content-Length: 3||abc"
     Then the server's bytes end with "abc"
@@ -14,11 +14,11 @@
     When the server answers
     Then the server has seen the paths "/1 /2"
 
-  Scenario: A client that closes is noticed while its request is under way
+  Scenario: A client's disconnect is noticed while its request is in progress
     Given an HTTP server that answers later
     When a client sends "GET /1 HTTP/1.1|Host: a||"
     And the client closes its connection
-    Then the server's handler was told that the client left
+    Then the server's handler was notified that the client disconnected
 
   Scenario Outline: Bad or too large requests are refused and the connection closed
     Given an HTTP server that takes bodies of 10 bytes and heads of 200
@@ -45,20 +45,20 @@
     Then the server's bytes say "Connection: close"
     And the server has closed the connection
 
-  Scenario: An answer that is cut never looks complete
+  Scenario: An aborted answer never looks complete
     Given an HTTP server that answers later
     When a client sends "GET /1 HTTP/1.1|Host: a||"
     And the server begins an answer, sends "part" and aborts
     Then the server's bytes don't hold the end of a chunked body
     And the server has closed the connection
 
-  Scenario: A whole answer leaves its connection for the next request
+  Scenario: The connection of a complete answer is reused
     Given an HTTP client connection with a request under way
     When the other side sends "HTTP/1.1 200 OK|Content-Length: 2||hi"
     Then the answer is whole with "hi"
     And the connection may be used again
 
-  Scenario Outline: What is no whole answer is told as broken
+  Scenario Outline: An incomplete answer is reported as broken
     Given an HTTP client connection with a request under way
     When the other side sends "<bytes>"
     And the other side closes <how>
@@ -73,49 +73,49 @@
       | gibberish\|\|                                | in order | broke                |
       |                                              | in order | broke                |
 
-  Scenario: Bytes behind a whole answer reach nobody
+  Scenario: Bytes after a complete answer are dropped
     Given an HTTP client connection with a request under way
     When the other side sends "HTTP/1.1 200 OK|Content-Length: 2||hiHTTP/1.1 200 OK|Content-Length: 2||no"
     Then the answer is whole with "hi"
     And the connection is not used again
 
-  Scenario: Bytes on a resting connection end it
+  Scenario: Bytes on an idle connection end it
     Given an HTTP client connection with a request under way
     When the other side sends "HTTP/1.1 200 OK|Content-Length: 2||hi"
     And the other side sends "HTTP/1.1 200 OK|Content-Length: 2||no"
     Then the answer is whole with "hi"
     And the connection was closed by us
 
-  Scenario: Fields of one connection don't travel on
-    Then these fields travel on
+  Scenario: Hop-by-hop fields are not forwarded
+    Then these fields are forwarded
       | fields                                          | left       |
       | Connection: close, x-hop; X-Hop: 1; Kept: 2     | Kept       |
       | Transfer-Encoding: chunked; Te: trailers; A: 1  | A          |
       | Keep-Alive: timeout=3; Upgrade: h2; Host: b     | Host       |
 
-  Scenario: A drained server is quiet only when its last answer has left
+  Scenario: A server is drained only when its last answer has been flushed
     Given an HTTP server that answers later, over a connection that flushes slowly
     When a client sends "GET /1 HTTP/1.1|Host: a||"
-    And the server drains and waits until it is quiet
+    And the server drains and waits until it is drained
     And the server answers
-    Then the server is not quiet yet
+    Then the server is not drained yet
     When the connection has flushed
-    Then the server is quiet
+    Then the server is drained
 
-  Scenario: Servers that forget resting connections early get requests on fresh ones for a while
-    Given a pool with connections to servers a, b and c that have rested 1 second
+  Scenario: After a reset of an idle connection, requests go out on new connections for a while
+    Given a pool with connections to servers a, b and c that have been idle for 1 second
     When a request to server a is reset at once on its connection
     Then a request to server c goes out on a new connection
-    And 25 seconds later connections that have rested 1 second are used again
+    And 25 seconds later connections that have been idle for 1 second are used again
 
-  Scenario: A request that is reset after a while, or on a fresh connection, says nothing of rests
-    Given a pool with connections to servers a, b and c that have rested 1 second
+  Scenario: A request that is reset after a while, or on a fresh connection, does not limit idle times
+    Given a pool with connections to servers a, b and c that have been idle for 1 second
     When a request to server a is reset after 0.4 seconds on its connection
     And a request to server b is reset after 0.4 seconds on its connection
-    Then a request to server c goes out on the connection that rested
+    Then a request to server c goes out on the idle connection
 
-  Scenario: A request that its own side gives up says nothing of rests
-    Given a pool with connections to servers a, b and c that have rested 1 second
-    When a request to server a is given up at once
-    And a request to server b is given up at once
-    Then a request to server c goes out on the connection that rested
+  Scenario: A request that its own side cancels does not limit idle times
+    Given a pool with connections to servers a, b and c that have been idle for 1 second
+    When a request to server a is cancelled at once
+    And a request to server b is cancelled at once
+    Then a request to server c goes out on the idle connection
--- a/features/http/planned_stop.feature
+++ b/features/http/planned_stop.feature
@@ -1,12 +1,10 @@
-Feature: A planned stop answers what was sent to it
+Feature: A planned stop answers the requests that were sent before it
 
-  Callers had their connections closed without a byte: a process that stood still for a moment found a
-  request and SIGTERM together, took the connection for idle, and closed it with the request unread.
+  Guards against connections closed without an answer: a process that was stalled for a moment finds a
+  request and SIGTERM together, treats the connection as idle, and closes it with the request unread.
 
-    466.947 a request is sent   467.163 SIGTERM   467.177 the connection is closed in order
-
-  Scenario Outline: A request that lies unread on a connection kept open is answered: <server>
-    # Guards against: a connection closed as idle although a request lies unread in its socket.
+  Scenario Outline: An unread request on a persistent connection is answered: <server>
+    # Guards against: a connection closed as idle although a request is unread in its socket.
     Given <server> that is about to stop
     When a caller's first request is answered there, and its connection is kept open
     And the caller sends a request in the moment in which idle connections are closed
@@ -18,7 +16,7 @@
       | a relaying gateway |
 
   Scenario Outline: The first request on a connection that was just accepted is answered: <server>
-    # Guards against: connections that have carried no request being cut by the end of the process.
+    # Guards against: connections without a request so far being reset by the end of the process.
     Given <server> that is about to stop
     When a caller opens a connection that is accepted
     And the caller sends a request in the moment in which idle connections are closed
@@ -30,7 +28,7 @@
       | a relaying gateway |
 
   Scenario Outline: A request in the queue of the listening port is answered: <server>
-    # Guards against: the reset of what the kernel has accepted and the process has not.
+    # Guards against: the reset of connections that the kernel has accepted and the process has not.
     Given <server> that is about to stop
     When a caller connects and sends a request in the moment in which the port is closed
     Then the caller is answered, and told that the connection closes
@@ -40,7 +38,7 @@
       | the caller API     |
       | a relaying gateway |
 
-  Scenario Outline: A request of which a half has been read is answered once the rest has come: <server>
+  Scenario Outline: A request that was read in half is answered once the rest has arrived: <server>
     # Guards against: a connection closed as idle in the middle of a request's head.
     Given <server> that is about to stop
     When a caller has sent half of a request's head, and it has been read
@@ -65,7 +63,7 @@
       | the caller API     |
       | a relaying gateway |
 
-  Scenario Outline: A caller that connects right behind the closing of the port is refused, not reset: <server>
+  Scenario Outline: A caller that connects right after the port was closed is refused, not reset: <server>
     # Guards against: a port that still accepts until a later turn of the reactor closes it.
     Given <server> that is about to stop
     When the port is closed in a turn of the reactor that is long, and a caller connects meanwhile
@@ -76,10 +74,10 @@
       | the caller API     |
       | a relaying gateway |
 
-  Scenario Outline: A caller that has connected just before the port is closed is waited for: <server>
-    # Guards against: a new connection closed as idle while its first request is on its way.
+  Scenario Outline: A caller that has connected just before the port is closed is answered: <server>
+    # Guards against: a new connection closed as idle while its first request is in transit.
     Given <server> that is about to stop
-    When a caller connects just before the port is closed, and sends its request when others rest
+    When a caller connects just before the port is closed, and sends its request after idle ones are closed
     Then the caller is answered, and told that the connection closes
 
     Examples:
--- a/features/http/reach.feature
+++ b/features/http/reach.feature
@@ -1,9 +1,9 @@
-Feature: A probe tells a process that has ended from one that takes connections
+Feature: A probe distinguishes a process that has ended from one that accepts connections
 
   Scenario Outline: A port at which a process <listens>
     Given a port of this machine at which a process <listens>
     When it is probed
-    Then it is told once that the address is "<reach>"
+    Then the address is reported once as "<reach>"
 
     Examples:
       | listens           | reach   |
--- a/features/steps/http_broken_off_steps.py
+++ b/features/steps/http_broken_off_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that break off, over real sockets and with a server in its own process."""
+"""Steps on interrupted answers, over real sockets and with a server in its own process."""
 
 import signal
 import socket
@@ -11,7 +11,7 @@
 from rig.daemon import die_with_parent
 
 KERNEL_BUFFER_BYTES = 4096
-"""Small, so that the kernel does not take a large answer in."""
+"""Small, so that the kernel does not buffer a large answer."""
 LIMIT_S = 20.0
 
 
@@ -77,7 +77,7 @@
     assert context.serving_process.wait(LIMIT_S) == 0
 
 
-@when("the handler breaks the answer off")
+@when("the handler aborts the answer")
 def break_off(context):
     context.serving_process.send_signal(signal.SIGUSR1)
 
--- a/features/steps/http_connection_steps.py
+++ b/features/steps/http_connection_steps.py
@@ -12,7 +12,7 @@
 
 
 class _Transport(StringTransportWithDisconnection):
-    """Takes the socket options that the product sets."""
+    """Accepts the socket options that the product sets."""
 
     def setTcpNoDelay(self, enabled):
         """Accept the option."""
@@ -130,7 +130,7 @@
     assert seen == paths.split(), seen
 
 
-@then("the server's handler was told that the client left")
+@then("the server's handler was notified that the client disconnected")
 def was_told(context):
     assert context.http_left == context.http_exchanges
 
@@ -139,7 +139,7 @@
 
 
 class _Listener:
-    """Keeps what an answer was."""
+    """Records an answer."""
 
     def __init__(self):
         self.head = None
@@ -147,45 +147,45 @@
         self.end = ""
 
     def answer_begun(self, head):
-        """Keep the head."""
+        """Record the head."""
         self.head = head
 
     def answer_data(self, data):
-        """Keep the body."""
+        """Record the body."""
         self.body += data
 
     def answer_ended(self):
-        """Whole."""
+        """Record a complete answer."""
         assert not self.end
         self.end = "whole"
 
     def answer_failed(self, reason):
-        """Broken."""
+        """Record a broken answer."""
         assert not self.end
         self.end = "broke"
 
 
-class _Keeper:
-    """Keeps what a connection tells its pool."""
+class _Owner:
+    """Records the state changes that a connection reports to its owner."""
 
     def __init__(self):
         self.idle = []
         self.closed = []
 
     def connection_idle(self, connection, idle_s):
-        """Resting."""
+        """Record an idle connection."""
         self.idle.append(connection)
 
     def connection_closed(self, connection):
-        """Gone."""
+        """Record a closed connection."""
         self.closed.append(connection)
 
 
 @given("an HTTP client connection with a request under way")
 def call(context):
-    context.http_keeper = _Keeper()
+    context.http_owner = _Owner()
     context.http_listener = _Listener()
-    context.http_caller = ClientConnection(context.http_keeper, 0)
+    context.http_caller = ClientConnection(context.http_owner, 0)
     context.http_transport = _Transport()
     context.http_transport.protocol = context.http_caller
     context.http_caller.makeConnection(context.http_transport)
@@ -223,12 +223,12 @@
 
 @then("the connection may be used again")
 def may_be_used(context):
-    assert context.http_keeper.idle == [context.http_caller]
+    assert context.http_owner.idle == [context.http_caller]
 
 
 @then("the connection is not used again")
 def not_used(context):
-    assert context.http_keeper.idle == []
+    assert context.http_owner.idle == []
 
 
 @then("the connection was closed by us")
@@ -236,7 +236,7 @@
     assert not context.http_transport.connected
 
 
-@then("these fields travel on")
+@then("these fields are forwarded")
 def travel(context):
     for row in context.table:
         pairs = [text.strip().partition(": ") for text in row["fields"].split(";")]
@@ -246,7 +246,7 @@
 
 
 class _SlowTransport(_Transport):
-    """Closes only when told that everything has been flushed."""
+    """Closes only when ``flush`` is called."""
 
     def loseConnection(self):
         """Wait for the flush."""
@@ -266,7 +266,7 @@
     context.http_connection.makeConnection(context.http_transport)
 
 
-@step("the server drains and waits until it is quiet")
+@step("the server drains and waits until it is drained")
 def wait_quiet(context):
     context.http_drained = []
     context.http_server.drain()
@@ -274,7 +274,7 @@
     context.http_server.when_drained(lambda: context.http_drained.append(True))
 
 
-@then("the server is not quiet yet")
+@then("the server is not drained yet")
 def not_quiet(context):
     assert context.http_drained == []
 
@@ -284,6 +284,6 @@
     context.http_transport.flush()
 
 
-@then("the server is quiet")
+@then("the server is drained")
 def is_quiet(context):
     assert context.http_drained == [True]
--- a/features/steps/http_planned_stop_steps.py
+++ b/features/steps/http_planned_stop_steps.py
@@ -33,7 +33,7 @@
 
 
 class _CallerApiStop:
-    """Stops as a gateway of the own control plane does."""
+    """Stops as a native gateway does."""
 
     def __init__(self):
         self._clock = Clock()
@@ -181,7 +181,10 @@
     in_reactor(close_and_connect)
 
 
-@when("a caller connects just before the port is closed, and sends its request when others rest")
+@when(
+    "a caller connects just before the port is closed, "
+    "and sends its request after idle ones are closed"
+)
 def sends_late(context):
     def connect_and_close():
         _connect(context)
--- a/features/steps/http_pool_steps.py
+++ b/features/steps/http_pool_steps.py
@@ -14,20 +14,20 @@
 
 
 class _Reactor:
-    """Counts the connections that are asked for; none comes up."""
+    """Records the requested connections; none is established."""
 
     def __init__(self):
         self.dialled = []
         self.factories = []
 
     def connectTCP(self, host, port, factory, timeout):
-        """Note a dial."""
+        """Record a requested connection."""
         self.dialled.append(port)
         self.factories.append(factory)
 
 
 class _Listener:
-    """Takes an answer and keeps why it failed."""
+    """Receives an answer and records why it failed."""
 
     def __init__(self):
         self.failed = ""
@@ -40,7 +40,7 @@
         """Nothing to do."""
 
     def answer_failed(self, reason):
-        """Note the failure, and let go of the connection as a relayed request does."""
+        """Record the failure, and cancel the call as a relayed request does."""
         self.failed = reason
         self.call.cancel()
 
@@ -61,7 +61,7 @@
     context.pool_clock.advance(rest_s)
 
 
-@given("a pool with connections to servers a, b and c that have rested {rest_s:d} second")
+@given("a pool with connections to servers a, b and c that have been idle for {rest_s:d} second")
 def make_pool(context, rest_s):
     context.pool_clock = VirtualClock()
     context.pool_reactor = _Reactor()
@@ -95,7 +95,7 @@
     assert listener.failed
 
 
-@then("a request to server {server} goes out on the connection that rested")
+@then("a request to server {server} goes out on the idle connection")
 def on_rested(context, server):
     call, _ = _send(context, server)
     assert call.sent and not context.pool_reactor.dialled
@@ -107,7 +107,9 @@
     assert not call.sent and context.pool_reactor.dialled == [PORTS[server]]
 
 
-@then("{seconds:d} seconds later connections that have rested {rest_s:d} second are used again")
+@then(
+    "{seconds:d} seconds later connections that have been idle for {rest_s:d} second are used again"
+)
 def used_again(context, seconds, rest_s):
     context.pool_clock.advance(seconds)
     _rest(context, "a", rest_s)
@@ -115,7 +117,7 @@
     assert call.sent
 
 
-@step("a request to server {server} is given up at once")
+@step("a request to server {server} is cancelled at once")
 def given_up(context, server):
     call, listener = _send(context, server)
     context.pool_clock.advance(0.005)
--- a/features/steps/http_reach_steps.py
+++ b/features/steps/http_reach_steps.py
@@ -1,4 +1,4 @@
-"""Steps on whether an address takes connections, over loopback."""
+"""Steps on probing whether an address accepts connections, over loopback."""
 
 from behave import given, then, when
 from features.support.reactor_thread import in_reactor, wait_until
@@ -28,6 +28,6 @@
     wait_until(lambda: bool(context.reached), "the probe's outcome")
 
 
-@then('it is told once that the address is "{reach}"')
-def told(context, reach):
+@then('the address is reported once as "{reach}"')
+def is_reported(context, reach):
     assert [each.value for each in context.reached] == [reach], context.reached
--- a/features/support/answering_program.py
+++ b/features/support/answering_program.py
@@ -1,7 +1,7 @@
 """A process that serves HTTP on loopback: ``python -m features.support.answering_program``.
 
-It prints its port. The path of a request says how its answer goes: ``/FRAMING/END/BYTES``.
-SIGTERM ends its reactor, as the end of a node does; SIGUSR1 breaks off the answers under way.
+It prints its port. The path of a request defines its answer: ``/FRAMING/END/BYTES``. SIGTERM stops
+its reactor, as at the end of a node; SIGUSR1 aborts the answers in progress.
 """
 
 import signal
@@ -17,7 +17,7 @@
 
 
 def answer(exchange):
-    """Write an answer's bytes, and end it as its path says."""
+    """Write an answer as its path defines."""
     _, framing, end, count = exchange.request.target.decode().split("/")
     fields = ()
     if framing == "length":
@@ -32,7 +32,7 @@
 
 
 def break_off():
-    """Abort the answers that are under way."""
+    """Abort the answers in progress."""
     for exchange in under_way:
         exchange.abort()
 
--- a/features/support/http_reader.py
+++ b/features/support/http_reader.py
@@ -1,4 +1,4 @@
-"""Reads an answer from a socket as the standard library's client does."""
+"""Reads an answer from a socket with the standard library's HTTP client."""
 
 import http.client
 import socket
@@ -6,7 +6,7 @@
 
 
 def read_answer(client: socket.socket) -> bytes | None:
-    """Return the body that a client takes for whole; None for a broken answer."""
+    """Return the body of an answer that looks complete to a client; None for a broken one."""
     response = http.client.HTTPResponse(client)
     try:
         response.begin()
@@ -18,7 +18,7 @@
 
 
 class AnswerReader:
-    """Reads an answer as it comes, so that its connection never waits for its client."""
+    """Reads an answer in a thread as it arrives, so that the server never waits for the client."""
 
     def __init__(self, client: socket.socket) -> None:
         self._client = client
@@ -30,7 +30,7 @@
         self._body = read_answer(self._client)
 
     def body(self, limit_s: float) -> bytes | None:
-        """Wait for the answer's end; return the body taken for whole, None for a broken answer."""
+        """Wait for the answer's end; return its body as ``read_answer`` does."""
         self._thread.join(limit_s)
         assert not self._thread.is_alive(), "the answer has not ended"
         return self._body
--- a/features/support/late_closing_node.py
+++ b/features/support/late_closing_node.py
@@ -1,6 +1,6 @@
-"""Runs the adapter's program with a port that closes in a later turn than its queue is emptied.
+"""Runs the adapter's program with a port that closes in a reactor turn after its queue is emptied.
 
-The turn between them is long, as on a busy machine. What connects meanwhile is reset.
+That turn is long, as on a busy machine. Clients that connect meanwhile are reset.
 """
 
 import runpy
--- a/src/rainsail/http/__init__.py
+++ b/src/rainsail/http/__init__.py
@@ -1,1 +1,4 @@
-"""HTTP/1.1 on bare connections, for work that must see every byte's fate (parsing by ``h11``)."""
+"""HTTP/1.1 directly on TCP connections, parsed by ``h11``.
+
+For callers that must know exactly what was sent and how an answer ended.
+"""
--- a/src/rainsail/http/client.py
+++ b/src/rainsail/http/client.py
@@ -1,7 +1,7 @@
-"""The calling side of HTTP/1.1 connections, one request at a time on each.
+"""HTTP/1.1 client connections, with one request at a time on each.
 
-What is on_result to the caller keeps apart what can be known: whether the request can have left at
-all, and whether an answer ended as whole.
+The callbacks distinguish whether a request can have been sent at all, and whether an answer was
+complete at its end.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 CONNECTION_CLOSED = "connection closed"
 CONNECTION_RESET = "connection reset"
 CONNECTION_ENDS = frozenset((CONNECTION_CLOSED, CONNECTION_RESET))
-"""The reasons of failed answers that say that the connection ended, and nothing of its bytes."""
+"""Failure reasons for the end of the connection, as opposed to invalid data."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """A whole request as it goes to a server."""
+    """A complete request as sent to a server."""
 
     method: bytes
     target: bytes
@@ -41,7 +41,7 @@
     CHUNKED = "chunked"
     LENGTH = "length"
     CLOSE = "close"
-    """Nothing but the end of the connection: a server that dies looks like one that is done."""
+    """Only the close of the connection, so a crashed server looks like one that has finished."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
     @property
     def framing(self) -> Framing:
-        """Tell what marks the end of the answer."""
+        """What marks the end of the answer."""
         if header_value(self.headers, b"transfer-encoding") is not None:
             return Framing.CHUNKED
         if header_value(self.headers, b"content-length") is not None:
@@ -62,7 +62,7 @@
 
 
 class AnswerListener(TypingProtocol):
-    """Takes one answer; after ``answer_ended`` or ``answer_failed`` nothing more comes."""
+    """Receives one answer; ``answer_ended`` or ``answer_failed`` is the last callback."""
 
     def answer_begun(self, head: AnswerHead) -> None:
         """The head has arrived."""
@@ -73,23 +73,23 @@
         ...
 
     def answer_ended(self) -> None:
-        """The answer is whole."""
+        """The answer is complete."""
         ...
 
     def answer_failed(self, reason: str) -> None:
-        """The connection broke, or the bytes were no answer; the request may have run."""
+        """The connection ended, or the data was not valid HTTP; the request may have run."""
         ...
 
 
 class ClientConnectionOwner(TypingProtocol):
-    """What a connection tells its pool."""
+    """Receives the state changes of a connection; implemented by the pool."""
 
     def connection_idle(self, connection: "ClientConnection", idle_s: float | None) -> None:
-        """The connection may take another request, for ``idle_s`` as the server says."""
+        """The connection may be reused; the server keeps it open for ``idle_s`` if it says so."""
         ...
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """The connection is gone."""
+        """The connection has closed."""
         ...
 
 
@@ -106,19 +106,19 @@
         self._idle_s: float | None = None
         self.closed = False
         self.lost_unanswered = False
-        """The other side ended it while a request was there that it had not begun to answer."""
+        """The server ended it before any byte of the answer to the current request."""
         self._unanswered = False
         self.on_connected: Callable[[], None] = lambda: None
 
     def connectionMade(self) -> None:
-        """Set the socket's options and say that the connection is up."""
+        """Set the socket's options and call ``on_connected``."""
         self.transport.setTcpNoDelay(True)
         set_user_timeout(self.transport, self._user_timeout_s)
         on_connected, self.on_connected = self.on_connected, lambda: None
         on_connected()
 
     def send(self, request: OutgoingRequest, listener: AnswerListener) -> None:
-        """Send a whole request; its answer goes to ``listener``."""
+        """Send a complete request; its answer goes to ``listener``."""
         self._listener = listener
         self._idle_s = None
         self._unanswered = True
@@ -132,7 +132,7 @@
         self.transport.write(b"".join(part for part in parts if part))
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of an answer; bytes that nobody waits for end the connection."""
+        """Parse data of an answer; data without a pending request ends the connection."""
         if self.closed:
             return
         self._unanswered = False
@@ -143,10 +143,10 @@
             self._http.receive_data(data)
             self._take_events()
         except h11.RemoteProtocolError as error:
-            self._fail(f"no answer in the protocol: {error}")
+            self._fail(f"invalid HTTP response: {error}")
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        """End the answer: whole only if it had no length and the server closed in order."""
+        """End the answer: as complete only if it had no framing and the close was orderly."""
         already = self.closed
         self.closed = True
         self.lost_unanswered = self._unanswered and not already
@@ -213,7 +213,7 @@
             listener.answer_failed(reason)
 
     def abort(self) -> None:
-        """Cut the connection; the listener hears nothing more."""
+        """Reset the connection; the listener gets no more callbacks."""
         self._listener = None
         if not self.closed:
             self.closed = True
--- a/src/rainsail/http/exchange.py
+++ b/src/rainsail/http/exchange.py
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request: its body has been read to the end.
+    """A complete request, including its body.
 
-    ``received_s`` is the moment of the process's clock at which its head had arrived.
+    ``received_s`` is the clock time at which its head had arrived.
     """
 
     method: bytes
@@ -22,12 +22,12 @@
 
 
 class Exchange(Protocol):
-    """The answer's side of one request; every method after the end does nothing."""
+    """The answer to one request; after its end all methods do nothing."""
 
     request: HttpRequest
 
     def answer(self, status: int, headers: HeaderFields, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         ...
 
     def begin(self, status: int, headers: HeaderFields) -> None:
@@ -43,7 +43,7 @@
         ...
 
     def abort(self) -> None:
-        """Cut the connection: the answer must not look complete."""
+        """Reset the connection, so that the answer does not look complete."""
         ...
 
     def on_disconnect(self, listener: Callable[[], None]) -> None:
@@ -52,10 +52,10 @@
 
 
 def watch_client(exchange: Exchange) -> Callable[[], bool]:
-    """Return what tells whether the client still waits for its answer.
+    """Return a function that tells whether the client still waits for its answer.
 
-    To be asked only after something else was awaited: a close that came with the request is read
-    after it.
+    Call it only after awaiting something else: a close that arrived with the request is read after
+    it.
     """
     has_left = False
 
@@ -68,4 +68,4 @@
 
 
 Handler = Callable[[Exchange], None]
-"""Takes each request; answers now or later."""
+"""Handles a request; answers it at once or later."""
--- a/src/rainsail/http/graceful_shutdown.py
+++ b/src/rainsail/http/graceful_shutdown.py
@@ -1,7 +1,8 @@
-"""Closes the port and the connections of an ``HttpServer`` at a planned stop, and cuts no request.
+"""Closes the port and the connections of an ``HttpServer`` without interrupting requests.
 
-A client whose connection is reset after it has sent a request can't tell whether that ran. So what
-has reached the port is accepted and answered, and what comes later is refused before it is sent.
+A client whose connection is reset after it has sent a request can't tell whether that ran. So
+requests that have reached the port are accepted and answered, and later clients are refused while
+they connect, before they have sent anything.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,7 @@
 
 
 class GracefulShutdown:
-    """Ends one server; ``port`` is the listening port that the reactor gave for it."""
+    """Shuts one server down; ``port`` is the reactor's listening port for it."""
 
     def __init__(self, server: HttpServer, port: Any, clock: Clock) -> None:
         self._server = server
@@ -45,7 +46,7 @@
         self._server.when_drained(on_drained)
 
     def _close_idle(self) -> None:
-        """Close connections as they come to rest; those that come in meanwhile too."""
+        """Close idle connections repeatedly until none is left, including new ones."""
         self._server.close_idle()
         if self._server.connections:
             self._clock.callLater(IDLE_CLOSE_PERIOD_S, self._close_idle)
--- a/src/rainsail/http/headers.py
+++ b/src/rainsail/http/headers.py
@@ -1,4 +1,4 @@
-"""Header fields as they travel: pairs of bytes, in order, names in the sender's case."""
+"""Header fields as transmitted: pairs of bytes, in order, names in the sender's case."""
 
 from collections.abc import Iterable
 
@@ -19,7 +19,7 @@
         b"expect",
     }
 )
-"""Fields that concern one connection only and never travel further."""
+"""Fields that concern one connection only and are never forwarded."""
 
 
 def header_value(fields: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
@@ -31,13 +31,13 @@
 
 
 def header_text(fields: Iterable[tuple[bytes, bytes]], name: bytes) -> str:
-    """Return a field's value as text, empty when it is absent."""
+    """Return a field's value as text; empty if it is absent."""
     value = header_value(fields, name)
     return "" if value is None else value.decode("latin-1").strip()
 
 
 def header_number(fields: Iterable[tuple[bytes, bytes]], name: bytes) -> float | None:
-    """Return a field's value as a number, None when it is absent or no number."""
+    """Return a field's value as a number; None if it is absent or not a number."""
     text = header_text(fields, name)
     try:
         return float(text) if text else None
@@ -46,7 +46,10 @@
 
 
 def end_to_end(fields: Iterable[tuple[bytes, bytes]], without: frozenset[bytes]) -> HeaderFields:
-    """Return the fields that travel on: no hop-by-hop ones, none that ``Connection`` lists."""
+    """Return the end-to-end fields except ``without``.
+
+    Hop-by-hop fields and those that ``Connection`` lists are removed.
+    """
     listed = listed_in_connection(fields)
     return tuple(
         (name, value)
--- a/src/rainsail/http/pool.py
+++ b/src/rainsail/http/pool.py
@@ -1,4 +1,4 @@
-"""Warm connections to servers, each used by one request at a time."""
+"""A pool of persistent connections to servers, each used by one request at a time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,17 +14,17 @@
 from rainsail.wire.address import parse_address
 
 KEEP_ALIVE_SHARE = 0.7
-"""Share of the server's idle time after which a connection is not used any more."""
+"""Share of the server's idle time-out after which a connection is no longer reused."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """How connections to servers are opened and kept."""
+    """Time-outs of the connections to servers."""
 
     connect_timeout_s: float = 1.0
     user_timeout_s: float = 3.0
     idle_s: float = 6.0
-    """Time that a connection rests before it is closed, where the server says nothing."""
+    """The idle time-out of a connection, unless the server announces a shorter one."""
 
 
 @dataclass(slots=True)
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reuse:
-    """When a connection took its last request, and how long it had rested before."""
+    """When a connection was last reused, and how long it had been idle before."""
 
     at_s: float
     idle_for_s: float
 
 
 class UnsentListener(AnswerListener, Protocol):
-    """An answer listener that also hears that the request never left."""
+    """An answer listener that is also notified if the request could not be sent."""
 
     def request_unsent(self, reason: str) -> None:
         """No connection could be opened; the request certainly has not run."""
@@ -51,7 +51,7 @@
 
 
 class Call:
-    """One request on its way: being connected, or sent."""
+    """One request: waiting for its connection, or sent."""
 
     def __init__(self, listener: UnsentListener) -> None:
         self.listener = listener
@@ -60,14 +60,14 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Close the connection under the request; nothing more is heard of it."""
+        """Reset the request's connection; the listener gets no more callbacks."""
         self._cancelled = True
         if self._connection is not None:
             self._connection.abort()
 
     @property
     def cancelled(self) -> bool:
-        """Tell whether nobody waits any more."""
+        """Tell whether the call was cancelled."""
         return self._cancelled
 
     def run_on(self, connection: ClientConnection, request: OutgoingRequest) -> None:
@@ -84,7 +84,7 @@
 
 
 class ConnectionPool:
-    """Opens, reuses and closes connections by address."""
+    """Opens, reuses and closes connections, by server address."""
 
     def __init__(self, reactor: Any, clock: Clock, settings: PoolSettings) -> None:
         self._reactor = reactor
@@ -99,7 +99,7 @@
     def send(
         self, address: str, request: OutgoingRequest, listener: UnsentListener, fresh: bool = False
     ) -> Call:
-        """Send a request to ``IP:PORT``; ``fresh`` asks for a connection of its own."""
+        """Send a request to ``IP:PORT``; ``fresh`` asks for a new connection."""
         call = Call(listener)
         connection = None if fresh else self._take_idle(address)
         if connection is not None:
@@ -109,12 +109,12 @@
         return call
 
     def probe(self, address: str, on_result: Callable[[Reachability], None]) -> None:
-        """Tell whether an address takes connections; the one that comes up is closed."""
+        """Report whether an address accepts connections; the probe's connection is closed."""
         self.opened += 1
         probe_address(self._reactor, address, self._settings.connect_timeout_s, on_result)
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to a server that is gone."""
+        """Close the idle connections to a server."""
         server = self._servers.get(address)
         if server is None:
             return
@@ -123,7 +123,7 @@
             each.connection.abort()
 
     def close_stale(self) -> None:
-        """Close the connections that have rested for too long; called now and then."""
+        """Close the connections whose idle time is over; to be called periodically."""
         now = self._clock.seconds()
         for server in self._servers.values():
             stale = [each for each in server.idle if each.until_s <= now]
@@ -160,20 +160,20 @@
         self._reactor.connectTCP(place.host, place.port, factory, self._settings.connect_timeout_s)
 
     def new_connection(self, address: str) -> ClientConnection:
-        """Return the protocol of a connection that has come up."""
+        """Return the protocol for a connection that was established."""
         connection = ClientConnection(self, self._settings.user_timeout_s)
         self._address_of[connection] = address
         return connection
 
     def connected(self, connection: ClientConnection, request: OutgoingRequest, call: Call) -> None:
-        """Send on a connection that has come up, unless nobody waits any more."""
+        """Send on an established connection, unless the call was cancelled."""
         if call.cancelled:
             self.connection_idle(connection, None)
             return
         call.run_on(connection, request)
 
     def not_connected(self, failure: Failure, address: str, call: Call) -> None:
-        """Say that the request has not left."""
+        """Report that the request was not sent."""
         self._servers[address].open_count -= 1
         if not call.cancelled:
             call.listener.request_unsent(failure.getErrorMessage())
@@ -192,7 +192,7 @@
         self._servers[address].idle.append(_Idle(connection, now, now + max_idle_s))
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection; a reset right after its reuse limits the idle times."""
         address = self._address_of.pop(connection, None)
         reuse = self._reuses.pop(connection, None)
         if address is None:
@@ -219,7 +219,7 @@
         self._call = call
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """Return the connection; the request goes out once it is wired up."""
+        """Return the connection; the request is sent once it is established."""
         connection = self._pool.new_connection(self._address)
         connection.on_connected = lambda: self._pool.connected(
             connection, self._request, self._call
@@ -227,5 +227,5 @@
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """No connection."""
+        """Report the failure to the pool."""
         self._pool.not_connected(reason, self._address, self._call)
--- a/src/rainsail/http/reachability.py
+++ b/src/rainsail/http/reachability.py
@@ -1,4 +1,4 @@
-"""Whether an address takes connections."""
+"""Probes whether an address accepts connections."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -12,13 +12,13 @@
 
 
 class Reachability(StrEnum):
-    """What came of trying to open a connection."""
+    """Results of trying to open a connection."""
 
     OPEN = "open"
     REFUSED = "refused"
-    """The machine is there, and no process listens at the port."""
+    """The machine is up, but no process listens at the port."""
     SILENT = "silent"
-    """Nothing was heard, or the network says that there is no way."""
+    """The attempt timed out, or the network reported no route."""
 
 
 class _CloseOnConnect(Protocol):
@@ -36,12 +36,12 @@
         self._on_result = on_result
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Note that the connection has come up."""
+        """Report that the connection was established."""
         self._on_result(Reachability.OPEN)
         return super().buildProtocol(addr)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Tell a refusal from silence."""
+        """Report a refusal, or any other failure as silence."""
         refused = reason.check(ConnectionRefusedError) is not None
         self._on_result(Reachability.REFUSED if refused else Reachability.SILENT)
 
@@ -49,6 +49,6 @@
 def probe_address(
     reactor: Any, address: str, timeout_s: float, on_result: Callable[[Reachability], None]
 ) -> None:
-    """Open a connection to ``IP:PORT``, close it, and tell what came of it, once."""
+    """Open a connection to ``IP:PORT``, close it, and report the result once."""
     place = parse_address(address)
     reactor.connectTCP(place.host, place.port, _Probe(on_result), timeout_s)
--- a/src/rainsail/http/server.py
+++ b/src/rainsail/http/server.py
@@ -1,12 +1,12 @@
-"""The serving side of HTTP/1.1 connections.
+"""The HTTP/1.1 server.
 
-Each connection takes one request at a time, whole, and hands it to the handler; a pipelined one
-waits until the answer has ended. The connection keeps reading meanwhile, so that a client that
-closes is noticed at once.
+Each connection reads one complete request at a time and passes it to the handler; a pipelined
+request waits until the answer has ended. Meanwhile the connection keeps reading, so that a client's
+disconnect is noticed at once.
 
-An answer without a length to a client of HTTP/1.0 ends when its connection is closed in order.
-While such an answer is under way, every other close of its connection is a reset, whoever closes
-it.
+An answer without a length to an HTTP/1.0 client ends with the orderly close of its connection.
+Until such an answer has been sent, any other close is a reset, including the kernel's when the
+process ends.
 """
 
 from collections import deque
@@ -54,12 +54,12 @@
     504: b"Gateway Timeout",
 }
 MAX_PIPELINED_BYTES = 256 * 1024
-"""Bytes that a client may send ahead of its answer; a connection with more is cut."""
+"""Bytes that a client may send ahead while it is being answered; with more it is reset."""
 
 
 @dataclass(slots=True)
 class HttpLimits:
-    """What a client may send and how long it may take; changed while the server runs."""
+    """Limits on a client's data and times; they may change while the server runs."""
 
     max_header_bytes: int = 64 * 1024
     max_body_bytes: int = 16 * 1024 * 1024
@@ -69,7 +69,7 @@
 
 
 class HttpServer(Factory):
-    """Accepts connections and counts what is under way."""
+    """Accepts connections and counts the requests in progress."""
 
     noisy = False
 
@@ -87,30 +87,31 @@
         return ServerConnection(self)
 
     def drain(self) -> None:
-        """Have every answer that begins from now on say that its connection ends with it.
+        """Send ``Connection: close`` with every answer that begins from now on.
 
-        A client whose answer has begun before may send its next request; ``close_idle`` ends it.
+        Clients whose answers began before may send another request; ``close_idle`` closes their
+        connections.
         """
         self.draining = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way or about to come."""
+        """Close the connections without a request in progress or an expected first request."""
         for connection in list(self.connections):
             if not connection.awaits_first_request:
                 connection.close_if_idle()
 
     def abort_unframed(self) -> None:
-        """Cut the answers that would look complete if their connections were closed in order."""
+        """Reset the connections whose answers an orderly close would make look complete."""
         for connection in list(self.connections):
             connection.abort_unframed()
 
     def when_drained(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` once when no connection is left: every answer has been flushed."""
+        """Call ``listener`` once no connection is left, so that every answer has been flushed."""
         self._on_drained = listener
         self.check_drained()
 
     def check_drained(self) -> None:
-        """Tell the listener when the last connection has closed."""
+        """Call the listener if the last connection has closed."""
         if not self.connections and self._on_drained is not None:
             listener, self._on_drained = self._on_drained, None
             listener()
@@ -140,19 +141,19 @@
         self._opened_s = server.clock.seconds()
         self._has_carried_request = False
         self._ends_by_close = False
-        """An answer that only the close of the connection ends has not left whole yet."""
+        """An answer that ends with the close of the connection was not sent completely yet."""
 
     # --- Twisted's callbacks -------------------------------------------------------------
 
     def connectionMade(self) -> None:
-        """Begin to wait for a request."""
+        """Wait for a request."""
         self._server.connections.add(self)
         self.transport.setTcpNoDelay(True)
         set_user_timeout(self.transport, self._limits.user_timeout_s)
         self._arm(self._limits.idle_timeout_s, self.close_if_idle)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of a request, or keep them while an answer is under way."""
+        """Parse data of a request, or buffer it while an answer is in progress."""
         if self._lost:
             return
         if self._exchange is not None:
@@ -161,7 +162,7 @@
         self._feed(data)
 
     def readConnectionLost(self) -> None:
-        """The client sends no more: it counts as gone, since a close looks the same."""
+        """Treat a client that has ended its sending side as gone, since a close looks the same."""
         if self._exchange is not None:
             self.abort()
         elif not self._ends_by_close:
@@ -170,13 +171,13 @@
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """An answer that ends by the close has left whole."""
+        """Close in an orderly way: an answer that ends with the close was sent completely."""
         self._ends_by_close = False
         close_in_order(self.transport)
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        """Tell whoever answers that the client has left."""
+        """Notify the exchange that the client has disconnected."""
         self._lost = True
         self._disarm()
         self._server.connections.discard(self)
@@ -240,7 +241,7 @@
         self._refuse(STATUS_TIMEOUT)
 
     def _refuse(self, status: int) -> None:
-        """Answer a request that could not be read, and close."""
+        """Answer a request that could not be read, and close the connection."""
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             head = h11.Response(
                 status_code=status,
@@ -285,7 +286,7 @@
         self.transport.write(self._http.send(head))
 
     def _has_no_framing(self, fields: list[tuple[bytes, bytes]]) -> bool:
-        """Tell whether an answer has neither a length nor chunks, which HTTP/1.0 doesn't know."""
+        """Tell whether an answer has no length and can't be chunked, as in HTTP/1.0."""
         version = self._http.their_http_version or b"1.0"
         return version < b"1.1" and header_value(fields, b"content-length") is None
 
@@ -296,7 +297,7 @@
             self.transport.write(sent)
 
     def send_end(self) -> None:
-        """End the answer, and take up the next request or close."""
+        """End the answer, and process the next request or close."""
         sent = self._http.send(h11.EndOfMessage())
         if sent:
             self.transport.write(sent)
@@ -325,17 +326,17 @@
             self._take_events()
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Reset the connection."""
         self._lost = True
         self.transport.abortConnection()
 
     def abort_unframed(self) -> None:
-        """Cut an answer that a close in order would make look complete."""
+        """Reset the connection if an orderly close would make its answer look complete."""
         if self._ends_by_close:
             self.abort()
 
     def close_if_idle(self) -> None:
-        """Close when no request has begun or lies unread."""
+        """Close unless a request has begun or is unread in the socket."""
         if self._lost or self._has_request():
             return
         if close_if_nothing_unread(self.transport, self.transport.loseConnection):
@@ -343,12 +344,12 @@
 
     @property
     def awaits_first_request(self) -> bool:
-        """Tell whether the connection is so new that its first request may be on its way."""
+        """Tell whether the connection is so new that its first request may be in transit."""
         age_s = self._server.clock.seconds() - self._opened_s
         return not self._has_carried_request and age_s < FIRST_REQUEST_S
 
     def _has_request(self) -> bool:
-        """Tell whether some bytes of a request have been read that is not answered yet."""
+        """Tell whether bytes of an unanswered request have been read."""
         if self._exchange is not None or self._head is not None:
             return True
         return bool(self._pipelined or self._http.trailing_data[0])
--- a/src/rainsail/http/server_exchange.py
+++ b/src/rainsail/http/server_exchange.py
@@ -10,7 +10,7 @@
 
 
 class AnswerConnection(Protocol):
-    """What an exchange needs of the connection that its request came on."""
+    """The interface of a server's connection to its exchanges."""
 
     def send_head(self, status: int, headers: HeaderFields) -> None:
         """Send an answer's head."""
@@ -25,7 +25,7 @@
         ...
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Reset the connection."""
         ...
 
 
@@ -40,7 +40,7 @@
         self._listener: Callable[[], None] | None = None
 
     def answer(self, status: int, headers: HeaderFields, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         if self._over or self._begun:
             return
         fields = tuple(each for each in headers if each[0].lower() != b"content-length")
@@ -63,7 +63,7 @@
             self._connection.send_data(data)
 
     def end(self) -> None:
-        """End the answer as complete; an answer shorter than announced is cut instead."""
+        """End the answer as complete; if it is shorter than announced, reset the connection."""
         if self._over or not self._begun:
             return
         self._over = True
@@ -73,7 +73,7 @@
             self._connection.abort()
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Reset the connection."""
         if not self._over:
             self._over = True
             self._connection.abort()
@@ -83,7 +83,7 @@
         self._listener = listener
 
     def connection_lost(self) -> None:
-        """The client has closed."""
+        """Notify the listener that the client has disconnected."""
         if self._over:
             return
         self._over = True
