--- a/src/rainsail/relay/continuation.py
+++ b/src/rainsail/relay/continuation.py
@@ -39,13 +39,13 @@
 FOREIGN_ANSWER = "the answer belongs to another request"
 MISSING_EVENT = "an event is missing"
 LOST_BEGINNING = "the stream lacks its beginning"
-UNCONFIRMED_BEGINNING = "nothing tells yet whether the stream has its beginning"
-OVERLONG_EVENT = "an event has no end"
-CLOSED_EARLY = "the connection ended before the stream"
+UNCONFIRMED_BEGINNING = "the beginning of the stream is not confirmed yet"
+OVERLONG_EVENT = "an event exceeds the maximum size"
+CLOSED_EARLY = "the connection closed before the end of the stream"
 SILENT = "silent"
-ROUTE_REMOVED = "the route is gone"
-QUARANTINED = "runners ended under this request, so that it is held"
-TIMED_OUT = "the time allowed is over"
+ROUTE_REMOVED = "the route was removed"
+QUARANTINED = "quarantined, since runners crashed while running this request"
+TIMED_OUT = "the deadline has passed"
 
 # --- classification of a runner's answer -----------------------------------------------------
 
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -47,7 +47,7 @@
 from rainsail.runtime.clock import Timer
 from rainsail.tenancy.tenants import NOBODY, Identity
 
-CLIENT_LEFT = "the client left"
+CLIENT_LEFT = "the client disconnected"
 
 
 class RelayRun:
