--- a/src/rainsail/runtime/__init__.py
+++ b/src/rainsail/runtime/__init__.py
@@ -1,1 +1,4 @@
-"""The seams: clock, network and randomness are handed to every component, never looked up."""
+"""The process's environment: clock, sockets, files.
+
+Components get the clock, the network and randomness injected, and never look them up.
+"""
--- a/src/rainsail/runtime/clock.py
+++ b/src/rainsail/runtime/clock.py
@@ -1,7 +1,7 @@
-"""The clock seam: steady time and timers.
+"""The clock interface: monotonic time and timers.
 
-A component takes a ``Clock`` and never reads the time elsewhere. ``MonotonicClock`` drives
-daemons; ``rainsail.simulation.clock.VirtualClock`` drives simulated runs. The method names are
+Components get a ``Clock`` injected and never read the time elsewhere. Daemons use
+``MonotonicClock``, simulations ``rainsail.simulation.clock.VirtualClock``. The method names are
 those of Twisted's ``IReactorTime``, so Twisted utilities accept either.
 """
 
@@ -14,16 +14,16 @@
     """A scheduled call; Twisted's ``IDelayedCall`` has these methods too."""
 
     def active(self) -> int | bool:
-        """Tell whether the call is still to come."""
+        """Tell whether the call is still pending."""
         ...
 
     def cancel(self) -> None:
-        """Take the call back; raises when it was made or taken back before."""
+        """Cancel the call; raises if it was made or cancelled before."""
         ...
 
 
 class Clock(Protocol):
-    """Steady time in seconds and timers."""
+    """Monotonic time in seconds, and timers."""
 
     def seconds(self) -> float:
         """Return seconds since an arbitrary fixed point; never goes back."""
@@ -37,21 +37,21 @@
 
 
 def steady_seconds() -> float:
-    """Return seconds that never go back and count the time of a machine's suspension.
+    """Return monotonic seconds that include the time a machine was suspended.
 
-    ``time.monotonic`` stands still meanwhile on Linux, so that a leader that wakes would take its
-    lease for valid though others have long elected another. Where the system has no such clock,
-    its monotonic one has to do.
+    On Linux ``time.monotonic`` stops during a suspension, so a leader that resumes would consider
+    its lease valid although the group has elected another. Systems without such a clock use
+    ``time.monotonic``.
     """
     boot_time = getattr(time, "CLOCK_BOOTTIME", None)
     return time.monotonic() if boot_time is None else time.clock_gettime(boot_time)
 
 
 def count_suspended_time(reactor: Any) -> None:
-    """Have a reactor's timers go by ``steady_seconds``; called before the first one is set.
+    """Make a reactor's timers use ``steady_seconds``; to be called before the first timer is set.
 
-    After a suspension overdue timers then run at once. By the reactor's own clock each would be as
-    late as the suspension was long: time-outs of requests, beats, elections.
+    Overdue timers then run right after a suspension. By the reactor's own clock, request time-outs,
+    heartbeats and elections would be late by the length of the suspension.
     """
     reactor.seconds = steady_seconds
 
--- a/src/rainsail/runtime/files.py
+++ b/src/rainsail/runtime/files.py
@@ -1,4 +1,4 @@
-"""Reading files that operators name, within a bound."""
+"""Reads files named by operators, up to a maximum size."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def read_bounded(path: Path, max_bytes: int) -> Result[bytes, str]:
-    """Return a file's bytes, or what is wrong; takes no more memory than there are bytes."""
+    """Return a file's bytes, or what is wrong; allocates no more than the file's size."""
     pieces: list[bytes] = []
     size = 0
     try:
--- a/src/rainsail/runtime/garbage_collection.py
+++ b/src/rainsail/runtime/garbage_collection.py
@@ -1,13 +1,13 @@
-"""Python's garbage collector in a daemon."""
+"""Tuning of Python's garbage collector for daemons."""
 
 import gc
 
 
 def exempt_startup_objects() -> None:
-    """Leave what exists now out of later collections.
+    """Exclude all current objects from later collections.
 
-    Modules, classes and schemas live as long as the process. A full collection that walks them
-    stops everything else for tens of milliseconds.
+    Modules, classes and schemas live as long as the process. A full collection that traverses them
+    blocks the process for tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
--- a/src/rainsail/runtime/http_head.py
+++ b/src/rainsail/runtime/http_head.py
@@ -1,11 +1,11 @@
-"""Checks the head of an HTTP request: what becomes text must be UTF-8, the host a name."""
+"""Validates the head of an HTTP request: decoded parts must be UTF-8, the host a valid name."""
 
 from typing import Any
 from urllib.parse import unquote_to_bytes
 
 
 def head_problem(request: Any) -> str:
-    """Return what is wrong with the head of a Twisted request; empty when nothing is."""
+    """Return what is wrong with the head of a Twisted request; empty if it is valid."""
     place = _not_utf8(request)
     if place:
         return f"{place}: expected UTF-8"
@@ -30,7 +30,7 @@
 
 
 def _is_host(text: str) -> bool:
-    """Tell whether a host can be written in ASCII, as routing needs it."""
+    """Tell whether a host name can be encoded in ASCII (IDNA), as routing requires."""
     try:
         text.lower().encode("idna")
     except UnicodeError:
--- a/src/rainsail/runtime/sockets.py
+++ b/src/rainsail/runtime/sockets.py
@@ -1,7 +1,7 @@
-"""What Twisted has no method for: socket options, unread bytes, and closes within one turn.
+"""Socket functions that Twisted lacks: options, unread bytes, and closes within one reactor turn.
 
-Twisted closes a socket in a later turn of the reactor than it is asked to. What arrives between is
-lost with a reset, and a turn is long on a busy machine.
+Twisted closes a socket in a later turn of the reactor than the call. Data that arrives in between
+is lost with a reset, and a turn may be long on a busy machine.
 """
 
 import ctypes
@@ -20,23 +20,23 @@
 
 
 MAX_ACCEPT_CALLS = 1000
-"""Bounds how long one turn of the reactor accepts; above any listening queue."""
+"""Limits the connections accepted in one turn of the reactor; above any listen backlog."""
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 
 HANDSHAKE_S = 0.1
-"""Handshakes that have begun at a listening port are over within this time."""
+"""TCP handshakes under way at a listening port are expected to finish within this time."""
 FIRST_REQUEST_S = 1.0
-"""A client that has connected sends its first request within this time."""
+"""A client that has connected is expected to send its first request within this time."""
 SO_ATTACH_FILTER = 26
-"""Linux's number of the socket option, which Python does not name."""
+"""Linux's number of the socket option, for which Python has no constant."""
 DROP_SYN = (
-    (0x30, 0, 0, 13),  # load the byte of the TCP header that has the flags
+    (0x30, 0, 0, 13),  # load the flags byte of the TCP header
     (0x45, 0, 1, 0x02),  # jump on SYN
     (0x06, 0, 0, 0),  # drop
     (0x06, 0, 0, 0xFFFFFFFF),  # accept
 )
-"""A packet filter, by the kernel's ``sock_filter``: code, two jumps, value."""
+"""A BPF program of the kernel's ``sock_filter`` entries: code, two jumps, value."""
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 CLOSE_IN_ORDER = struct.pack("ii", 0, 0)
@@ -44,11 +44,11 @@
 
 
 def set_user_timeout(transport: Any, timeout_s: float) -> None:
-    """End the connection when the other side has acknowledged nothing for ``timeout_s``.
+    """Close the connection when the peer has acknowledged nothing for ``timeout_s``.
 
-    Behind a cut nothing answers, and a connection may go silent for good without a reset; without
-    this it hangs for many minutes. One on which nothing is sent is probed, so that it is found too.
-    0 changes nothing. A transport without a socket (in tests) is left alone.
+    In a network partition no reset arrives, and without this option a connection hangs for many
+    minutes. Keep-alive probes detect a lost peer on idle connections, too. 0 changes nothing. A
+    transport without a socket (in tests) is left unchanged.
     """
     handle = getattr(transport, "getHandle", None)
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
@@ -66,9 +66,9 @@
 
 
 def has_unread_bytes(transport: Any) -> bool:
-    """Tell whether bytes have arrived that the reactor has not read yet.
+    """Tell whether the socket holds bytes that the reactor has not read yet.
 
-    Closing such a connection resets it, and what its peer has sent is never answered. A transport
+    Closing such a connection resets it, and the peer's request is never answered. A transport
     without a socket (in tests) has none.
     """
     handle = getattr(transport, "getHandle", None)
@@ -81,10 +81,10 @@
 
 
 def close_if_nothing_unread(transport: Any, close_behind_writes: Callable[[], None]) -> bool:
-    """Close a connection in this turn unless bytes lie unread in it; tell whether it closes.
+    """Close a connection in this turn unless it has unread bytes; tell whether it closes.
 
-    One that still has bytes to send, or has no socket (in tests), closes by
-    ``close_behind_writes``.
+    A connection that still has bytes to send, or no socket (in tests), is closed by
+    ``close_behind_writes`` instead.
     """
     if has_unread_bytes(transport):
         return False
@@ -97,10 +97,10 @@
 
 
 def ignore_new_connections(port: Any) -> None:
-    """Have the kernel drop attempts to connect to a port, while handshakes under way go on.
+    """Have the kernel drop new attempts to connect to a port; handshakes under way continue.
 
-    A client tries again after a second, and is refused once the port is closed: it knows for
-    certain that nothing of it was read.
+    The client's kernel retries after a second, and is refused once the port is closed. So the
+    client knows for certain that nothing was read.
     """
     program = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *each) for each in DROP_SYN))
     filter_program = struct.pack("HP", len(DROP_SYN), ctypes.addressof(program))
@@ -111,9 +111,9 @@
 
 
 def accept_and_close(port: Any) -> None:
-    """Accept what lies in a listening port's queue and close the port, in one turn.
+    """Accept all connections in a listening port's queue and close the port, in one turn.
 
-    Closing resets what is left in the queue, with the requests that were sent there.
+    Closing resets connections left in the queue, with the requests that were sent on them.
     """
     _accept_waiting(port)
     port.stopReading()
@@ -130,17 +130,17 @@
 
 
 def reset_at_close(transport: Any) -> None:
-    """Have every close of the connection reset it, also the kernel's when the process dies."""
+    """Make every close of the connection a reset, also the kernel's when the process dies."""
     _set_linger(transport, RESET_AT_CLOSE)
 
 
 def close_in_order(transport: Any) -> None:
-    """Undo ``reset_at_close``: a close lets out what was written, and then says that it is all."""
+    """Undo ``reset_at_close``: a close sends what was written, followed by FIN."""
     _set_linger(transport, CLOSE_IN_ORDER)
 
 
 def _set_linger(transport: Any, linger: bytes) -> None:
-    """Set the option; a transport without a socket (in tests) is left alone."""
+    """Set ``SO_LINGER``; a transport without a socket (in tests) is left unchanged."""
     handle = getattr(transport, "getHandle", None)
     if handle is None:
         return
--- a/src/rainsail/runtime/toml.py
+++ b/src/rainsail/runtime/toml.py
@@ -1,4 +1,4 @@
-"""Reading TOML from files that anybody may have written, within bounded memory."""
+"""Parses TOML from untrusted files within bounded memory."""
 
 import re
 import tomllib
@@ -9,10 +9,10 @@
 
 
 def parse_toml(text: str) -> dict[str, Any]:
-    """Return the tables of a text; raises ``ValueError`` saying what is wrong.
+    """Return the tables of a text; raises ``ValueError`` with the reason if it is invalid.
 
-    The parser keeps every beginning of a dotted key, so that a key of some thousand parts takes
-    memory by the square of its length; such keys are refused.
+    The parser keeps every prefix of a dotted key, so a key of some thousand parts takes memory
+    quadratic in its length; such keys are rejected.
     """
     for piece in _BETWEEN_KEYS.split(text):
         if piece.count(".") >= MAX_KEY_PARTS:
--- a/src/rainsail/runtime/unframed_answers.py
+++ b/src/rainsail/runtime/unframed_answers.py
@@ -1,8 +1,8 @@
-"""Requests of a Twisted web site whose answers don't look complete when the process dies.
+"""A Twisted web request whose answer does not look complete when the process dies.
 
-A client of HTTP/1.0 knows no chunks, so that the end of the connection ends an answer without a
-length. The kernel closes the connections of a process that is killed in order, as if all had been
-said. While such an answer is being written its connection is set to be reset by any close.
+HTTP/1.0 has no chunks, so an answer without a length ends with its connection. When a process is
+killed, the kernel closes its connections in an orderly way, as if the answer were complete. So
+while such an answer is being written, its connection is set to be reset by any close.
 """
 
 from typing import Any
@@ -16,14 +16,14 @@
 
 
 class UnframedAnswerRequest(Request):
-    """Resets the connection if the process ends before an answer without a length has left whole.
+    """Resets the connection if the process ends before an answer without a length was sent.
 
-    A close is in order again once the kernel has all of an answer that is finished: it is how the
-    answer ends.
+    Once the kernel has all data of a finished answer, the close is orderly again, as it marks the
+    answer's end.
     """
 
     def write(self, data: Any) -> None:
-        """Write a piece of the answer; its head goes out with the first one."""
+        """Write a piece of the answer; its head is sent with the first one."""
         if not self.startedWriting and self._ends_by_close():
             reset_at_close(self._connection())
         super().write(data)
@@ -43,13 +43,13 @@
 
 
 def _close_in_order_when_written(connection: Any) -> None:
-    """Have the connection close in order if it closes with nothing left to hand to the kernel."""
+    """Make the close orderly if all data has been passed to the kernel by then."""
     if connection is None:
         return
     close = connection.connectionLost
 
     def connection_lost(reason: Any) -> None:
-        # Twisted has no call that tells when all has been handed over.
+        # Twisted has no callback for the moment when all data has been passed to the kernel.
         if not connection.dataBuffer and not getattr(connection, "_tempDataBuffer", ()):
             close_in_order(connection)
         close(reason)
