--- a/features/relay/placement.feature
+++ b/features/relay/placement.feature
@@ -60,7 +60,7 @@
     When a client that was refused before asks the relay
     Then the leader is asked for a place whatever the wait
 
-  Scenario: Requests that come together are spread, each counted from the moment it is placed
+  Scenario: Simultaneous requests are spread, as each one counts from the moment it is placed
     Given a leader of 4 runners with 4 slots each
     When 16 requests of 8 gateways are placed at the same moment
     Then each runner has 4 of them
@@ -69,14 +69,14 @@
     When a request is placed that accepts 0.1 waiting for each slot
     Then it is refused and counts nowhere
 
-  Scenario: Free slots of the own zone come first, then others, then those of items, then queues
+  Scenario: Free slots of the request's zone are used first, then other slots, those of items, and queues
     Given a leader of 3 runners with 1 slots each, in 3 zones
     When an item runs at runner 2
     And requests of zone 3 are placed until none is free
     Then they went to runners 3, 1 and 2 in this order
     And the item at runner 2 has to give way at once
 
-  Scenario: A placement counts until its gateway reports, or until it is clear that it was not used
+  Scenario: A placement counts until its gateway's next report, or until it expires unused
     Given a leader of 1 runners with 8 slots each
     When 3 requests of one gateway are placed
     And that gateway reports 2 under way, knowing of the first 2 placements
@@ -87,14 +87,14 @@
     And 0.6 seconds pass at the leader
     Then the leader counts 3 requests
 
-  Scenario: What a gateway had under way that is gone for good counts no more after a while
+  Scenario: The requests of a gateway that stopped reporting expire
     Given a leader of 1 runners with 8 slots each
     When that gateway reports 3 under way, knowing of no placement
     Then the leader counts 3 requests
     When 16 seconds pass at the leader
     Then the leader counts 0 requests
 
-  Scenario: A runner that fails at several gateways is left out by all, and one failure is enough when it is back
+  Scenario: A runner that fails at several gateways is ejected by all, and again after one failure when it returns
     Given a leader of 6 runners with 4 slots each
     When 2 gateways report a failure each at runner 1
     Then runner 1 is left out for 3 seconds
@@ -102,19 +102,19 @@
     And 1 gateways report a failure each at runner 1
     Then runner 1 is left out for 6 seconds
 
-  Scenario: A runner whose answers are now and then lost stays
+  Scenario: A runner whose answers are occasionally lost is not ejected
     Given a leader of 6 runners with 4 slots each
     When gateways report 40 sound answers and 3 failures at runner 1
     Then runner 1 is not left out
 
-  Scenario: The leader counts what gateways have under way and what items run
+  Scenario: The leader counts the requests in flight of all gateways and the running items
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When a gateway reports 5 online requests at the runner
     Then the leader tells that gateway that the service is busy with 5 of 8 slots
     And another storage node says that it does not lead
 
-  Scenario: The work for one request does not grow with the runners
+  Scenario: The cost of a placement does not grow with the number of runners
     Given a leader of 3000 runners with 1 slots each
     When a request is placed
     Then at most 64 runners were compared
--- a/features/steps/http_connection_steps.py
+++ b/features/steps/http_connection_steps.py
@@ -34,11 +34,11 @@
 def _serve(context, handler, limits=None):
     context.http_clock = VirtualClock()
     context.http_exchanges = []
-    context.http_left = []
+    context.http_disconnected = []
 
     def noted(exchange):
         context.http_exchanges.append(exchange)
-        exchange.on_disconnect(lambda: context.http_left.append(exchange))
+        exchange.on_disconnect(lambda: context.http_disconnected.append(exchange))
         handler(exchange)
 
     context.http_server = HttpServer(noted, context.http_clock, limits or HttpLimits())
@@ -132,7 +132,7 @@
 
 @then("the server's handler was notified that the client disconnected")
 def was_told(context):
-    assert context.http_left == context.http_exchanges
+    assert context.http_disconnected == context.http_exchanges
 
 
 # --- the calling side ----------------------------------------------------------------------
--- a/src/rainsail/relay/client_answer.py
+++ b/src/rainsail/relay/client_answer.py
@@ -111,7 +111,7 @@
         Returns the reason if the run can't be used any more, otherwise None. The event that shows
         the flaw and those after it are not written.
         """
-        flaw = self._judge_first_event(attempt, events)
+        flaw = self._check_first_event(attempt, events)
         if flaw is not None:
             return flaw
         taken: list[bytes] = []
@@ -137,7 +137,7 @@
             taken.append(event.raw)
         return True
 
-    def _judge_first_event(self, attempt: Attempt, events: list[Event]) -> str | None:
+    def _check_first_event(self, attempt: Attempt, events: list[Event]) -> str | None:
         """Check the first event of the stream; return None if it is absent here or acceptable."""
         if self._continues_earlier or self._beginning is not None:
             return None
@@ -145,12 +145,12 @@
         if first is None:
             return None
         beginning = StreamBeginning(self._source_of(attempt), first_event(first))
-        flaw = self._judge_beginning(beginning)
+        flaw = self._check_beginning(beginning)
         if flaw is None:
             self._beginning = beginning
         return flaw
 
-    def _judge_beginning(self, beginning: StreamBeginning) -> str | None:
+    def _check_beginning(self, beginning: StreamBeginning) -> str | None:
         """Check a beginning against those of other streams, and record it."""
         is_lost = self._beginnings.is_lost(beginning)
         is_unusual = self._beginnings.is_unusual(beginning)
@@ -171,7 +171,7 @@
     def _source_of(self, attempt: Attempt) -> StreamSource:
         return StreamSource(attempt.record.service, self._route)
 
-    def judge_end(self, attempt: Attempt) -> str | None:
+    def check_end(self, attempt: Attempt) -> str | None:
         """Return, at the end of a stream, why it is incomplete; None if it is complete.
 
         Streams observed since its first event may have shown that it lacks earlier ones. A stream
@@ -182,17 +182,17 @@
         if self._beginning is not None:
             return LOST_BEGINNING if self._beginnings.is_lost(self._beginning) else None
         beginning = StreamBeginning(self._source_of(attempt), None)
-        flaw = self._judge_beginning(beginning)
+        flaw = self._check_beginning(beginning)
         if flaw is None:
             self._beginning = beginning
         return flaw
 
-    def judge_held_end(self, attempt: Attempt) -> str | None:
-        """Check a stream whose end was held, when its wait is over; as ``judge_end``.
+    def check_held_end(self, attempt: Attempt) -> str | None:
+        """Check a stream whose end was held, when its wait is over; as ``check_end``.
 
         Also applies the weaker evidence of ``StreamBeginnings.is_outnumbered``.
         """
-        flaw = self.judge_end(attempt)
+        flaw = self.check_end(attempt)
         if flaw is not None or self._beginning is None:
             return flaw
         is_outnumbered = self._beginnings.is_outnumbered(self._beginning, self._compared)
@@ -224,10 +224,10 @@
         self.state = AnswerState.OVER
         self._exchange.end()
 
-    def pass_on(self, attempt: Attempt) -> None:
+    def forward(self, attempt: Attempt) -> None:
         """Forward a runner's complete answer, of which nothing was written yet."""
         assert attempt.head is not None
-        self._note_first()
+        self._record_first_byte()
         self.state = AnswerState.OVER
         headers = self._protocol.answer_headers(attempt.head)
         self._exchange.answer(attempt.head.status, headers, b"".join(attempt.body))
@@ -255,11 +255,11 @@
         assert attempt.head is not None
         self.state = AnswerState.BEGUN
         self._begun_by = attempt
-        self._note_first()
+        self._record_first_byte()
         headers = self._protocol.answer_headers(attempt.head)
         if attempt.head.framing != Framing.LENGTH or attempt.is_stream:
             headers = tuple(each for each in headers if each[0].lower() != CONTENT_LENGTH)
         self._exchange.begin(attempt.head.status, headers)
 
-    def _note_first(self) -> None:
+    def _record_first_byte(self) -> None:
         self.first_s = self._clock.seconds() - self._exchange.request.received_s
--- a/src/rainsail/relay/early_requests.py
+++ b/src/rainsail/relay/early_requests.py
@@ -48,10 +48,10 @@
         self._last_number += 1
         number = self._last_number
         self._held[number] = exchange
-        exchange.on_disconnect(lambda: self._left(number))
+        exchange.on_disconnect(lambda: self._client_disconnected(number))
         self._clock.callLater(MAX_HOLD_S, self._expire, number)
 
-    def _left(self, number: int) -> None:
+    def _client_disconnected(self, number: int) -> None:
         self._drop(number)
 
     def _drop(self, number: int) -> Exchange | None:
--- a/src/rainsail/relay/idle_runners.py
+++ b/src/rainsail/relay/idle_runners.py
@@ -19,13 +19,13 @@
         if not self._is_planned and not self._is_stopped:
             self._is_planned = True
             period_s = self._context.settings.idle_check_period_s
-            self._context.clock.callLater(period_s, self._look)
+            self._context.clock.callLater(period_s, self._check)
 
     def stop(self) -> None:
         """Stop checking."""
         self._is_stopped = True
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._is_planned = False
         if self._is_stopped:
             return
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -47,7 +47,7 @@
 from rainsail.runtime.clock import Timer
 from rainsail.tenancy.tenants import NOBODY, Identity
 
-CLIENT_LEFT = "the client disconnected"
+CLIENT_DISCONNECTED = "the client disconnected"
 
 
 class RelayRun:
@@ -90,7 +90,7 @@
         self._deadline_s = request.received_s + _time_allowed_s(route, facts)
         self._deadline_timer: Timer | None = None
         self._held_end: HeldEnd | None = None
-        exchange.on_disconnect(self._client_left)
+        exchange.on_disconnect(self._client_disconnected)
 
     @property
     def kind(self) -> RouteKind:
@@ -128,8 +128,8 @@
         else:
             self._end(refuse_over_quota(self._identity.tenant, wait_s))
 
-    def _client_left(self) -> None:
-        self._recorder.reason = CLIENT_LEFT
+    def _client_disconnected(self) -> None:
+        self._recorder.reason = CLIENT_DISCONNECTED
         self._answer.close()
         self._finish(RequestOutcome.LEFT)
 
@@ -161,11 +161,11 @@
         if self._deadline_timer is not None and self._deadline_timer.active():
             self._deadline_timer.cancel()
         self._sender.cancel()
-        self._give_back_unrun(outcome)
+        self._refund_if_not_run(outcome)
         self._recorder.log_end(outcome, self._sender, self._answer)
         self._on_ended(self)
 
-    def _give_back_unrun(self, outcome: RequestOutcome) -> None:
+    def _refund_if_not_run(self, outcome: RequestOutcome) -> None:
         """Refund the tenant's quota for a request that has certainly not run."""
         never_sent = not self._sender.attempts_counted and not self._may_have_run
         if self._is_admitted and (outcome == RequestOutcome.REFUSED or never_sent):
@@ -188,7 +188,7 @@
         if self.outcome is not None:
             return
         settings = self._context.settings
-        self._note_service()
+        self._record_service()
         decision = decide_send(self._progress(), self._terms(), settings)
         if not isinstance(decision, SendAgain):
             self._end(decision)
@@ -200,10 +200,10 @@
             no_runner_reason = self._sender.no_runner_reason()
             self._end(give_up_without_runner(self._progress(), no_runner_reason, settings))
         else:
-            self._note_service()
+            self._record_service()
             self._sender.send(found.record, decision)
 
-    def _note_service(self) -> None:
+    def _record_service(self) -> None:
         """Tell the recorder which service was chosen for the request."""
         self._recorder.split_service = self._sender.route.split_service(self._sender.service)
 
@@ -251,7 +251,7 @@
         """
         if not self._answer.may_include(attempt):
             attempt.cancel()
-            self._leave_answer(attempt, AttemptEnd.UNUSABLE)
+            self._drop_answer(attempt, AttemptEnd.UNUSABLE)
 
     def events_received(self, attempt: Attempt, events: list[Event]) -> None:
         """Write complete events to the client without buffering."""
@@ -262,25 +262,25 @@
             self._sender.events_received()
         else:
             attempt.cancel()
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
 
     def body_received(self, attempt: Attempt) -> None:
         """Forward a large answer before its end, unless it is a failure that is not forwarded."""
         if attempt.body_bytes < self._context.settings.buffered_bytes:
             return
-        if self._passes_on(attempt):
+        if self._forwards_answer(attempt):
             self._answer.write_body(attempt)
         else:
             attempt.cancel()
-            self._leave_answer(attempt, attempt.body_end)
+            self._drop_answer(attempt, attempt.body_end)
 
     def stream_ended(self, attempt: Attempt) -> None:
         """Write the last event, then complete the answer, hold its end, or drop a flawed stream."""
         assert attempt.stream is not None
         flaw = self._answer.write_events(attempt, attempt.stream.last_events())
-        flaw = flaw or self._answer.judge_end(attempt)
+        flaw = flaw or self._answer.check_end(attempt)
         if flaw is not None:
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
             return
         self._recorder.streamed(self._sender.service, self.first_s)
         unconfirmed = self._answer.unconfirmed
@@ -308,11 +308,11 @@
 
     def _release(self, attempt: Attempt) -> None:
         """End a stream whose end was held, as complete or as flawed."""
-        flaw = self._answer.judge_held_end(attempt)
+        flaw = self._answer.check_held_end(attempt)
         if flaw is None:
             self._complete_stream(attempt)
         else:
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
 
     def _complete_stream(self, attempt: Attempt) -> None:
         self._recorder.answered(attempt)
@@ -329,7 +329,7 @@
             self._context.settings,
         )
 
-    def _leave_flawed(self, attempt: Attempt, flaw: str) -> None:
+    def _drop_flawed(self, attempt: Attempt, flaw: str) -> None:
         """Retry on another runner, or abort a stream that was sent without its beginning."""
         if flaw == UNCONFIRMED_BEGINNING:
             self._recorder.dropped_unconfirmed(attempt)
@@ -343,8 +343,8 @@
 
     def answer_received(self, attempt: Attempt) -> None:
         """Forward a complete answer, or retry if its status calls for that."""
-        if not self._passes_on(attempt):
-            self._leave_answer(attempt, attempt.body_end)
+        if not self._forwards_answer(attempt):
+            self._drop_answer(attempt, attempt.body_end)
             return
         self._sender.attempt = None
         if attempt.failed:
@@ -355,13 +355,13 @@
             self._answer.write_body(attempt)
             self._answer.end()
         else:
-            self._answer.pass_on(attempt)
+            self._answer.forward(attempt)
         self._finish(RequestOutcome.FAILED if attempt.failed else RequestOutcome.COMPLETED)
 
-    def _passes_on(self, attempt: Attempt) -> bool:
+    def _forwards_answer(self, attempt: Attempt) -> bool:
         return forwards_answer(attempt.body_end, self._sender.route, self._answer.client_has)
 
-    def _leave_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
+    def _drop_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
         """Drop an answer that is not forwarded; the request may have run."""
         attempt.body.clear()
         self._recorder.failed(attempt)
--- a/src/rainsail/relay/runner_finder.py
+++ b/src/rainsail/relay/runner_finder.py
@@ -84,7 +84,7 @@
         """Return the runners that may get the request, including those tried already."""
         return self._context.ready(self.service, self._allowed)
 
-    def others_left(self) -> bool:
+    def has_untried_runner(self) -> bool:
         """Tell whether a ready runner was not tried yet."""
         return any(record.runner not in self.tried for record in self._ready())
 
@@ -110,7 +110,7 @@
             f"{outside} outside the allowed regions, {warming} warming up"
         )
 
-    def note_sent(self, record: RunnerRecord) -> None:
+    def record_sent(self, record: RunnerRecord) -> None:
         """Record a runner as tried, the prompt that it caches, and the time of its prefill.
 
         The prefill of a long prompt is announced to the other gateways.
--- a/src/rainsail/relay/sender.py
+++ b/src/rainsail/relay/sender.py
@@ -81,7 +81,7 @@
 
     def other_runner_left(self) -> bool:
         """Tell whether a runner that may get the request was not tried yet."""
-        return self._finder.others_left()
+        return self._finder.has_untried_runner()
 
     def send(self, record: RunnerRecord, how: SendAgain) -> None:
         """Start an attempt at a runner."""
@@ -94,7 +94,7 @@
             how.after_event,
             self._identity,
         )
-        self._finder.note_sent(record)
+        self._finder.record_sent(record)
         response_within_s = self._response_within_s()
         attempt = Attempt(self._owner, context, record, self._facts.request, response_within_s)
         self.attempt = attempt
