--- a/features/relay/overload.feature
+++ b/features/relay/overload.feature
@@ -33,7 +33,7 @@
     When the leader says that 130 requests are under way
     Then a request with 3.5 of its 5.1 seconds left is taken
 
-  Scenario: Clients come back after the overload, as long as the last ones were
+  Scenario: Retry times cover the length of the last overloads
     When overloads of 1.2 seconds have been seen
     And the leader says that 140 requests are under way
     Then clients that are refused come back spread over 1.2 to 1.7 seconds later
--- a/features/relay/soak.feature
+++ b/features/relay/soak.feature
@@ -17,22 +17,22 @@
       | 8    |
 
   Scenario: Runners that also lose or corrupt the first event, or send none, seeds 1 to 4
-    When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1 to 4
+    When clients of a relay meet runners that also corrupt beginnings, drawn from each of the seeds 1 to 4
     Then no guarantee of any of these relays was violated
 
   Scenario: A gateway whose very first streams lack their beginning, seeds 61 to 62
     # Guards against: the first streams after a start completed without their beginning.
-    When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 61 to 62
+    When clients of a relay meet runners that also corrupt beginnings, drawn from each of the seeds 61 to 62
     Then no guarantee of any of these relays was violated
 
   Scenario: A gateway whose very first streams may run once only and lack their beginning, seed 1073
     # Guards against: such a stream completed before other streams could show what it lacks.
-    When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1073 to 1073
+    When clients of a relay meet runners that also corrupt beginnings, drawn from each of the seeds 1073 to 1073
     Then no guarantee of any of these relays was violated
 
   Scenario: A stream that lacks its beginning and is the only one while its client waits, seed 1406
     # Red: its end is held for 2.1 s, the limit of the client's time-out, and no other stream begins.
-    When clients of a relay meet runners that also spoil beginnings, drawn from each of the seeds 1406 to 1406
+    When clients of a relay meet runners that also corrupt beginnings, drawn from each of the seeds 1406 to 1406
     Then no guarantee of any of these relays was violated
 
   Scenario Outline: The soak catches a relay that <defect>
@@ -41,37 +41,37 @@
     Then the check on this defect finds it, and finds nothing without it
 
     Examples:
-      | defect                                     |
-      | appends a failure to a stream that goes on |
-      | ends half an event as complete             |
-      | lets a hole through                        |
-      | tells 503 after a run                      |
+      | defect                                |
+      | appends a failure to a resumed stream |
+      | ends half an event as complete        |
+      | lets a gap through                    |
+      | answers 503 after a run               |
 
   Scenario Outline: A history in which <what> is reported as a violation
     Given a history of relaying in which <what>
     Then the judge of relaying finds "<words>"
 
     Examples:
-      | what                                                        | words                   |
-      | a request was never answered                                | never ended             |
-      | a request was cut behind its time                           | too late                |
-      | an unsafe request ran at two runners                        | ran 2 times             |
-      | a request that had run was told 503                         | told 503 after a run    |
-      | bytes came behind an answer                                 | bytes behind its end    |
-      | a body lacks its end                                        | not its answer          |
-      | a whole answer was cut                                      | cut though its runner's |
-      | a failure lacks its end                                     | 500 is not whole        |
-      | an event came twice                                         | a hole                  |
-      | a stream in chunks ends between two events                  | its last events missing |
-      | a stream that nothing frames ends before its runner's close | its last events missing |
-      | a stream that nothing frames ends without any event         | no event                |
+      | what                                              | words                         |
+      | a request was never answered                      | never ended                   |
+      | a request was cut after its deadline              | too late                      |
+      | an unsafe request ran at two runners              | ran 2 times                   |
+      | a request that had run was answered 503           | answered 503 after a run      |
+      | bytes came after an answer                        | bytes after its end           |
+      | a body lacks its end                              | not its answer                |
+      | a whole answer was cut                            | cut though its runner's       |
+      | a failure lacks its end                           | 500 is not whole              |
+      | an event came twice                               | events missing or repeated    |
+      | a stream in chunks ends between two events        | its last events missing       |
+      | an unframed stream ends before its runner's close | its last events missing       |
+      | an unframed stream ends without any event         | no event                      |
 
   Scenario Outline: A history in which <what> is accepted
     Given a history of relaying in which <what>
     Then the judge of relaying finds nothing, and <unclear> streams whose end is unclear
 
     Examples:
-      | what                                                 | unclear |
-      | all went well                                        | 0       |
-      | a failure was passed on whole                        | 0       |
-      | a stream that nothing frames ends between two events | 1       |
+      | what                                       | unclear |
+      | all went well                              | 0       |
+      | a complete failure was forwarded           | 0       |
+      | an unframed stream ends between two events | 1       |
--- a/features/relay/streams.feature
+++ b/features/relay/streams.feature
@@ -56,7 +56,7 @@
     Given a relay with 3 runners and a resumable "stream" route
     When a client sends a request to the relay
     And the runner sends events 1 to 3
-    And the runner sends <spoilt>
+    And the runner sends <sent>
     Then the client has events 1 to 3 so far
     And the last attempt asks to resume after event 3
     When the runner sends events 4 to 6
@@ -64,7 +64,7 @@
     Then the client has the whole stream of events 1 to 6
 
     Examples:
-      | spoilt                            |
+      | sent                              |
       | event 5 without event 4 before it |
       | event 4 after garbage bytes       |
 
--- a/features/steps/relay_choice_steps.py
+++ b/features/steps/relay_choice_steps.py
@@ -110,9 +110,9 @@
 
 @when("a client sends a request to the relay with an unshared prompt part of {tokens:d} tokens")
 def send_long(context, tokens):
-    context.told = getattr(context, "told", [])
+    context.announced = getattr(context, "announced", [])
     prompt = (PromptPart("common", 100), PromptPart(f"long-{tokens}", tokens))
-    context.relay.context.announce_prefill = lambda *told: context.told.append(told)
+    context.relay.context.announce_prefill = lambda *announced: context.announced.append(announced)
     context.relay.request(prompt=prompt, request=f"long-{tokens}")
     context.long_runner = context.relay.last_call.field(b"runner")
 
@@ -130,7 +130,7 @@
 
 
 @when("another gateway announces for runner {number:d} a prefill of {seconds:g} seconds")
-def told_reading(context, number, seconds):
+def announce_prefill(context, number, seconds):
     loads = context.relay.context.loads
     loads.add_prefill(f"runner-{number}", seconds, context.relay.clock.seconds())
 
@@ -141,14 +141,14 @@
 
 
 @then("nothing was announced to the other gateways")
-def nothing_told(context):
-    context.told = getattr(context, "told", [])
-    assert context.told == []
+def nothing_announced(context):
+    context.announced = getattr(context, "announced", [])
+    assert context.announced == []
 
 
 @then("one long prompt was announced to the other gateways")
-def one_told(context):
-    assert len(context.told) == 1 and context.told[0][1] > 0.2, context.told
+def one_announced(context):
+    assert len(context.announced) == 1 and context.announced[0][1] > 0.2, context.announced
 
 
 @when(
--- a/features/steps/relay_request_steps.py
+++ b/features/steps/relay_request_steps.py
@@ -329,7 +329,7 @@
 
 
 @then("the client is refused with 503 and asked to retry after {seconds:g} seconds")
-def told_when(context, seconds):
+def asked_to_retry(context, seconds):
     assert context.exchange.status == 503
     assert float(dict(context.exchange.headers)[b"retry-after"]) == seconds
 
--- a/features/steps/relay_soak_check_steps.py
+++ b/features/steps/relay_soak_check_steps.py
@@ -64,13 +64,13 @@
             pass
         case "a request was never answered":
             plain.outcome, plain.ended_s, plain.status = Outcome.WAITING, None, 0
-        case "a request was cut behind its time":
+        case "a request was cut after its deadline":
             plain.outcome, plain.ended_s = Outcome.CUT, 5.2
         case "an unsafe request ran at two runners":
             history.runs.append(history.runs[0])
-        case "a request that had run was told 503":
+        case "a request that had run was answered 503":
             plain.status, plain.body = 503, b""
-        case "bytes came behind an answer":
+        case "bytes came after an answer":
             plain.surplus = b"x"
         case "a body lacks its end":
             plain.body = plain.body[:-1]
@@ -78,18 +78,18 @@
             plain.outcome = Outcome.CUT
         case "a failure lacks its end":
             _fail(history, b"half")
-        case "a failure was passed on whole":
+        case "a complete failure was forwarded":
             _fail(history, failure_body(PLAIN, 500, 9))
         case "an event came twice":
             stream.body = event(STREAM, 1) + stream.body
         case "a stream in chunks ends between two events":
             _end_between_events(history, Framing.CHUNKS)
-        case "a stream that nothing frames ends between two events":
+        case "an unframed stream ends between two events":
             _end_between_events(history, Framing.CLOSE)
-        case "a stream that nothing frames ends before its runner's close":
+        case "an unframed stream ends before its runner's close":
             _end_between_events(history, Framing.CLOSE)
             stream.body = events(STREAM, 1, last_event(STREAM) - 2)
-        case "a stream that nothing frames ends without any event":
+        case "an unframed stream ends without any event":
             _end_between_events(history, Framing.CLOSE)
             stream.body = b""
             history.runs[1] = replace(history.runs[1], body=b"")
--- a/features/steps/relay_soak_steps.py
+++ b/features/steps/relay_soak_steps.py
@@ -30,7 +30,7 @@
 
 
 @when(
-    "clients of a relay meet runners that also spoil beginnings, "
+    "clients of a relay meet runners that also corrupt beginnings, "
     "drawn from each of the seeds {first:d} to {last:d}"
 )
 def run_relay_soaks_of_beginnings(context, first, last):
--- a/features/support/relay_soak/answers.py
+++ b/features/support/relay_soak/answers.py
@@ -22,7 +22,7 @@
 """The share of resumed runs that are answered 200 with something that is not a stream."""
 FAULT_SHARE = 0.45
 LOST_EVENT_SHARE = 0.08
-SPOILT_EVENT_SHARE = 0.08
+CORRUPTED_EVENT_SHARE = 0.08
 REPEAT_SHARE = 0.2
 SURPLUS_SHARE = 0.04
 REFUSAL_STATUSES = (421, 429, 503, 404, 500, 504)
@@ -74,19 +74,19 @@
     content_type: bytes
     pieces: list[bytes]
     ran: bool = True
-    spoilt: int | None = None
+    corrupted: int | None = None
     """The index of the piece that is preceded by garbage bytes."""
     lacks_event: bool = False
 
     @property
     def is_sound(self) -> bool:
         """Tell whether the body is undamaged."""
-        return self.spoilt is None and not self.lacks_event
+        return self.corrupted is None and not self.lacks_event
 
     def body(self, count: int) -> bytes:
         """Return the first ``count`` pieces of the body as sent."""
         return b"".join(
-            JUNK + piece if number == self.spoilt else piece
+            JUNK + piece if number == self.corrupted else piece
             for number, piece in enumerate(self.pieces[:count])
         )
 
@@ -158,11 +158,11 @@
         lacks_event = len(numbers) > kept + 1 and self._draw.random() < LOST_EVENT_SHARE
         if lacks_event:
             del numbers[self._draw.randrange(kept, len(numbers) - 1)]
-        spoilt = None
-        if len(numbers) > kept and self._draw.random() < SPOILT_EVENT_SHARE:
-            spoilt = self._draw.randrange(kept, len(numbers))
+        corrupted = None
+        if len(numbers) > kept and self._draw.random() < CORRUPTED_EVENT_SHARE:
+            corrupted = self._draw.randrange(kept, len(numbers))
         pieces = [event(asked.request, number) for number in numbers]
-        return Message(asked, 200, EVENT_STREAM, pieces, True, spoilt, lacks_event)
+        return Message(asked, 200, EVENT_STREAM, pieces, True, corrupted, lacks_event)
 
     def _in_pieces(self, body: bytes) -> list[bytes]:
         size = max(1, len(body) // self._draw.randint(1, BODY_PIECES))
@@ -222,7 +222,7 @@
         """Return the pieces as sent; some in two parts, one after garbage bytes."""
         wire = []
         for number, piece in enumerate(message.pieces[:count]):
-            if number == message.spoilt:
+            if number == message.corrupted:
                 wire.append(JUNK)
             for part in self._parts(piece):
                 wire.append(_chunk(part) if framing == Framing.CHUNKS else part)
--- a/features/support/relay_soak/checks.py
+++ b/features/support/relay_soak/checks.py
@@ -55,11 +55,11 @@
         if asked.kind.runs_once and ran > 1:
             words.append(f"it ran {ran} times")
         if asked.status in PROMISES_NOT_RUN and ran:
-            words.append(f"it was told {asked.status} after a run")
+            words.append(f"it was answered {asked.status} after a run")
         return words
 
     def _answer(self, asked: ClientRequest) -> list[str]:
-        words = ["bytes behind its end"] if asked.surplus else []
+        words = ["bytes after its end"] if asked.surplus else []
         if not asked.status or asked.outcome == Outcome.LEFT:
             return words
         if not 200 <= asked.status < 300:
@@ -132,7 +132,7 @@
         return "no event" if not asked.body else _missing_end(asked.body)
     numbers, known = _id_lines(asked.body), _id_lines(whole)
     if numbers != known[: len(numbers)] and set(numbers) <= set(known):
-        return f"a hole: {b' '.join(numbers)!r}"
+        return f"events missing or repeated: {b' '.join(numbers)!r}"
     return f"foreign bytes: {_first_difference(asked.body, whole)!r}"
 
 
--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -91,7 +91,7 @@
 
 
 DEFECTS = {
-    "appends a failure to a stream that goes on": Defect(
+    "appends a failure to a resumed stream": Defect(
         "a runner's failure in it",
         (
             Patch(ClientAnswer, "may_include", _take_any_answer),
@@ -101,8 +101,10 @@
     "ends half an event as complete": Defect(
         "half an event", (Patch(Attempt, "answer_ended", _end_half_events),)
     ),
-    "lets a hole through": Defect("a hole", (Patch(client_answer, "leaves_gap", _allow_gaps),)),
-    "tells 503 after a run": Defect(
-        "told 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
+    "lets a gap through": Defect(
+        "events missing or repeated", (Patch(client_answer, "leaves_gap", _allow_gaps),)
+    ),
+    "answers 503 after a run": Defect(
+        "answered 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
     ),
 }
