--- a/features/steps/http_planned_stop_steps.py
+++ b/features/steps/http_planned_stop_steps.py
@@ -14,7 +14,7 @@
 
 from rainsail.assembly.served_connections import IDLE_READ_S, ServedConnections, has_begun_request
 from rainsail.fleet.listening import listen
-from rainsail.http.graceful_shutdown import RESTING_LOOK_PERIOD_S, GracefulShutdown
+from rainsail.http.graceful_shutdown import IDLE_CLOSE_PERIOD_S, GracefulShutdown
 from rainsail.http.server import HttpLimits, HttpServer
 from rainsail.runtime.sockets import HANDSHAKE_S
 
@@ -33,7 +33,7 @@
 
 
 class _CallerApiStop:
-    """Stops as a gateway of the own control plane does."""
+    """Stops as a native gateway does."""
 
     def __init__(self):
         self._clock = Clock()
@@ -91,7 +91,7 @@
         self._clock.advance(HANDSHAKE_S)
 
     def pass_time(self):
-        self._clock.advance(RESTING_LOOK_PERIOD_S)
+        self._clock.advance(IDLE_CLOSE_PERIOD_S)
 
     def end(self):
         return self._port.stopListening()
@@ -181,7 +181,10 @@
     in_reactor(close_and_connect)
 
 
-@when("a caller connects just before the port is closed, and sends its request when others rest")
+@when(
+    "a caller connects just before the port is closed, "
+    "and sends its request after idle ones are closed"
+)
 def sends_late(context):
     def connect_and_close():
         _connect(context)
--- a/features/support/relay_soak/defects.py
+++ b/features/support/relay_soak/defects.py
@@ -1,4 +1,4 @@
-"""Known-bad variants of the relay: each breaks one promise that the soak's checks have to see."""
+"""Known-bad variants of the relay: each violates one guarantee, and the checks must detect it."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A variant; ``words`` are those of the check that has to see it."""
+    """A variant; ``words`` is a part of the violation that the check must report."""
 
     words: str
     patches: tuple[Patch, ...]
 
     @contextmanager
     def in_place(self) -> Iterator[None]:
-        """Have the relay this defect for a while."""
+        """Apply the defect within the context."""
         with ExitStack() as stack:
             for patch in self.patches:
                 stack.enter_context(patch.prepared())
@@ -44,14 +44,14 @@
 
 
 def _take_any_answer(original: Any) -> Any:
-    """Take whatever a runner answers for a part of the client's answer."""
+    """Accept any runner's answer as a part of the client's answer."""
     return lambda self, attempt: True
 
 
 def _append_failures(original: Any) -> Any:
-    """Take the end of any answer for the end of the client's answer."""
+    """Treat the end of any answer as the end of the client's answer."""
 
-    def answer_came(self: RelayRun, attempt: Attempt) -> None:
+    def answer_received(self: RelayRun, attempt: Attempt) -> None:
         if not self._answer.begun:
             original(self, attempt)
             return
@@ -60,11 +60,11 @@
         self._answer.end()
         self._finish(RequestOutcome.COMPLETED)
 
-    return answer_came
+    return answer_received
 
 
 def _end_half_events(original: Any) -> Any:
-    """End a stream as complete with whatever came last."""
+    """Complete a stream with whatever arrived last."""
 
     def answer_ended(self: Attempt) -> None:
         if self.stream is None:
@@ -80,8 +80,8 @@
     return answer_ended
 
 
-def _let_holes_through(original: Any) -> Any:
-    """Take any event for the next one."""
+def _allow_gaps(original: Any) -> Any:
+    """Accept any event as the next one."""
     return lambda event, last_event: False
 
 
@@ -91,20 +91,20 @@
 
 
 DEFECTS = {
-    "appends a failure to a stream that goes on": Defect(
+    "appends a failure to a resumed stream": Defect(
         "a runner's failure in it",
         (
             Patch(ClientAnswer, "may_include", _take_any_answer),
-            Patch(RelayRun, "answer_came", _append_failures),
+            Patch(RelayRun, "answer_received", _append_failures),
         ),
     ),
     "ends half an event as complete": Defect(
         "half an event", (Patch(Attempt, "answer_ended", _end_half_events),)
     ),
-    "lets a hole through": Defect(
-        "a hole", (Patch(client_answer, "leaves_gap", _let_holes_through),)
+    "lets a gap through": Defect(
+        "events missing or repeated", (Patch(client_answer, "leaves_gap", _allow_gaps),)
     ),
-    "tells 503 after a run": Defect(
-        "told 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
+    "answers 503 after a run": Defect(
+        "answered 503 after a run", (Patch(continuation, "_refuse", _always_promise),)
     ),
 }
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -1,7 +1,7 @@
-"""A relayed fleet under seeded random faults in virtual time, judged by what its users saw.
+"""A relayed fleet under seeded random faults in virtual time, checked by what its users observe.
 
-Faults stay within what the fleet is meant to bear: one machine with a disk lost at a time, with
-time to catch up after each, and losses of power of a whole group that keep all disks.
+Faults stay within what the fleet has to tolerate: the loss of one machine with its disk at a time,
+with time to recover after each, and power losses of a whole group that keep all disks.
 """
 
 import random
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from features.support.number_watch import ResultsWatch, RunBook, TableWatch
+from features.support.monotonic_checks import ResultsMonitor, RunLog, TableMonitor
 from features.support.relayed_fleet import ZONES, RelayedFleet
 from features.support.relaying import SERVICE
 
@@ -18,47 +18,47 @@
 
 EVENTS = 8
 STEP_S = 0.1
-CATCH_UP_S = 5.0
+RECOVERY_S = 5.0
 DRAIN_S = 2.0
 ZONE_DRAIN_S = 5.0
-"""From the acknowledgement of a zone's drain its runners get nothing after this time."""
+"""This long after the acknowledgement of a zone's drain its runners get no more items."""
 ZONE_DRAINED_FOR_S = (4.0, 9.0)
-ORDER_WAIT_S = 1.0
-"""An operator without an answer closes its connection and goes elsewhere after this time."""
-LATE_WORD_S = (0.2, 3.0)
+ORDER_TIMEOUT_S = 1.0
+"""An operator without an answer closes its connection and tries another node after this time."""
+LATE_HEARTBEAT_S = (0.2, 3.0)
 CANCEL_S = 3.0
-QUIET_S = 40.0
+SETTLE_LIMIT_S = 40.0
 BREAK_CHANCE = 0.01
 REPEAT_CHANCE = 0.5
 RESEND_CHANCE = 0.3
 OTHER_CONTENT_CHANCE = 0.3
-BORNE_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
-"""What may happen to machines with a disk."""
+TOLERATED_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
+"""Faults of machines with a disk, one at a time with recovery after each."""
 KEPT_DISK_KINDS = ("crash", "freeze", "isolate", "cut_from_group", "group", "hand_over")
-"""What may happen to them at any pace: every disk stays."""
+"""Faults of machines with a disk that may come at any rate, since no disk is lost."""
 GATEWAY_KINDS = ("crash", "freeze", "isolate")
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What a soak is made of.
+    """The parameters of a soak.
 
-    ``calm_s`` is how long nothing happens after a fault: time to catch up where disks are lost.
+    ``recovery_s`` is the minimum time after a fault without another one, to recover lost disks.
     """
 
     seconds: float = 60
     events: int = EVENTS
-    calm_s: float = CATCH_UP_S
-    kinds: tuple[str, ...] = BORNE_KINDS
+    recovery_s: float = RECOVERY_S
+    kinds: tuple[str, ...] = TOLERATED_KINDS
 
 
 @dataclass
 class SoakJob:
-    """One job as its client knows it."""
+    """One job as known to its client."""
 
     job: str
     count: int
-    results: ResultsWatch
+    results: ResultsMonitor
     accepted_s: float | None = None
     ended_s: float | None = None
     end_asked: bool = False
@@ -66,7 +66,7 @@
 
 @dataclass
 class ZoneOrder:
-    """A zone's drain as the operator knows it: when it was acknowledged, and its end first sent."""
+    """A zone's drain as known to the operator: when it was acknowledged, and its end first sent."""
 
     zone: str
     ends_at_s: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Sending:
-    """An item on its way to a runner."""
+    """An item sent to a runner."""
 
     at_s: float
     job: str
@@ -85,12 +85,12 @@
 
 
 class RelayedSoak:
-    """Runs the users and the faults; ``violations`` says what went wrong."""
+    """Runs the users and the faults; ``violations`` lists what went wrong."""
 
     def __init__(self, seed: int, plan: SoakPlan) -> None:
         self.plan = plan
-        self.runs = RunBook(plan.events)
-        self.tables = TableWatch()
+        self.runs = RunLog(plan.events)
+        self.tables = TableMonitor()
         self.random = random.Random(seed)
         self.fleet = RelayedFleet(seed)
         self.fleet.leader("controller")
@@ -100,19 +100,19 @@
         self.jobs: dict[str, SoakJob] = {}
         self.runners: dict[str, RunnerRecord] = {}
         self.zones: dict[str, str] = {}
-        """The zone of each runner there ever was."""
+        """The zone of every runner, including those that have gone."""
         self.drained_s: dict[str, float] = {}
         self.sendings: list[Sending] = []
         self.zone_orders: list[ZoneOrder] = []
         self.violations: list[str] = []
         self.faults: list[str] = []
         self._down: list[tuple[float, str, str]] = []
-        self._calm_at_s = self.now + 2.0
+        self._next_fault_s = self.now + 2.0
         self._next_runner = 0
-        self._caught_up_at_s = 0.0
-        """Until then the machine that was lost last counts as lost."""
-        self._unread: list[tuple[str, Callable[[], None]]] = []
-        """Orders on zones that wait at frozen controllers."""
+        self._recovered_at_s = 0.0
+        """Until then the last failed machine counts as down."""
+        self._unread_orders: list[tuple[str, Callable[[], None]]] = []
+        """Drain orders that wait at frozen controllers."""
         self._armed: tuple[str, str] | None = None
         for name in self.fleet.names("gateway"):
             self._listen_at_gateway(name)
@@ -123,13 +123,13 @@
         return self.fleet.clock.seconds()
 
     def run(self) -> None:
-        """Run the whole soak, then heal everything and judge."""
+        """Run the soak, then end all faults and check the result."""
         for _ in range(3):
             self._add_runner()
         while self.now < self.until_s:
             self._step(faults=True)
         self._heal()
-        end_s = self.now + QUIET_S
+        end_s = self.now + SETTLE_LIMIT_S
         while self.now < end_s and not self._is_settled():
             self._step(faults=False)
             self._read_from_the_start()
@@ -138,10 +138,10 @@
     def _step(self, faults: bool) -> None:
         self.fleet.run_for(STEP_S)
         if not faults:
-            self._press_zone_orders()
+            self._retry_zone_orders()
         self._play_runners()
         self._watch_nodes()
-        self._beat_runners()
+        self._send_heartbeats()
         if faults:
             self._play_operator()
             self._play_clients()
@@ -179,21 +179,21 @@
         ]
         return self.random.choice(names) if names else ""
 
-    def _beat_runners(self) -> None:
+    def _send_heartbeats(self) -> None:
         for name, record in list(self.runners.items()):
             if self.random.random() < STEP_S:
-                self._say(name, record.state)
+                self._send_heartbeat(name, record.state)
 
-    def _say(self, name: str, state: RunnerState) -> None:
+    def _send_heartbeat(self, name: str, state: RunnerState) -> None:
         controller = self._controller()
         if controller is None:
             return
         known = self.runners[name]
         record = replace(known, state=state, sequence=known.sequence + 1)
         self.runners[name] = record
-        controller.reports.take(record).addCallback(self._word_taken, name, state)
+        controller.reports.take(record).addCallback(self._heartbeat_accepted, name, state)
 
-    def _word_taken(self, result: Any, name: str, state: RunnerState) -> None:
+    def _heartbeat_accepted(self, result: Any, name: str, state: RunnerState) -> None:
         if result.is_ok() and state == RunnerState.DRAINING:
             self.drained_s.setdefault(name, self.now)
 
@@ -211,7 +211,7 @@
                 self._play_call(call)
 
     def _first_event(self, after: int) -> int:
-        """Go on behind the last event; some runners send that one again."""
+        """Return the first event after the last one; some runners repeat that one."""
         return max(1, after if self.random.random() < REPEAT_CHANCE else after + 1)
 
     def _play_call(self, call: Any) -> None:
@@ -238,22 +238,22 @@
             name = self.random.choice([n for n in self.runners if n not in self.drained_s] or [""])
             if name:
                 self._add_runner()
-                self._say(name, RunnerState.DRAINING)
+                self._send_heartbeat(name, RunnerState.DRAINING)
 
         if self.random.random() < STEP_S / 6:
             self._begin_zone_drain()
         if self.random.random() < STEP_S / 6:
             self._replace_runner()
-        self._press_zone_orders()
+        self._retry_zone_orders()
 
     def _begin_zone_drain(self) -> None:
-        """Drain a zone, unless one is drained already."""
+        """Drain a zone, unless a drain is under way."""
         if all(order.ended for order in self.zone_orders):
             ends_at_s = self.now + self.random.uniform(*ZONE_DRAINED_FOR_S)
             self.zone_orders.append(ZoneOrder(self.random.choice(sorted(ZONES)), ends_at_s))
 
-    def _press_zone_orders(self) -> None:
-        """Send the order that is due until it is acknowledged, to any controller."""
+    def _retry_zone_orders(self) -> None:
+        """Send the current drain order to a random controller until it is acknowledged."""
         controller = self._controller_name()
         if not self.zone_orders or not controller or self.random.random() > 2 * STEP_S:
             return
@@ -265,11 +265,11 @@
             self._send_zone_order(controller, order, False)
 
     def _send_zone_order(self, name: str, order: ZoneOrder, draining: bool) -> None:
-        """Send an order; a controller that stands still reads it when it wakes.
+        """Send a drain order; a frozen controller reads it when it resumes.
 
-        The operator has left by then, if that takes longer than ``ORDER_WAIT_S``.
+        By then the operator has disconnected, if that takes longer than ``ORDER_TIMEOUT_S``.
         """
-        until_s = self.now + ORDER_WAIT_S
+        until_s = self.now + ORDER_TIMEOUT_S
 
         def read() -> None:
             controller = self.fleet.nodes[name].role.controller
@@ -277,7 +277,7 @@
             done.addCallback(self._zone_order_taken, order, draining)
 
         if any(down[1:] == (name, "freeze") for down in self._down):
-            self._unread.append((name, read))
+            self._unread_orders.append((name, read))
         else:
             read()
 
@@ -286,12 +286,12 @@
             return
         if draining:
             order.acknowledged_s = order.acknowledged_s or self.now
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
         else:
             order.ended = True
 
     def _replace_runner(self) -> None:
-        """A runner crashes twice; a word of the incarnation between comes after the newest's."""
+        """Crash a runner twice; a heartbeat of the middle incarnation arrives last."""
         names = [name for name in self.runners if name not in self.drained_s]
         if not names:
             return
@@ -301,11 +301,11 @@
         newest = replace(crashed, runner=f"r-{self._next_runner}", sequence=0)
         self.runners[newest.runner] = newest
         self.zones[newest.runner] = newest.zone
-        self._say(newest.runner, RunnerState.READY)
-        late_s = self.random.uniform(*LATE_WORD_S)
-        self.fleet.clock.callLater(late_s, self._say_late, between)
+        self._send_heartbeat(newest.runner, RunnerState.READY)
+        late_s = self.random.uniform(*LATE_HEARTBEAT_S)
+        self.fleet.clock.callLater(late_s, self._send_late_heartbeat, between)
 
-    def _say_late(self, record: RunnerRecord) -> None:
+    def _send_late_heartbeat(self, record: RunnerRecord) -> None:
         controller = self._controller()
         if controller is not None:
             controller.reports.take(record)
@@ -324,14 +324,14 @@
         done.addCallback(self._table_taken, version)
 
     def _content(self, version: int) -> bytes:
-        """Return a table's content; now and then another one is sent under the same version."""
+        """Return a table's content; sometimes a different one for the same version."""
         other = self.random.random() < OTHER_CONTENT_CHANCE
         return f"{version} {'east west' if other else 'west east'}".encode()
 
     def _table_taken(self, result: Any, version: int) -> None:
         if result.is_ok():
             self.tables.acknowledged(version)
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
 
     def _read_table(self) -> None:
         controller = self._controller()
@@ -346,7 +346,7 @@
     def _play_clients(self) -> None:
         if self.random.random() < STEP_S / 2:
             name, count = f"job-{len(self.jobs) + 1}", self.random.randint(1, 4)
-            job = SoakJob(name, count, ResultsWatch(name, count, self.runs))
+            job = SoakJob(name, count, ResultsMonitor(name, count, self.runs))
             self.jobs[name] = job
             self._submit(job)
         for job in self.jobs.values():
@@ -366,7 +366,7 @@
     def _submitted(self, result: Any, job: SoakJob) -> None:
         if result.is_ok() and job.accepted_s is None:
             job.accepted_s = self.now
-            self._strike_if_armed("storage")
+            self._inject_if_armed("storage")
 
     def _end(self, job: SoakJob) -> None:
         job.end_asked = True
@@ -382,9 +382,9 @@
                 self._read_job(job)
 
     def _read_from_the_start(self) -> None:
-        """Once all is calm clients read what they have not seen whole, as a whole and at a gateway.
+        """After the faults, read incomplete jobs from the first result on, at a gateway.
 
-        Reads at drawn positions and nodes alone may miss a result for the whole calm time.
+        Reads at random positions and nodes alone might miss a result until the time limit.
         """
         for job in self.jobs.values():
             owed = job.accepted_s is not None and not job.results.is_whole()
@@ -393,7 +393,7 @@
                 done.addCallback(self._page_read, job, 0, job.results.least(0))
 
     def _read_job(self, job: SoakJob) -> None:
-        """Read from some position, now and then with a wait, or at a node that may not lead."""
+        """Read from a random position, sometimes with a wait, or at a node that may not lead."""
         after = self.random.choice([0, 0, self.random.randint(0, job.count + 1)])
         wait_s = self.random.choice([0.0, 0.0, 1.0])
         least = job.results.least(after)
@@ -414,16 +414,16 @@
             self.violations.append(f"{job.job} was accepted and is not found")
 
     def _listen_at_gateway(self, name: str) -> None:
-        """Watch what a gateway's process is told of tables, from its start on."""
+        """Check the tables that a gateway receives, from its start on."""
         node = self.fleet.nodes[name]
 
-        def told(document: TableDocument) -> None:
-            self.violations += self.tables.told(node, document.version, document.content)
+        def table_received(document: TableDocument) -> None:
+            self.violations += self.tables.table_sent(node, document.version, document.content)
 
-        node.base.follower.on_table = told
+        node.base.follower.on_table = table_received
 
     def _watch_nodes(self) -> None:
-        """Watch the versions and the orders on zones that every node has."""
+        """Check the table versions and drain orders of all nodes."""
         for name, node in self.fleet.nodes.items():
             version = node.base.follower.table_version
             if name.startswith("storage"):
@@ -438,29 +438,29 @@
         for due_s, name, kind in list(self._down):
             if self.now >= due_s:
                 self._down.remove((due_s, name, kind))
-                self._bring_back(name, kind)
-        if self._down or self.now < max(self._calm_at_s, self._caught_up_at_s):
+                self._recover(name, kind)
+        if self._down or self.now < max(self._next_fault_s, self._recovered_at_s):
             return
-        self._calm_at_s = self.now + self.plan.calm_s + self.random.uniform(0, 2)
+        self._next_fault_s = self.now + self.plan.recovery_s + self.random.uniform(0, 2)
         group = self.random.choice(["controller", "storage", "storage", "controller", "gateway"])
         kind = self.random.choice(GATEWAY_KINDS if group == "gateway" else self.plan.kinds)
         if self.random.random() < 0.4:
             self._armed = (group, kind)
             return
-        self._strike(group, kind)
+        self._inject(group, kind)
 
-    def _strike_if_armed(self, group: str) -> None:
-        """Strike the moment that a client has its acknowledgement."""
+    def _inject_if_armed(self, group: str) -> None:
+        """Inject the prepared fault right after a client has got an acknowledgement."""
         armed = self._armed
         if armed is None or armed[0] != group or self._down or self.now >= self.until_s:
             return
-        if self.now < self._caught_up_at_s:
+        if self.now < self._recovered_at_s:
             return
         self._armed = None
-        self._calm_at_s = self.now + self.plan.calm_s + self.random.uniform(0, 2)
-        self.fleet.clock.callLater(0, self._strike, *armed)
+        self._next_fault_s = self.now + self.plan.recovery_s + self.random.uniform(0, 2)
+        self.fleet.clock.callLater(0, self._inject, *armed)
 
-    def _strike(self, group: str, kind: str) -> None:
+    def _inject(self, group: str, kind: str) -> None:
         names = self.fleet.names(group)
         name = self._victim(group, names)
         for_s = self.random.uniform(0.3, 4.0)
@@ -498,8 +498,8 @@
         if kind in ("crash", "wipe") and name in self.fleet.pools:
             self.fleet.pools[name].calls.clear()
 
-    def _bring_back(self, name: str, kind: str) -> None:
-        self._caught_up_at_s = self.now + self.plan.calm_s
+    def _recover(self, name: str, kind: str) -> None:
+        self._recovered_at_s = self.now + self.plan.recovery_s
         match kind:
             case "crash" | "wipe":
                 self.fleet.start(name)
@@ -512,28 +512,28 @@
                 self.fleet.rejoin(name)
 
     def _read_orders_at(self, name: str) -> None:
-        """Have a controller that wakes read the orders that have come meanwhile."""
-        waiting = [read for at, read in self._unread if at == name]
-        self._unread = [each for each in self._unread if each[0] != name]
+        """Deliver the orders that have arrived while a controller was frozen."""
+        waiting = [read for at, read in self._unread_orders if at == name]
+        self._unread_orders = [each for each in self._unread_orders if each[0] != name]
         for read in waiting:
             read()
 
     def _heal(self) -> None:
         for _, name, kind in self._down:
-            self._bring_back(name, kind)
+            self._recover(name, kind)
         self._down = []
 
     # --- judging -------------------------------------------------------------------------
 
     def _is_settled(self) -> bool:
-        if self._behind():
+        if self._outdated_gateways():
             return False
-        if not all(order.ended for order in self.zone_orders) or self._shunned():
+        if not all(order.ended for order in self.zone_orders) or self._unused_runners():
             return False
         owed = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
         return all(job.results.is_whole() for job in owed)
 
-    def _behind(self) -> dict[str, int]:
+    def _outdated_gateways(self) -> dict[str, int]:
         """Return the gateways whose table is older than the newest one, with its version."""
         versions = {
             name: self.fleet.nodes[name].base.follower.table_version
@@ -543,7 +543,7 @@
         return {name: version for name, version in versions.items() if version < newest}
 
     def _judge(self) -> None:
-        for name, version in self._behind().items():
+        for name, version in self._outdated_gateways().items():
             wanted = self.tables.newest
             self.violations.append(f"{name} has table {version}, {wanted} was acknowledged")
         for job in self.jobs.values():
@@ -555,12 +555,12 @@
         self._judge_runners()
 
     def _judge_runners(self) -> None:
-        """Once all is calm a runner that lives and goes on speaking gets work everywhere."""
-        for name, runner in self._shunned():
+        """Check that after the faults every live runner with heartbeats gets work everywhere."""
+        for name, runner in self._unused_runners():
             self.violations.append(f"{name} sends nothing to {runner}, which lives")
 
-    def _shunned(self) -> list[tuple[str, str]]:
-        """Return gateways with the living runners that they send nothing to."""
+    def _unused_runners(self) -> list[tuple[str, str]]:
+        """Return pairs of a gateway and a live runner that it does not use."""
         drained = {order.zone for order in self.zone_orders if not order.ended}
         living = [
             record.runner
--- a/features/support/resuming_client.py
+++ b/features/support/resuming_client.py
@@ -1,15 +1,15 @@
-"""A client that takes its stream up again after each break, over runners that fail at random."""
+"""A client that resumes its stream after each interruption, with runners that fail at random."""
 
 import random
 
-from features.support.number_watch import PIECE, RunBook
+from features.support.monotonic_checks import PIECE, RunLog
 from features.support.relaying import NOT_RUN_FIELD, RelayWorld, StandInCall, StandInExchange
 
 from rainsail.relay.events import BLANK_LINE, parse_event
 
 STREAM = "stream"
 STEP_S = 0.05
-MOST_REQUESTS = 60
+MAX_REQUESTS = 60
 BREAK_CHANCE = 0.08
 MISSING_CHANCE = 0.05
 SILENT_CHANCE = 0.03
@@ -18,14 +18,14 @@
 
 
 class ResumingClient:
-    """Reads one stream to its end; ``faults`` says what was wrong with it.
+    """Reads one stream to its end; ``faults`` lists the violations found.
 
-    Runners break off, also inside an event, leave an event out (never the first or the last one),
-    send the last one again, fall silent or refuse; the client leaves and comes back.
+    Runners disconnect, also inside an event, skip an event (never the first or the last one),
+    repeat the last one, stop sending or refuse. The client disconnects and resumes.
     """
 
     def __init__(self, seed: int, events: int) -> None:
-        self.runs = RunBook(events)
+        self.runs = RunLog(events)
         self.requests = 0
         self.faults: list[str] = []
         self._events = events
@@ -36,12 +36,12 @@
 
     @property
     def text(self) -> str:
-        """The data of all events that came, one on each line."""
+        """The data of all received events, one per line."""
         return "\n".join(self._pieces)
 
     def run(self) -> None:
-        """Ask again behind the last event until the stream was said to be complete."""
-        while self.requests < MOST_REQUESTS:
+        """Resume after the last event until the stream is complete."""
+        while self.requests < MAX_REQUESTS:
             self.requests += 1
             exchange = self._world.request(after_event=len(self._pieces) or None)
             self._play(exchange)
@@ -53,15 +53,15 @@
     def _take(self, exchange: StandInExchange) -> None:
         *whole, _ = exchange.body.split(BLANK_LINE)
         for event in map(parse_event, whole):
-            spoken = PIECE.fullmatch(event.data)
-            wanted = len(self._pieces) + 1
-            if spoken is None or (event.number, int(spoken[1])) != (wanted, wanted):
-                self.faults.append(f"{event.raw!r} came as event {wanted}")
+            match = PIECE.fullmatch(event.data)
+            expected = len(self._pieces) + 1
+            if match is None or (event.number, int(match[1])) != (expected, expected):
+                self.faults.append(f"{event.raw!r} came as event {expected}")
                 return
             self._pieces.append(event.data)
 
     def _play(self, exchange: StandInExchange) -> None:
-        """Run until the relay has ended the answer, or the client has left."""
+        """Run until the relay has ended the answer, or the client has disconnected."""
         while not exchange.ended and not exchange.aborted:
             self._world.clock.advance(STEP_S)
             if self._random.random() < LEAVE_CHANCE:
--- a/src/rainsail/http/graceful_shutdown.py
+++ b/src/rainsail/http/graceful_shutdown.py
@@ -1,7 +1,8 @@
-"""Closes the port and the connections of an ``HttpServer`` at a planned stop, and cuts no request.
+"""Closes the port and the connections of an ``HttpServer`` without interrupting requests.
 
-A client whose connection is reset after it has sent a request can't tell whether that ran. So what
-has reached the port is accepted and answered, and what comes later is refused before it is sent.
+A client whose connection is reset after it has sent a request can't tell whether that ran. So
+requests that have reached the port are accepted and answered, and later clients are refused while
+they connect, before they have sent anything.
 """
 
 from collections.abc import Callable
@@ -13,11 +14,11 @@
 from rainsail.runtime.clock import Clock
 from rainsail.runtime.sockets import HANDSHAKE_S, accept_and_close, ignore_new_connections
 
-RESTING_LOOK_PERIOD_S = 0.1
+IDLE_CLOSE_PERIOD_S = 0.1
 
 
 class GracefulShutdown:
-    """Ends one server; ``port`` is the listening port that the reactor gave for it."""
+    """Shuts one server down; ``port`` is the reactor's listening port for it."""
 
     def __init__(self, server: HttpServer, port: Any, clock: Clock) -> None:
         self._server = server
@@ -29,23 +30,23 @@
         finished: Deferred[None] = Deferred()
         limit = self._clock.callLater(limit_s, finished.callback, None)
 
-        def on_quiet() -> None:
+        def on_drained() -> None:
             if limit.active():
                 limit.cancel()
                 finished.callback(None)
 
         self._server.drain()
         ignore_new_connections(self._port)
-        self._clock.callLater(HANDSHAKE_S, self._close_port, on_quiet)
+        self._clock.callLater(HANDSHAKE_S, self._close_port, on_drained)
         return finished
 
-    def _close_port(self, on_quiet: Callable[[], None]) -> None:
+    def _close_port(self, on_drained: Callable[[], None]) -> None:
         accept_and_close(self._port)
-        self._clock.callLater(RESTING_LOOK_PERIOD_S, self._close_resting)
-        self._server.when_drained(on_quiet)
+        self._clock.callLater(IDLE_CLOSE_PERIOD_S, self._close_idle)
+        self._server.when_drained(on_drained)
 
-    def _close_resting(self) -> None:
-        """Close connections as they come to rest; those that come in meanwhile too."""
+    def _close_idle(self) -> None:
+        """Close idle connections repeatedly until none is left, including new ones."""
         self._server.close_idle()
         if self._server.connections:
-            self._clock.callLater(RESTING_LOOK_PERIOD_S, self._close_resting)
+            self._clock.callLater(IDLE_CLOSE_PERIOD_S, self._close_idle)
--- a/src/rainsail/relay/early_requests.py
+++ b/src/rainsail/relay/early_requests.py
@@ -1,7 +1,7 @@
-"""Requests that come to a gateway which has just started and knows no routing table yet.
+"""Holds requests that reach a gateway after its start, before it has a routing table.
 
-The table is a moment away unless controllers are away too. A refused client comes back only once or
-so, and late; so requests wait for the table, not for long, and only right after the start.
+Unless the controllers are down, the table arrives within a second. A refused client retries late
+and only about once, so requests wait briefly for the table instead, and only right after the start.
 """
 
 from collections.abc import Callable
@@ -9,25 +9,24 @@
 from rainsail.http.exchange import Exchange
 from rainsail.runtime.clock import Clock
 
-STARTING_FOR_S = 2.0
-"""A gateway without a table that has run for longer has no controller that answers.
+STARTUP_PERIOD_S = 2.0
+"""A gateway that has no table after this time has no controller that answers.
 
-Not measured by itself; well above the 0.6 s after which gateways had a table.
+Well above the 0.6 s within which gateways get a table.
 """
-HELD_FOR_S = 0.8
-"""A request waits this long at most: two gateways had one 0.5 to 0.6 s after their start."""
-MOST_HELD = 500
-"""Requests that wait at once. Not measured; chosen so that they cost a few megabytes at most."""
-MOST_HELD_BYTES = 8 * 1024 * 1024
-"""Bytes of the bodies that wait at once.
+MAX_HOLD_S = 0.8
+"""A request waits at most this long: gateways get a table 0.5 to 0.6 s after their start."""
+MAX_HELD_REQUESTS = 500
+"""Requests held at once, so that they take a few megabytes at most."""
+MAX_HELD_BYTES = 8 * 1024 * 1024
+"""Total size of the bodies held at once.
 
-Not measured; chosen since bodies of whole jobs may have a megabyte each, and a gateway has some
-200 MB in all.
+The body of a job may have a megabyte, and a gateway has about 200 MB in all.
 """
 
 
 class EarlyRequests:
-    """Holds requests back until ``release``; what waits too long is refused."""
+    """Holds requests until ``release``; refuses those that wait for too long."""
 
     def __init__(self, clock: Clock, refuse: Callable[[Exchange], None]) -> None:
         self._clock = clock
@@ -38,10 +37,10 @@
         self._last_number = 0
 
     def hold(self, exchange: Exchange) -> None:
-        """Take a request that can't be served yet."""
-        starting = self._clock.seconds() - self._started_s < STARTING_FOR_S
+        """Hold a request, or refuse it after the startup period or if too many are held."""
+        starting = self._clock.seconds() - self._started_s < STARTUP_PERIOD_S
         size = len(exchange.request.body)
-        full = len(self._held) >= MOST_HELD or self._held_bytes + size > MOST_HELD_BYTES
+        full = len(self._held) >= MAX_HELD_REQUESTS or self._held_bytes + size > MAX_HELD_BYTES
         if not starting or full:
             self._refuse(exchange)
             return
@@ -49,10 +48,10 @@
         self._last_number += 1
         number = self._last_number
         self._held[number] = exchange
-        exchange.on_disconnect(lambda: self._left(number))
-        self._clock.callLater(HELD_FOR_S, self._expire, number)
+        exchange.on_disconnect(lambda: self._client_disconnected(number))
+        self._clock.callLater(MAX_HOLD_S, self._expire, number)
 
-    def _left(self, number: int) -> None:
+    def _client_disconnected(self, number: int) -> None:
         self._drop(number)
 
     def _drop(self, number: int) -> Exchange | None:
@@ -67,7 +66,7 @@
             self._refuse(exchange)
 
     def release(self, handle: Callable[[Exchange], None]) -> None:
-        """Have all that wait served, in the order in which they came."""
+        """Pass all held requests to ``handle`` in the order of their arrival."""
         held, self._held = self._held, {}
         self._held_bytes = 0
         for exchange in held.values():
--- a/src/rainsail/relay/run.py
+++ b/src/rainsail/relay/run.py
@@ -1,8 +1,8 @@
-"""Runs one client's request: sends it, follows its attempts, and ends it with one answer.
+"""Runs one client's request: sends it, handles its attempts, and ends it with one answer.
 
-``continuation`` decides what follows each attempt, ``sender`` sends, ``client_answer`` writes what
-the client gets and ``recorder`` records what happened. This module connects them and owns the
-request's deadline.
+``continuation`` decides what follows each attempt, ``sender`` sends, ``client_answer`` writes to
+the client and ``recorder`` records what happened. This module connects them and owns the request's
+deadline.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
     time_out,
 )
 from rainsail.relay.events import Event
-from rainsail.relay.held_end import HeldEnd, most_end_wait_s
+from rainsail.relay.held_end import HeldEnd, max_end_hold_s
 from rainsail.relay.protocol import RequestFacts
 from rainsail.relay.recorder import RequestRecorder
 from rainsail.relay.sender import RequestSender
@@ -47,7 +47,7 @@
 from rainsail.runtime.clock import Timer
 from rainsail.tenancy.tenants import ANONYMOUS, Identity
 
-CLIENT_LEFT = "the client left"
+CLIENT_DISCONNECTED = "the client disconnected"
 
 
 class RelayRun:
@@ -65,7 +65,7 @@
         ended: Callable[["RelayRun"], None],
         identity: Identity = ANONYMOUS,
     ) -> None:
-        """``ended`` is called once, when the client has got all that it will get."""
+        """``ended`` is called once, when the request is over."""
         request = exchange.request
         self.outcome: RequestOutcome | None = None
         self._context = context
@@ -90,33 +90,33 @@
         self._deadline_s = request.received_s + _time_allowed_s(route, facts)
         self._deadline_timer: Timer | None = None
         self._held_end: HeldEnd | None = None
-        exchange.on_disconnect(self._client_left)
+        exchange.on_disconnect(self._client_disconnected)
 
     @property
     def kind(self) -> RouteKind:
-        """What may be repeated of the request."""
+        """The kind of the request's route, which decides what may be repeated."""
         return self._sender.route.kind
 
     @property
     def attempts_counted(self) -> int:
-        """How many times it was sent to a runner that was meant to get it."""
+        """The number of attempts that reached the intended runner."""
         return self._sender.attempts_counted
 
     @property
     def first_s(self) -> float | None:
-        """When the first byte of the answer left, in seconds since the request came."""
+        """When the first byte of the answer was sent, in seconds since the request arrived."""
         return self._answer.first_s
 
-    # --- beginning and end ---------------------------------------------------------------
+    # --- start and end -------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start the deadline, and send to a first runner once the tenant's quota allows it."""
+        """Start the deadline timer, and send the request once the tenant's quota admits it."""
         left_s = max(0.0, self._time_left_s())
         self._deadline_timer = self._context.clock.callLater(left_s, self._deadline_passed)
         self._context.admit(self._identity, self._quota_decided)
 
     def _quota_decided(self, wait_s: float) -> None:
-        """Go on, or have the client come back when the quota allows it."""
+        """Send the request, or refuse it with the time to wait for the quota."""
         is_allowed = wait_s <= 0
         if self.outcome is not None:
             if is_allowed:
@@ -128,8 +128,8 @@
         else:
             self._end(refuse_over_quota(self._identity.tenant, wait_s))
 
-    def _client_left(self) -> None:
-        self._recorder.reason = CLIENT_LEFT
+    def _client_disconnected(self) -> None:
+        self._recorder.reason = CLIENT_DISCONNECTED
         self._answer.close()
         self._finish(RequestOutcome.LEFT)
 
@@ -139,7 +139,7 @@
             self._end(time_out(self._progress(), is_sent, self._context.settings))
 
     def _end(self, ending: Ending) -> None:
-        """Answer the client as was decided."""
+        """Carry out the decided end of the request."""
         self._recorder.reason = ending.reason
         match ending:
             case Abort():
@@ -161,12 +161,12 @@
         if self._deadline_timer is not None and self._deadline_timer.active():
             self._deadline_timer.cancel()
         self._sender.cancel()
-        self._give_back_unrun(outcome)
+        self._refund_if_not_run(outcome)
         self._recorder.log_end(outcome, self._sender, self._answer)
         self._on_ended(self)
 
-    def _give_back_unrun(self, outcome: RequestOutcome) -> None:
-        """Give a request that has certainly not run back to the tenant's quota."""
+    def _refund_if_not_run(self, outcome: RequestOutcome) -> None:
+        """Refund the tenant's quota for a request that has certainly not run."""
         never_sent = not self._sender.attempts_counted and not self._may_have_run
         if self._is_admitted and (outcome == RequestOutcome.REFUSED or never_sent):
             self._context.give_back(self._identity)
@@ -174,7 +174,7 @@
     # --- deciding and sending ------------------------------------------------------------
 
     def _try_next(self) -> None:
-        """Have the next sending placed if it is allowed, else end the request."""
+        """Ask for the next attempt's placement if it is allowed, else end the request."""
         if self.outcome is not None:
             return
         decision = decide_send(self._progress(), self._terms(), self._context.settings)
@@ -184,11 +184,11 @@
             self._end(decision)
 
     def _send_placed(self, placement: Placement | None) -> None:
-        """Send to a runner; what was allowed may have changed since the leader was asked."""
+        """Send to a runner, after deciding again: the terms may have changed meanwhile."""
         if self.outcome is not None:
             return
         settings = self._context.settings
-        self._note_service()
+        self._record_service()
         decision = decide_send(self._progress(), self._terms(), settings)
         if not isinstance(decision, SendAgain):
             self._end(decision)
@@ -197,14 +197,14 @@
         if found.retry_after_s is not None:
             self._end(refuse_overloaded(self._sender.service, found.retry_after_s))
         elif found.record is None:
-            why_none = self._sender.why_none()
-            self._end(give_up_without_runner(self._progress(), why_none, settings))
+            no_runner_reason = self._sender.no_runner_reason()
+            self._end(give_up_without_runner(self._progress(), no_runner_reason, settings))
         else:
-            self._note_service()
+            self._record_service()
             self._sender.send(found.record, decision)
 
-    def _note_service(self) -> None:
-        """Have the recorder mean the request at the service that was chosen for it."""
+    def _record_service(self) -> None:
+        """Tell the recorder which service was chosen for the request."""
         self._recorder.split_service = self._sender.route.split_service(self._sender.service)
 
     def _progress(self) -> RequestProgress:
@@ -218,7 +218,7 @@
         )
 
     def _terms(self) -> SendTerms:
-        """Return what limits a sending now: quarantine and routing table may just have changed."""
+        """Return the current constraints: quarantine and routing table may have changed."""
         return SendTerms(
             self._current_route(), self._recorder.is_quarantined(), self._time_left_s()
         )
@@ -231,7 +231,7 @@
         return self._deadline_s - self._context.clock.seconds()
 
     def _continue_after(self, end: AttemptEnd) -> None:
-        """Go on after an attempt whose answer the client does not get."""
+        """Retry or end the request after an attempt whose answer is not forwarded."""
         self._sender.attempt = None
         self._may_have_run = self._may_have_run or end != AttemptEnd.NOT_RUN
         sent_by, settings = self._sender.route, self._context.settings
@@ -241,73 +241,78 @@
         else:
             self._end(ending)
 
-    # --- AttemptOwner: what came ---------------------------------------------------------
+    # --- AttemptOwner: answers -----------------------------------------------------------
 
-    def head_came(self, attempt: Attempt) -> None:
-        """Leave a runner whose answer can't be part of the one that the client has begun to get.
+    def head_received(self, attempt: Attempt) -> None:
+        """Drop an answer that can't continue the one that the client has received in part.
 
-        It is left at once: the end of its answer, say of a failure, would look like the stream's.
+        It is dropped at its head: the end of an error's body, for example, would look like the end
+        of the stream.
         """
         if not self._answer.may_include(attempt):
             attempt.cancel()
-            self._leave_answer(attempt, AttemptEnd.UNUSABLE)
+            self._drop_answer(attempt, AttemptEnd.UNUSABLE)
 
-    def events_came(self, attempt: Attempt, events: list[Event]) -> None:
-        """Hand whole events on, at once."""
+    def events_received(self, attempt: Attempt, events: list[Event]) -> None:
+        """Write complete events to the client without buffering."""
         if self.outcome is not None:
             return
         flaw = self._answer.write_events(attempt, events)
         if flaw is None:
-            self._sender.events_came()
+            self._sender.events_received()
         else:
             attempt.cancel()
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
 
-    def body_grew(self, attempt: Attempt) -> None:
-        """Pass a large answer on before it has ended, unless it's a failure that no client gets."""
+    def body_received(self, attempt: Attempt) -> None:
+        """Forward a large answer before its end, unless it is a failure that is not forwarded."""
         if attempt.body_bytes < self._context.settings.buffered_bytes:
             return
-        if self._passes_on(attempt):
+        if self._forwards_answer(attempt):
             self._answer.write_body(attempt)
         else:
             attempt.cancel()
-            self._leave_answer(attempt, attempt.body_end)
+            self._drop_answer(attempt, attempt.body_end)
 
     def stream_ended(self, attempt: Attempt) -> None:
-        """End the answer as complete, if what the end left open is the next event."""
+        """Write the last event, then complete the answer, hold its end, or drop a flawed stream."""
         assert attempt.stream is not None
         flaw = self._answer.write_events(attempt, attempt.stream.last_events())
-        flaw = flaw or self._answer.judge_end(attempt)
+        flaw = flaw or self._answer.check_end(attempt)
         if flaw is not None:
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
             return
         self._recorder.streamed(self._sender.service, self.first_s)
         unconfirmed = self._answer.unconfirmed
-        quiet_s = self._context.clock.seconds() - self._answer.last_sent_s
-        left_s = self._time_left_s() - self._context.settings.least_time_left_s
-        most_s = most_end_wait_s(self._sender.route, quiet_s, left_s)
-        if unconfirmed is None or most_s <= 0:
+        since_last_event_s = self._context.clock.seconds() - self._answer.last_sent_s
+        left_s = self._time_left_s() - self._context.settings.min_time_left_s
+        max_hold_s = max_end_hold_s(self._sender.route, since_last_event_s, left_s)
+        if unconfirmed is None or max_hold_s <= 0:
             self._complete_stream(attempt)
         else:
-            self._hold_end(attempt, unconfirmed, most_s)
+            self._hold_end(attempt, unconfirmed, max_hold_s)
 
-    def _hold_end(self, attempt: Attempt, unconfirmed: StreamBeginning, most_s: float) -> None:
-        """Keep the end of a stream back until other streams tell whether it has its beginning."""
+    def _hold_end(self, attempt: Attempt, unconfirmed: StreamBeginning, max_hold_s: float) -> None:
+        """Delay the end of a stream until other streams show whether its beginning is missing."""
         self._sender.stop_timeout()
         self._sender.attempt = None
-        self._recorder.end_held(attempt, most_s)
+        self._recorder.end_held(attempt, max_hold_s)
         context = self._context
         self._held_end = HeldEnd(
-            context.clock, context.beginnings, unconfirmed, most_s, lambda: self._release(attempt)
+            context.clock,
+            context.beginnings,
+            unconfirmed,
+            max_hold_s,
+            lambda: self._release(attempt),
         )
 
     def _release(self, attempt: Attempt) -> None:
-        """End a stream whose end was held, by what is known now."""
-        flaw = self._answer.judge_held_end(attempt)
+        """End a stream whose end was held, as complete or as flawed."""
+        flaw = self._answer.check_held_end(attempt)
         if flaw is None:
             self._complete_stream(attempt)
         else:
-            self._leave_flawed(attempt, flaw)
+            self._drop_flawed(attempt, flaw)
 
     def _complete_stream(self, attempt: Attempt) -> None:
         self._recorder.answered(attempt)
@@ -324,22 +329,22 @@
             self._context.settings,
         )
 
-    def _leave_flawed(self, attempt: Attempt, flaw: str) -> None:
-        """Go on at another runner, or cut off a stream that has left without its beginning."""
+    def _drop_flawed(self, attempt: Attempt, flaw: str) -> None:
+        """Retry on another runner, or abort a stream that was sent without its beginning."""
         if flaw == UNCONFIRMED_BEGINNING:
-            self._recorder.left_unconfirmed(attempt)
+            self._recorder.dropped_unconfirmed(attempt)
             self._continue_after(AttemptEnd.BROKEN)
         elif flaw == LOST_BEGINNING and self._answer.client_has != ClientHas.NOTHING:
-            self._recorder.broke(attempt, flaw, self._answer.last_event)
+            self._recorder.interrupted(attempt, flaw, self._answer.last_event)
             self._sender.attempt = None
             self._end(give_up(self._progress(), self._context.settings))
         else:
-            self.answer_broke(attempt, flaw)
+            self.answer_interrupted(attempt, flaw)
 
-    def answer_came(self, attempt: Attempt) -> None:
-        """Pass a whole answer on, or try again where its status asks for that."""
-        if not self._passes_on(attempt):
-            self._leave_answer(attempt, attempt.body_end)
+    def answer_received(self, attempt: Attempt) -> None:
+        """Forward a complete answer, or retry if its status calls for that."""
+        if not self._forwards_answer(attempt):
+            self._drop_answer(attempt, attempt.body_end)
             return
         self._sender.attempt = None
         if attempt.failed:
@@ -350,47 +355,47 @@
             self._answer.write_body(attempt)
             self._answer.end()
         else:
-            self._answer.pass_on(attempt)
+            self._answer.forward(attempt)
         self._finish(RequestOutcome.FAILED if attempt.failed else RequestOutcome.COMPLETED)
 
-    def _passes_on(self, attempt: Attempt) -> bool:
+    def _forwards_answer(self, attempt: Attempt) -> bool:
         return forwards_answer(attempt.body_end, self._sender.route, self._answer.client_has)
 
-    def _leave_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
-        """Drop a runner's answer that the client does not get; the request may have run."""
+    def _drop_answer(self, attempt: Attempt, end: AttemptEnd) -> None:
+        """Drop an answer that is not forwarded; the request may have run."""
         attempt.body.clear()
         self._recorder.failed(attempt)
         self._continue_after(end)
 
-    # --- AttemptOwner: what did not come -------------------------------------------------
+    # --- AttemptOwner: failures ----------------------------------------------------------
 
     def runner_refused(self, attempt: Attempt) -> None:
-        """Try another runner: this one has not run the request."""
+        """Try another runner: this one has not run the request and will not."""
         assert attempt.verdict is not None
         if attempt.verdict.other_runner:
             self._sender.uncount_attempt()
         self._recorder.refused(attempt)
         self._continue_after(AttemptEnd.NOT_RUN)
 
-    def runner_unreached(self, attempt: Attempt, reason: str) -> None:
-        """Try another runner: the request never left for this one."""
+    def runner_unreachable(self, attempt: Attempt, reason: str) -> None:
+        """Try another runner: the request was not sent to this one."""
         self._sender.uncount_attempt()
-        self._recorder.unreached(attempt, reason)
+        self._recorder.unreachable(attempt, reason)
         self._continue_after(AttemptEnd.NOT_RUN)
 
-    def answer_broke(self, attempt: Attempt, reason: str) -> None:
-        """Go on at another runner where that is allowed; otherwise end the request."""
-        is_innocent = self._recorder.broke(attempt, reason, self._answer.last_event)
-        self._continue_after(AttemptEnd.BROKEN if is_innocent else AttemptEnd.BROKEN_SUSPECT)
+    def answer_interrupted(self, attempt: Attempt, reason: str) -> None:
+        """Retry on another runner where that is allowed, otherwise end the request."""
+        may_resend = self._recorder.interrupted(attempt, reason, self._answer.last_event)
+        self._continue_after(AttemptEnd.BROKEN if may_resend else AttemptEnd.BROKEN_SUSPECT)
 
     def _response_timed_out(self) -> None:
-        """Leave a runner that sends nothing, if another one is there and can go on."""
+        """Move away from a runner that sends nothing, if another runner can take over."""
         attempt, route = self._sender.attempt, self._sender.route
         other_runner_left = self._sender.other_runner_left()
         may_leave = may_leave_silent_runner(route, self._answer.client_has, other_runner_left)
         if attempt is not None and may_leave:
             attempt.cancel()
-            self.answer_broke(attempt, SILENT)
+            self.answer_interrupted(attempt, SILENT)
 
 
 def _time_allowed_s(route: Route, facts: RequestFacts) -> float:
