--- a/features/jobs/beginnings.feature
+++ b/features/jobs/beginnings.feature
@@ -1,14 +1,14 @@
-Feature: An item whose text lacks its beginning is not listed as done
+Feature: An item whose text lacks its first events is not listed as done
 
-  An item's run whose stream began with event 2 ended as "whole", and so did one that brought no event,
-  or a comment alone. The text without its beginning was listed as done, for good: each later reading
-  gave the same, and nobody was told.
+  Guards against truncated results: a run whose stream begins with event 2, or that brings no event or
+  only a comment, ends as "whole" if nothing checks its first event, and its text is then listed as done
+  permanently, without any error:
 
     item_ended done=True reason=whole events=6
 
-  Before the first event there was nothing to compare with. An item is held to what the other items of
-  its service begin with, as requests are, and judged once more when its answer ends. It may always run
-  again; when three of its runs begin alike, they are believed, so that an item without any output ends.
+  Therefore the first event of an item's stream is compared with that of other items of the service, as
+  for online requests, and checked again when the answer ends. An item with a suspect beginning runs
+  again. Three runs with the same beginning are accepted, so that an item without any output ends.
 
   Scenario Outline: An item runs again from its start when <what>
     Given a relayed fleet with a table and a runner of 8 slots
@@ -22,11 +22,11 @@
     Examples:
       | what                             | sent                       |
       | its first event was lost         | events 2 to 3              |
-      | its first event was spoilt       | event 1 spoilt, and 2 to 3 |
+      | its first event was corrupted    | event 1 corrupted, and 2 to 3 |
       | no event came                    | no event                   |
       | nothing but a comment came       | a comment                  |
 
-  Scenario: What other items begin with may be known only when the answer ends
+  Scenario: A beginning is checked again at the end, when other items' beginnings are known
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When the last item's run brings events 2 to 3 in chunks and goes on
@@ -36,19 +36,19 @@
     When the last item's run brings events 1 to 3 in chunks and ends
     Then each text of the job has events 1 to 3
 
-  Scenario: A new leader judges what a note of the last one begins with
+  Scenario: A new leader checks the beginning of the progress that the previous one committed
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When the last item's run brings events 2 to 3 in chunks and goes on
     And 1 second of the fleet passes
     And the ledger's leader loses its disk for good
     And the runs of the first two items bring events 1 to 3 and end
-    And the last item's run goes on behind event 3 with nothing more and ends
+    And the last item's run resumes after event 3, brings nothing more and ends
     Then the last item is sent again from its start
     When the last item's run brings events 1 to 3 in chunks and ends
     Then each text of the job has events 1 to 3
 
-  Scenario: An item that has no output at any run is done, after three of them
+  Scenario: An item without output in any run is done after three runs
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When the runs of the first two items bring events 1 to 3 and end
@@ -68,17 +68,17 @@
       | 2     | 4    |
       | 7     | 9    |
 
-  Scenario: A run that is closed for online work and goes on later keeps its beginning
+  Scenario: An item that breaks and resumes keeps its beginning
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When the runs of the first two items bring events 1 to 3 and end
     And the last item's run brings events 1 to 2 in chunks and breaks
-    Then the item is sent again behind event 2
+    Then the item is sent again after event 2
     When the last item's run brings events 3 to 3 in chunks and ends
     Then each text of the job has events 1 to 3
 
-  # Guards against: the first texts after a change of leader listed for good without their first event.
-  Scenario Outline: While nothing is known, a lone item whose first run <what> gets its whole text, numbered from <first>
+  # Guards against: the first results after a change of leader are listed without their first event.
+  Scenario Outline: Without any known beginning, a lone item whose first run <what> gets its complete text, numbered from <first>
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 1 item is accepted
     When the lone item's first run <what>, and its later ones bring events <first> to <last> and end
@@ -88,33 +88,33 @@
       | what                               | first | last |
       | is whole                           | 0     | 3    |
       | lacks its first event              | 0     | 3    |
-      | has its first event's id spoilt    | 0     | 3    |
+      | has its first event's id corrupted | 0     | 3    |
       | begins with bytes that are no text | 0     | 3    |
       | brings no event                    | 0     | 3    |
       | brings a comment alone             | 0     | 3    |
       | is whole                           | 1     | 4    |
       | lacks its first event              | 1     | 4    |
-      | has its first event's id spoilt    | 1     | 4    |
+      | has its first event's id corrupted | 1     | 4    |
       | begins with bytes that are no text | 1     | 4    |
       | brings no event                    | 1     | 4    |
       | brings a comment alone             | 1     | 4    |
       | is whole                           | 7     | 9    |
       | lacks its first event              | 7     | 9    |
-      | has its first event's id spoilt    | 7     | 9    |
+      | has its first event's id corrupted | 7     | 9    |
       | begins with bytes that are no text | 7     | 9    |
       | brings no event                    | 7     | 9    |
       | brings a comment alone             | 7     | 9    |
 
-  # Guards against: a second whole run of every first item; the next item's first event is enough.
-  Scenario: Items that run beside an unconfirmed one confirm it
+  # Guards against: a second complete run of every first item, though the next item's first event suffices.
+  Scenario: Concurrent items confirm an unconfirmed one
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 3 items is accepted
     When the runs of all items bring events 1 to 3 and end
     Then each text of the job has events 1 to 3
     And each item of the job has run once
 
-  # Guards against: an item without any output that runs for ever where nothing is known.
-  Scenario: While nothing is known, a lone item that has no output is done after two runs
+  # Guards against: an item without any output runs forever if no beginning is known.
+  Scenario: Without any known beginning, a lone item without output is done after two runs
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 1 item is accepted
     When the lone item's runs bring no event and end
--- a/features/jobs/decisions.feature
+++ b/features/jobs/decisions.feature
@@ -1,4 +1,4 @@
-Feature: What follows a run, where an item runs and how many are preempted are pure decisions
+Feature: Pure decisions: retry, backoff, choice of runner and preemption of items
 
   Scenario Outline: After a run that ended <end> with <failures> of <most> attempts failed
     When the run of an item ends <end> with <failures> of <most> attempts failed
@@ -14,7 +14,7 @@
       | unreached  | 5        | 1    | run again                                          |
       | broken     | 5        | 1    | run again                                          |
 
-  Scenario Outline: A runner rests longer the more runs in a row have failed there: <end>, <failed>
+  Scenario Outline: A runner's backoff grows with its consecutive failed runs: <end>, <failed>
     When the run of an item ends <end> as the last of <failed> in a row that failed
     Then its runner takes no item for <pause> s
 
@@ -35,7 +35,7 @@
       | not_run    | 0      | 0.25  |
       | not_run    | 9      | 0.25  |
 
-  Scenario Outline: An item rests longer with each run that brought nothing
+  Scenario Outline: An item's backoff grows with its consecutive runs without an event
     Then an item waits <pause> s after <runs> runs in a row that brought no event
 
     Examples:
@@ -47,7 +47,7 @@
       | 7    | 8     |
       | 99   | 8     |
 
-  Scenario Outline: Items are preempted as far as requests wait for slots
+  Scenario Outline: As many items are preempted as requests wait for slots
     Given a runner of 8 slots with <online> online requests, <items> items and <others> of other callers
     Then <preempted> items are preempted, and <free> slots are free
 
@@ -60,7 +60,7 @@
       | 4      | 3     | 2      | 1         | -1   |
       | 1      | 2     | 1      | 0         | 4    |
 
-  Scenario Outline: An item runs where most slots are free, in the own zone if any is free there
+  Scenario Outline: An item runs where most slots are free, in the local zone if any is free there
     Given runners with these free slots
       | runner | zone | free   |
       | a-1    | a    | <a-1>  |
--- a/features/jobs/ledger.feature
+++ b/features/jobs/ledger.feature
@@ -1,6 +1,6 @@
-Feature: A job is kept from its acceptance on, and each item is listed once
+Feature: An accepted job is durable, and each of its items is listed exactly once
 
-  Scenario: A job's items run and are listed in the order of their ends
+  Scenario: A job's items run and are listed in the order in which they end
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 3 items
     Then the job is accepted
@@ -31,24 +31,24 @@
       | the ledger's leader loses its disk and starts again        |
       | the ledger's leader loses its disk and the others power    |
 
-  Scenario: A listed result keeps its place through a loss of the leader
+  Scenario: A listed result keeps its position when the leader is lost
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 3 items
     And one item's run ends whole and is listed
     And the ledger's leader loses its disk for good
     And the other items' runs at the new leader end whole
-    Then the listed result has kept its place, and 3 results are there
+    Then the listed result has kept its position, and 3 results are there
 
-  Scenario: A run that breaks off goes on behind its last whole event
+  Scenario: A run that breaks off is resumed after its last complete event
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 1 item
     And the item's run sends 2 events and breaks
-    Then the item is sent again behind event 2
+    Then the item is sent again after event 2
     When the item's run sends event 3 and ends
     And a second run of the item begins with event 1 too
     Then the item's text has 3 events
 
-  Scenario: Items give way to online work and come back
+  Scenario: Items are preempted for online work and run again afterwards
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 5 items
     Then 5 items run
@@ -59,7 +59,7 @@
     When a gateway reports 0 online requests at the runner
     Then 5 items run
 
-  Scenario: Items take every free slot, and keep what they have until a runner is over full
+  Scenario: Items take every free slot, and keep their slots until a runner is overloaded
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 9 items
     Then 8 items run
@@ -69,7 +69,7 @@
     When a gateway reports 2 online requests at the runner
     Then 6 items run
 
-  Scenario: Where an item has just given way no other is started for a while
+  Scenario: A runner at which an item was just preempted gets no other item for a while
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 9 items
     Then 8 items run
@@ -91,7 +91,7 @@
       | 500    | 2        |
       | 422    | 1        |
 
-  Scenario: Nothing of an ended job runs
+  Scenario: No item of an ended job runs
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 3 items
     And a gateway ends the job
@@ -99,7 +99,7 @@
     And ending the job again is answered the same
     And nothing is sent any more
 
-  Scenario: A leader that is cut off answers nothing it can't be sure of
+  Scenario: A partitioned leader refuses reads, since its state may be stale
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 3 items
     And the ledger's leader is cut off from the other storage nodes
@@ -107,7 +107,7 @@
     Then the cut-off leader refuses to read the job
     And the job can still be read
 
-  Scenario: A new leader starts nothing before it has heard of the online work
+  Scenario: A new leader starts no items before it has received a report of online work
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 5 items
     Then 5 items run
@@ -116,7 +116,7 @@
     And 2 seconds of the fleet pass
     Then no item was started by the new leader
 
-  Scenario: A new leader counts in what goes on at a runner from before it led
+  Scenario: A new leader counts the requests that a runner still has from the previous leader
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 9 items
     Then 8 items run
@@ -131,7 +131,7 @@
     When 1.8 seconds of the fleet pass
     Then the new leader has started 2 items
 
-  Scenario: An item that waits at a runner holds back the next one there
+  Scenario: No further item is sent to a runner that has not begun to answer the last one
     Given a relayed fleet with a table and a runner of 8 slots that answers nothing yet
     When a gateway hands in a job of 5 items
     Then 1 items run
@@ -139,31 +139,31 @@
     And 0.5 seconds of the fleet pass
     Then 2 items run
 
-  Scenario: Items start one after the other at a runner
+  Scenario: Items start at a runner at intervals
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 5 items and 0.15 seconds pass
     Then no more than 2 items have been sent
 
-  Scenario: A new leader goes on where the last note of a run ended
+  Scenario: A new leader resumes a run after its last progress note
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 1 item
     And the item's run sends 3 events and goes on
     And 1 second of the fleet passes
     And the ledger's leader loses its disk for good
-    Then the item is sent again behind event 3
+    Then the item is sent again after event 3
     When the item's run sends event 4 and ends
     And a second run of the item begins with event 1 too
     Then the item's text has 4 events
 
-  Scenario: A node that comes back with an empty disk knows the notes too
+  Scenario: Progress notes survive a power loss of all storage nodes
     Given a relayed fleet with a table and a runner of 8 slots
     When a gateway hands in a job of 1 item
     And the item's run sends 3 events and goes on
     And 1 second of the fleet passes
     And all storage nodes lose power and start again
-    Then the item is sent again behind event 3
+    Then the item is sent again after event 3
 
-  Scenario: A leader that was frozen starts nothing of a job that ended meanwhile
+  Scenario: A leader that was suspended starts no items of a job that ended meanwhile
     Given a relayed fleet with a table and a runner of 8 slots
     And the runner takes no items for now
     When a gateway hands in a job of 3 items
@@ -171,7 +171,7 @@
     And the runner takes items again while the frozen leader wakes
     Then the woken leader has sent nothing
 
-  Scenario: A leader that hears of no controllers starts no items, and goes on when it does
+  Scenario: A leader that is cut off from all controllers starts no items until it reaches them again
     Given a relayed fleet with a table and a runner of 8 slots
     When the ledger's leader is cut off from all controllers
     And 2 seconds of the fleet pass
@@ -180,7 +180,7 @@
     When the ledger's leader reaches the controllers again
     Then 3 items run
 
-  Scenario: A job that can't be in time any more doesn't hold up one that can
+  Scenario: A job that can't be in time any more doesn't delay one that can
     Given a relayed fleet with a table and a runner of 8 slots
     And the runner takes no items for now
     When a gateway hands in a job of 3 items
@@ -188,7 +188,7 @@
     And the runner has room for 2 items
     Then the 2 items of the second job run, and none of the first
 
-  Scenario: A leader that was started only now knows how old jobs are
+  Scenario: A leader that has just started knows the age of jobs
     Given a relayed fleet with a table and a runner of 8 slots
     And the runner takes no items for now
     When a gateway hands in a job of 12 items
@@ -199,33 +199,33 @@
     And the runner has room for 3 items
     Then the 3 items of the second job run, and none of the first
 
-  Scenario: A run in which an event is missing goes on behind the last whole one
+  Scenario: A run in which an event is missing is resumed after the event before the gap
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 1 item is accepted
     When the item's run sends events 1 and 3, of which 2 is missing
-    Then the item runs again behind event 1 and its text has each event once
+    Then the item runs again after event 1 and its text has each event once
 
-  Scenario: What a refused note held is kept with the next one
+  Scenario: The progress of a refused note is committed with the next one
     Given a relayed fleet with a table and a runner of 8 slots
     And a job of 1 item is accepted
-    When the ledger's group refuses the next note of progress
+    When the ledger's group refuses the next progress note
     And the item's run sends 3 events and goes on
     And 1 second of the fleet passes
     And the item's run goes on with events 4 to 5
     And 1 second of the fleet passes
     And the ledger's leader loses its disk for good
-    Then the item is sent again behind event 5
+    Then the item is sent again after event 5
     When the item's run sends event 6 and ends
     And a second run of the item begins with event 1 too
     Then the item's text has 6 events
 
-  Scenario Outline: What is no stream of events adds nothing to an item's text and doesn't end it
+  Scenario Outline: An answer that is not an event stream adds nothing to an item's text and doesn't end it
     Given a relayed fleet with a table and a runner of 8 slots
     When a job of 1 item is accepted
     And the item's run sends 2 events and breaks
-    Then the item is sent again behind event 2
+    Then the item is sent again after event 2
     When the item's run is answered <status> with "<body>", which is no stream
-    Then the item is sent again behind event 2
+    Then the item is sent again after event 2
     When the item's run sends event 3 and ends
     And a second run of the item begins with event 1 too
     Then the item's text has 3 events
@@ -238,19 +238,19 @@
       | 503    | full  |
       | 404    |       |
 
-  Scenario: Data without a number can't be put into an item's text, so that its run is broken
+  Scenario: Data without an event number can't be added to an item's text, so its run counts as broken
     Given a relayed fleet with a table and a runner of 8 slots
     When a job of 1 item is accepted
     And the item's run sends data without a number and event 2, and ends
     Then the item is sent again from its start
 
-  Scenario: A stream without any event doesn't make an item done
+  Scenario: A stream without any event doesn't complete an item
     Given a relayed fleet with a table and a runner of 8 slots
     When a job of 1 item is accepted
     And the item's run sends the head of a stream and ends
     Then the item is sent again from its start
 
-  Scenario: An item whose answer can't be read is tried less and less often
+  Scenario: An item whose answer can't be parsed is retried with a growing backoff
     Given a relayed fleet with a table and a runner of 8 slots
     When a job of 1 item is accepted
     And every run of the item sends data without a number for 60 seconds
--- a/features/jobs/overload.feature
+++ b/features/jobs/overload.feature
@@ -1,8 +1,8 @@
-Feature: The order of items holds on loads of other kinds than any deployment's
+Feature: The order of items performs well on random loads, unlike those of any known deployment
 
-  Four deployments are drawn for each row: 3 to 8 runners of 4 to 24 slots, items of 1 to 6 s on
-  average in events of 10 to 40 ms, due after three to five times that, bursts of 2 to 15 s. What is
-  due first, with what can't be in time by itself last, is the order to compare with.
+  Four deployments are drawn at random for each row: 3 to 8 runners of 4 to 24 slots, items of 1 to
+  6 s on average in events of 10 to 40 ms, due after three to five times that, bursts of 2 to 15 s.
+  The baseline is earliest due time first, with items last that can't be in time by themselves.
 
   Scenario Outline: <traffic> traffic, and items that ask for <load> times what it leaves
     When four deployments with <traffic> traffic get items for <load> times what it leaves
--- a/features/jobs/soak.feature
+++ b/features/jobs/soak.feature
@@ -1,8 +1,8 @@
-Feature: A relayed fleet keeps its promises under random faults within what it is meant to bear
+Feature: A relayed fleet keeps its guarantees under random faults that it is designed to tolerate
 
-  Scenario Outline: Crashes, lost disks, freezes and cuts of controllers and storage nodes, seed <seed>
+  Scenario Outline: Crashes, lost disks, suspensions and partitions of controllers and storage nodes, seed <seed>
     When a relayed fleet runs <seconds> seconds under random faults with seed <seed>
-    Then its users have seen no promise broken, and it has done some work
+    Then its users have seen no guarantee violated, and it has done some work
 
     Examples:
       | seed | seconds |
@@ -11,9 +11,9 @@
       | 3    | 60      |
       | 4    | 60      |
 
-  Scenario Outline: Positions, texts and versions keep what they held while leaders change, seed <seed>
+  Scenario Outline: Positions, texts and versions stay consistent while leaders change, seed <seed>
     When a relayed fleet with long items changes its leaders for 60 seconds with seed <seed>
-    Then its users have seen no promise broken, and it has done some work
+    Then its users have seen no guarantee violated, and it has done some work
     And some texts are put together from several runs
 
     Examples:
@@ -22,10 +22,10 @@
       | 12   |
       | 13   |
 
-  Scenario Outline: They keep it too where nodes catch up by snapshots, seed <seed>
-    Given groups whose logs are cut short after a few entries
+  Scenario Outline: The guarantees hold when nodes catch up from snapshots, seed <seed>
+    Given groups whose logs are compacted after a few entries
     When a relayed fleet runs 60 seconds under random faults with seed <seed>
-    Then its users have seen no promise broken, and it has done some work
+    Then its users have seen no guarantee violated, and it has done some work
 
     Examples:
       | seed |
@@ -35,25 +35,25 @@
   Scenario Outline: The soak of long items catches a fleet in which <defect>
     Given a relayed fleet in which <defect>
     When relayed fleets with long items change their leaders with seeds 1 to 16
-    Then some promise was seen broken
+    Then some guarantee was seen violated
 
     Examples:
       | defect                                                   |
-      | a note is taken wherever it begins                       |
-      | an item that is taken up begins anew behind its old text |
-      | results stand in the order of the items                  |
-      | every storage node answers reads from what it has        |
+      | a progress note is applied wherever it begins            |
+      | a resumed item restarts after its old text               |
+      | results are listed in the order of the items             |
+      | every storage node answers reads from its local state    |
 
   Scenario Outline: The soak catches a fleet in which <defect>
     Given a relayed fleet in which <defect>
     When relayed fleets run under random faults with seeds 1 to 16
-    Then some promise was seen broken
+    Then some guarantee was seen violated
 
     Examples:
       | defect                                        |
-      | any table replaces the one held               |
-      | an event that comes twice is taken twice      |
+      | any routing table replaces the current one    |
+      | a duplicate event is applied twice            |
       | a leader answers reads without its lease      |
       | nodes send to drained zones                   |
-      | an order on a zone is acknowledged and not kept |
-      | the last word at an address ends the runner before it |
+      | a zone drain order is acknowledged but not stored |
+      | the last report at an address ends the previous runner there |
--- a/features/steps/failing_runner_steps.py
+++ b/features/steps/failing_runner_steps.py
@@ -79,7 +79,7 @@
 
 
 def _play(context, seconds, bad, is_bad):
-    """Answer runs whole after ``RUN_S``, or with ``bad`` at once, until the job is finished."""
+    """Complete runs after ``RUN_S``, and bad ones with ``bad`` at once, until the job is done."""
     clock = context.fleet.clock
     until_s = clock.seconds() + seconds
     while clock.seconds() < until_s and not _is_finished(context):
--- a/features/steps/item_beginning_steps.py
+++ b/features/steps/item_beginning_steps.py
@@ -9,10 +9,11 @@
 LONE_ITEM = 0
 CHUNKED_FIELDS = ((b"transfer-encoding", b"chunked"),)
 LAST_ITEM = 2
-SPOILT = b"\xff\x00spoilt"
+CORRUPTED = b"\xff\x00spoilt"
+"""Bytes that are not valid text."""
 SENT = {
     "events 2 to 3": event(2) + event(3),
-    "event 1 spoilt, and 2 to 3": SPOILT + event(1) + event(2) + event(3),
+    "event 1 corrupted, and 2 to 3": CORRUPTED + event(1) + event(2) + event(3),
     "no event": b"",
     "a comment": b": nothing\n\n",
 }
@@ -103,7 +104,7 @@
     _end(context.last_run)
 
 
-@when("the last item's run goes on behind event {last:d} with nothing more and ends")
+@when("the last item's run resumes after event {last:d}, brings nothing more and ends")
 def last_ends_behind(context, last):
     call = _open_run(context, LAST_ITEM)
     assert call.field(b"after-event") == str(last), call.request.headers
@@ -145,7 +146,7 @@
 
 
 def _run_again_until_listed(context, data):
-    """Have each further run of the lone item bring the same; return how many there were."""
+    """Answer each further run of the lone item with ``data``; return the number of runs."""
     runs = 0
     while not _results(context):
         call = _open_run(context, LONE_ITEM)
@@ -158,14 +159,14 @@
 
 
 def _first_run(what, first, last):
-    """Return what the first run of a damaged stream brings."""
+    """Return the bytes that the first run brings."""
     whole = _events(first, last)
     rest = _events(first + 1, last)
     return {
         "is whole": whole,
         "lacks its first event": rest,
-        "has its first event's id spoilt": event(first).replace(b"id: ", b"i\xff: ") + rest,
-        "begins with bytes that are no text": SPOILT + whole,
+        "has its first event's id corrupted": event(first).replace(b"id: ", b"i\xff: ") + rest,
+        "begins with bytes that are no text": CORRUPTED + whole,
         "brings no event": b"",
         "brings a comment alone": b": nothing\n\n",
     }[what]
--- a/features/steps/item_decision_steps.py
+++ b/features/steps/item_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the pure decisions about items."""
+"""Steps on pure decisions about items: what follows a run, preemption and choice of runner."""
 
 from behave import given, then, when
 
--- a/features/steps/job_urgency_steps.py
+++ b/features/steps/job_urgency_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the order in which items run: pure decisions."""
+"""Steps on the order in which items run (pure decisions)."""
 
 from behave import given, step, then, when
 
--- a/features/steps/queue_limit_steps.py
+++ b/features/steps/queue_limit_steps.py
@@ -83,7 +83,7 @@
 
 
 class _Messenger:
-    """Answers calls with faults, one after the other."""
+    """Answers each call with the next of the given faults."""
 
     name = "gateway-1"
 
--- a/features/steps/relayed_job_steps.py
+++ b/features/steps/relayed_job_steps.py
@@ -191,7 +191,7 @@
     context.fleet.run_for(0.5)
 
 
-@then("the listed result has kept its place, and {count:d} results are there")
+@then("the listed result has kept its position, and {count:d} results are there")
 def kept_place(context, count):
     results = _page(context).results
     assert results[0] == context.first_result
@@ -212,7 +212,7 @@
     call.listener.answer_failed("connection reset")
 
 
-@then("the item is sent again behind event {number:d}")
+@then("the item is sent again after event {number:d}")
 def sent_again(context, number):
     context.fleet.run_until(lambda: len(_open_calls(context)) == 1, "another run", 5)
     assert _open_calls(context)[0].field(b"after-event") == str(number)
@@ -229,7 +229,7 @@
 
 @when("a second run of the item begins with event 1 too")
 def second_run_begins(context):
-    """A text is listed once another stream of its service begins like it."""
+    """Start a second run: the text is listed once another stream has the same beginning."""
     context.fleet.run_until(lambda: _open_calls(context), "a second run", 5)
     (call,) = _open_calls(context)
     assert call.field(b"after-event") == "", call.request.headers
@@ -410,7 +410,7 @@
 def wake_leader(context):
     node = context.fleet.nodes[context.frozen]
     node.role.dispatcher.online.clear()
-    # Timers that were due while the process stood still may run in any order: this one first.
+    # Timers that came due during the suspension may run in any order; this one runs first.
     node.role.dispatcher._run_periodically()
     context.fleet.thaw(context.frozen)
     context.fleet.run_for(3.0)
@@ -461,7 +461,7 @@
     assert running == [SECOND_JOB] * count, running
 
 
-# --- what runners say ----------------------------------------------------------------------
+# --- load reports of runners ---------------------------------------------------------------
 
 
 @given("a relayed fleet with a table and a runner of {slots:d} slots that answers nothing yet")
@@ -510,7 +510,7 @@
     context.fleet.run_for(2.0)
 
 
-@then("the item runs again behind event {last:d} and its text has each event once")
+@then("the item runs again after event {last:d} and its text has each event once")
 def runs_again(context, last):
     (call,) = _open_calls(context)
     assert call.field(b"after-event") == str(last), call.request.headers
@@ -528,7 +528,7 @@
 # --- refused notes -------------------------------------------------------------------------
 
 
-@when("the ledger's group refuses the next note of progress")
+@when("the ledger's group refuses the next progress note")
 def refuse_next_note(context):
     driver = context.fleet.nodes[context.fleet.leader("storage")].role.driver
     propose = driver.propose
--- a/features/steps/relayed_soak_steps.py
+++ b/features/steps/relayed_soak_steps.py
@@ -33,7 +33,7 @@
     context.soak = play(seed, SoakPlan(seconds))
 
 
-@given("groups whose logs are cut short after a few entries")
+@given("groups whose logs are compacted after a few entries")
 def cut_logs_short(context):
     for name, value in SHORT_LOGS.items():
         patched = mock.patch.object(group_folder, name, value)
@@ -53,8 +53,8 @@
     assert sum(soak.runs.joined(entry.text) for entry in entries) >= 5, len(entries)
 
 
-@then("its users have seen no promise broken, and it has done some work")
-def judged(context):
+@then("its users have seen no guarantee violated, and it has done some work")
+def guarantees_held(context):
     soak = context.soak
     assert not soak.violations, "\n".join([*soak.violations[:8], *soak.faults])
     accepted = [job for job in soak.jobs.values() if job.accepted_s is not None]
@@ -63,7 +63,7 @@
     assert any(job.results.known for job in accepted)
 
 
-# --- known-bad variants ----------------------------------------------------------------------
+# --- injected defects that the soak has to detect ----------------------------------------------
 
 
 def _take_any_table(apply):
@@ -138,21 +138,21 @@
 
 
 DEFECTS = {
-    "a note is taken wherever it begins": ((JobState, "_note", _take_any_note),),
-    "an item that is taken up begins anew behind its old text": (
+    "a progress note is applied wherever it begins": ((JobState, "_note", _take_any_note),),
+    "a resumed item restarts after its old text": (
         (open_jobs, "resume_item", _resumed_from_the_start),
     ),
-    "results stand in the order of the items": ((ledger_service, "page_of", _page_by_item),),
-    "every storage node answers reads from what it has": (
+    "results are listed in the order of the items": ((ledger_service, "page_of", _page_by_item),),
+    "every storage node answers reads from its local state": (
         (LedgerService, "_refusal", _answer_anywhere(LedgerService._refusal)),
     ),
-    "any table replaces the one held": (
+    "any routing table replaces the current one": (
         (FleetState, "apply", _take_any_table(FleetState.apply)),
         (TableService, "_submit_as_leader", _submit_always),
     ),
-    "an event that comes twice is taken twice": ((ItemProgress, "take", _take_every_event),),
+    "a duplicate event is applied twice": ((ItemProgress, "take", _take_every_event),),
     "nodes send to drained zones": ((RunnerRegistry, "_may_get_work", _send_to_drained_zones),),
-    "an order on a zone is acknowledged and not kept": (
+    "a zone drain order is acknowledged but not stored": (
         (FleetState, "_set_zone_drain", _keep_no_order),
         (
             ZoneDrainOrders,
@@ -162,7 +162,7 @@
             ),
         ),
     ),
-    "the last word at an address ends the runner before it": (
+    "the last report at an address ends the previous runner there": (
         (RunnerRegistry, "_give_address", _end_former),
     ),
     "a leader answers reads without its lease": ((TableService, "_read_as_leader", _read_at_once),),
@@ -195,6 +195,6 @@
     _run_until_broken(context, first, last, play_long_items)
 
 
-@then("some promise was seen broken")
-def some_broken(context):
+@then("some guarantee was seen violated")
+def violated(context):
     assert context.violations
--- a/features/support/drawn_load.py
+++ b/features/support/drawn_load.py
@@ -1,7 +1,7 @@
-"""Batch items on the slots that drawn online traffic leaves, under the product's order of items.
+"""Simulates batch items on the slots that random online traffic leaves, in the product's order.
 
-Time is virtual. Engines, lengths, due times and the traffic's shape are drawn, so that no decision
-can rest on the figures of one deployment.
+Time is virtual. Engines, lengths, due times and the shape of the traffic are drawn at random, so
+that no decision can depend on the figures of one deployment.
 """
 
 import random
@@ -18,7 +18,7 @@
 STEPS_PER_PLAN = 2
 STEPS_PER_NOTE = 5
 STARTS_AGAIN_S = 0.06
-"""A run reads its prompt first."""
+"""Time that a started run spends on its prompt before the first event."""
 ARRIVALS_S = 60.0
 LAST_S = 400.0
 
@@ -33,15 +33,15 @@
     lengths: tuple[tuple[float, int], ...]
     """The job's arrival and the events of each item, in the order of arrival."""
     online: tuple[int, ...]
-    """Slots that online work takes, in each step."""
+    """Slots that online work takes in each step."""
 
     def free(self, step):
-        """Return the slots left in a step; once online traffic is over all are."""
+        """Return the slots left in a step; all of them after the end of online traffic."""
         return self.slots - (self.online[step] if step < len(self.online) else 0)
 
 
 def draw_load(seed, traffic, load):
-    """Draw a deployment on which items ask for ``load`` times what is left over."""
+    """Draw a deployment whose items need ``load`` times the slot time that online work leaves."""
     draw = random.Random(seed)
     slots = draw.randint(3, 8) * draw.randint(4, 24)
     online = _online(draw, traffic, slots)
@@ -79,10 +79,10 @@
 
 
 class DueFirst(ItemOrder):
-    """Due first, and last what can't be in time by itself: what the plan is compared with."""
+    """Baseline: earliest due time first, and last the items that can't be in time by themselves."""
 
     def plan(self, service, fresh, begun, now):
-        """Give up each item that needs more time than there is."""
+        """Mark each item as infeasible that needs more time than it has left."""
         for each in fresh:
             if now + self.lengths.remaining_s(0) > self.due.due_s(each.job):
                 self._fresh_admitted[each.job] = 0
@@ -93,7 +93,7 @@
 
 @dataclass
 class Outcome:
-    """How a load ended."""
+    """The outcome of a simulated load."""
 
     items: int
     in_time: int
@@ -102,7 +102,7 @@
 
 
 class LoadRun:
-    """Plays one load under one order, and with a reserve if one is given."""
+    """Simulates one load with one item order, and with a reserve if one is given."""
 
     def __init__(self, load, order, reserve=None):
         self._load = load
@@ -118,7 +118,7 @@
         self._ended = 0
 
     def play(self):
-        """Play until all items have ended, or far beyond."""
+        """Simulate until all items have ended, at most until ``LAST_S``."""
         jobs = {}
         for at_s, events in self._load.lengths:
             jobs.setdefault(at_s, []).append(events)
@@ -161,7 +161,7 @@
             self._reserve.plan(SERVICE, self._load.slots, needed)
 
     def _cut(self, free):
-        """Let the least urgent runs give way to online work."""
+        """Preempt the least urgent runs beyond the free slots."""
         self._running.sort(key=self._order.urgency)
         for work in self._running[free:]:
             self._cuts += 1
--- a/features/support/number_watch.py
+++ b/features/support/number_watch.py
@@ -1,6 +1,7 @@
-"""What users of a relayed fleet keep of the numbers they saw, to tell when one goes back.
+"""Consistency checks on what users of a relayed fleet observe: results, tables and versions.
 
-Each watch takes what was seen and returns what is wrong with it, in words.
+Each checker records observations and returns descriptions of the inconsistencies it finds, such as
+a version that goes backwards.
 """
 
 import re
@@ -14,22 +15,22 @@
 
 @dataclass(frozen=True)
 class ItemRunBegun:
-    """A run of an item as its runner was asked for it: it goes on behind event ``after``."""
+    """A run of an item as requested from its runner: to resume after event ``after``."""
 
     item: str
     after: int
 
 
 class RunBook:
-    """All runs of items. Each run has words of its own, so that a text shows whose they are."""
+    """All runs of items. Events carry the run's number, so a text shows which runs it is from."""
 
     def __init__(self, events: int) -> None:
-        """Every item has so many events, numbered from 1."""
+        """Every item has ``events`` events, numbered from 1."""
         self.events = events
         self._runs: list[ItemRunBegun] = []
 
     def begin(self, item: str, after: int) -> int:
-        """Note a run; return its number."""
+        """Record a run; return its number."""
         self._runs.append(ItemRunBegun(item, after))
         return len(self._runs) - 1
 
@@ -39,7 +40,7 @@
         return f"id: {number}\ndata: event {number} of run {run}\n\n".encode()
 
     def faults_of(self, item: str, text: str) -> list[str]:
-        """Return what is wrong with the text of a done item."""
+        """Return the inconsistencies in the text of a completed item."""
         pieces = [PIECE.fullmatch(line) for line in text.split("\n")]
         spoken = [(int(piece[1]), int(piece[2])) for piece in pieces if piece]
         numbers = [number for number, _ in spoken]
@@ -55,12 +56,12 @@
         return faults
 
     def joined(self, text: str) -> bool:
-        """Tell whether a text is put together from several runs."""
+        """Tell whether a text has parts of several runs."""
         return len({piece[2] for piece in PIECE.finditer(text)}) > 1
 
 
-class ResultsWatch:
-    """The results of one job as all its reads have shown them, wherever these were sent."""
+class ResultsChecker:
+    """The results of one job as seen by all reads, at whichever node."""
 
     def __init__(self, job: str, items: int, runs: RunBook) -> None:
         self.job = job
@@ -69,18 +70,18 @@
         self.known: dict[int, ResultEntry] = {}
 
     def least(self, after: int) -> int:
-        """Return how many results a read that is sent now has to show from a position on."""
+        """Return how many results a read sent now must return from position ``after`` on."""
         return max(0, len(self.known) - after) if self._is_without_gap() else 0
 
     def _is_without_gap(self) -> bool:
         return len(self.known) == max(self.known, default=-1) + 1
 
     def is_whole(self) -> bool:
-        """Tell whether every item was seen listed."""
+        """Tell whether the results of all items have been seen."""
         return len(self.known) == self._items
 
     def take(self, page: ResultPage, after: int, least: int) -> list[str]:
-        """Take a page; ``least`` is how many results it has to show, as of the read's sending."""
+        """Check a page; ``least`` is the value of ``least()`` when the read was sent."""
         faults: list[str] = []
         if (page.total, page.after) != (self._items, after):
             faults.append(f"total {page.total}, from position {page.after}, asked for {after}")
@@ -104,8 +105,8 @@
 
 
 @dataclass
-class TableWatch:
-    """The versions of the routing table that were acknowledged, read and told to nodes."""
+class TableChecker:
+    """The versions of the routing table that were acknowledged, read, and received by nodes."""
 
     newest: int = 0
     """The highest version that was acknowledged or read."""
@@ -114,29 +115,29 @@
     _drains_at_nodes: dict[tuple[Any, str], int] = field(default_factory=dict)
 
     def acknowledged(self, version: int) -> None:
-        """Take an acknowledgement."""
+        """Record an acknowledgement."""
         self.newest = max(self.newest, version)
 
     def read(self, version: int, content: bytes, least: int) -> list[str]:
-        """Take what a read gave; ``least`` is what ``newest`` was when it was sent."""
+        """Check the result of a read; ``least`` is the value of ``newest`` when it was sent."""
         self.newest = max(self.newest, version)
         faults = self._content_changed(version, content)
         if version < least:
             faults.append(f"a read gave table {version} after {least} was taken or read")
         return faults
 
-    def told(self, node: Any, version: int, content: bytes) -> list[str]:
-        """Take a table that a node was told of."""
+    def received(self, node: Any, version: int, content: bytes) -> list[str]:
+        """Check a table that a node has received."""
         return self._content_changed(version, content) + self.at_node(node, version)
 
     def at_node(self, node: Any, version: int) -> list[str]:
-        """Take the version that a node has now; ``node`` stands for one life of its process."""
+        """Check a node's current version; ``node`` identifies one incarnation of its process."""
         known = self._at_nodes.get(node, 0)
         self._at_nodes[node] = max(known, version)
         return [f"a node went back from table {known} to {version}"] if version < known else []
 
     def zone_order_at_node(self, node: Any, zone: str, revision: int) -> list[str]:
-        """Take the newest order on a zone that a node has now."""
+        """Check the newest drain order for a zone at a node."""
         known = self._drains_at_nodes.get((node, zone), 0)
         self._drains_at_nodes[node, zone] = max(known, revision)
         if revision >= known:
--- a/features/support/relayed_fleet.py
+++ b/features/support/relayed_fleet.py
@@ -1,5 +1,5 @@
-"""A relaying fleet in virtual time: controllers, storage nodes and followers of the product's own,
-over simulated networks and disks."""
+"""A relaying fleet in virtual time: the product's controllers, storage nodes and followers on
+simulated networks and disks."""
 
 import random
 from collections.abc import Callable
@@ -30,13 +30,13 @@
 JOB_PATH = "/jobs/1"
 ZONES = {"zone-0": "east", "zone-1": "west", "zone-2": "west"}
 COMPLETION_S = 5.0
-"""Time within which the tests' jobs are due."""
+"""Due time of the tests' jobs after their acceptance."""
 
 
 def table_of(content: bytes) -> Any:
-    """Read the tests' tables: a version, for all jobs one service, and the jobs' regions if any.
+    """Parse a test table: its version and the regions in which jobs may run, all at one service.
 
-    ``7`` is version 7; ``8 east west`` is version 8, and its jobs may run in these regions.
+    ``7`` is version 7; ``8 east west`` is version 8, whose jobs may run in these regions only.
     """
     version, *regions = content.decode().split()
     routes = (
@@ -68,7 +68,7 @@
 
 
 class RelayedFleet:
-    """Nodes by name; a machine's disk outlives its process."""
+    """Nodes by name; a machine's disk survives its process."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         gateways: int = 2,
         seeds: int | None = None,
     ) -> None:
-        """Start all nodes; the first ``seeds`` controllers (all, when None) found the group."""
+        """Start all nodes; the first ``seeds`` controllers (None: all) found the group."""
         self.clock = VirtualClock()
         self.max_queued_tokens = 0
         self.random = random.Random(seed)
@@ -153,7 +153,7 @@
         return table_of(content)
 
     def make_gateway(self, base: NodeBase) -> Any:
-        """Return what a gateway does: here it only hands jobs in."""
+        """Return a gateway's role, which only submits and reads jobs."""
         calls = LeaderCaller(base.messenger, base.clock, None, lambda: base.follower.view().storage)
         return JobClient(calls)
 
@@ -184,16 +184,16 @@
         self.network.freeze(self.address(name))
 
     def thaw(self, name: str) -> None:
-        """Let a paused process go on: what its timers owe comes first, then what has arrived."""
+        """Resume a paused process: overdue timers run first, then received messages are handled."""
         self.nodes[name].clock.thaw()
         self.network.thaw(self.address(name))
 
     def isolate(self, name: str) -> None:
-        """Cut a node off from all others, in silence."""
+        """Partition a node from all others; its messages are dropped silently."""
         self.network.isolate(self.address(name))
 
     def cut_from_group(self, name: str) -> None:
-        """Cut a node off from the others of its kind, in silence; all else still reaches it."""
+        """Partition a node silently from the others of its kind, but not from other nodes."""
         own = self.address(name)
         for other in self.names(name.partition("-")[0]):
             if other != name:
@@ -201,10 +201,10 @@
                 self.network.cut(self.address(other), own)
 
     def rejoin(self, name: str) -> None:
-        """End a node's cut."""
+        """End a node's partition."""
         self.network.rejoin(self.address(name))
 
-    # --- looking -------------------------------------------------------------------------
+    # --- observation ---------------------------------------------------------------------
 
     def run_until(self, condition: Callable[[], bool], what: str, limit_s: float = LIMIT_S) -> None:
         """Run the virtual world until something holds."""
@@ -240,7 +240,7 @@
         return self.nodes[name].role.controller
 
     def submit(self, gateway: str, job: str, count: int, tenant: str = "") -> Any:
-        """Have a gateway hand a job in; returns its Deferred."""
+        """Have a gateway submit a job; returns its Deferred."""
         items = tuple(
             RelayedItem(f"{job}-{number}", f"{JOB_PATH}/{number}", (), b"body", 10)
             for number in range(count)
@@ -249,5 +249,5 @@
         return self.nodes[gateway].role.submit(tenant, job, HOST, JOB_PATH, items, limit)
 
     def calls(self) -> list[Any]:
-        """Return every item's sending, of all storage nodes."""
+        """Return the calls to runners of all storage nodes."""
         return [call for pool in self.pools.values() for call in pool.calls]
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -1,7 +1,7 @@
-"""A relayed fleet under seeded random faults in virtual time, judged by what its users saw.
+"""A relayed fleet under seeded random faults in virtual time, checked by what its users observe.
 
-Faults stay within what the fleet is meant to bear: one machine with a disk lost at a time, with
-time to catch up after each, and losses of power of a whole group that keep all disks.
+Faults stay within what the fleet is designed to tolerate: the loss of one machine with a disk at a
+time, with time to catch up after each, and power losses of a whole group that keep all disks.
 """
 
 import random
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from features.support.number_watch import ResultsWatch, RunBook, TableWatch
+from features.support.number_watch import ResultsChecker, RunBook, TableChecker
 from features.support.relayed_fleet import ZONES, RelayedFleet
 from features.support.relaying import SERVICE
 
@@ -21,10 +21,10 @@
 CATCH_UP_S = 5.0
 DRAIN_S = 2.0
 ZONE_DRAIN_S = 5.0
-"""From the acknowledgement of a zone's drain its runners get nothing after this time."""
+"""Time after the acknowledgement of a zone's drain from which its runners must get nothing."""
 ZONE_DRAINED_FOR_S = (4.0, 9.0)
 ORDER_WAIT_S = 1.0
-"""An operator without an answer closes its connection and goes elsewhere after this time."""
+"""Time after which an operator without an answer closes its connection and tries another node."""
 LATE_WORD_S = (0.2, 3.0)
 CANCEL_S = 3.0
 QUIET_S = 40.0
@@ -33,17 +33,17 @@
 RESEND_CHANCE = 0.3
 OTHER_CONTENT_CHANCE = 0.3
 BORNE_KINDS = ("crash", "wipe", "freeze", "isolate", "group", "group_wipe")
-"""What may happen to machines with a disk."""
+"""Faults of machines with a disk that the fleet tolerates, with time to catch up after each."""
 KEPT_DISK_KINDS = ("crash", "freeze", "isolate", "cut_from_group", "group", "hand_over")
-"""What may happen to them at any pace: every disk stays."""
+"""Faults that may follow each other at any rate, since every disk is preserved."""
 GATEWAY_KINDS = ("crash", "freeze", "isolate")
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What a soak is made of.
+    """Parameters of a soak.
 
-    ``calm_s`` is how long nothing happens after a fault: time to catch up where disks are lost.
+    ``calm_s`` is the time without faults after each fault, to let nodes catch up after a lost disk.
     """
 
     seconds: float = 60
@@ -58,7 +58,7 @@
 
     job: str
     count: int
-    results: ResultsWatch
+    results: ResultsChecker
     accepted_s: float | None = None
     ended_s: float | None = None
     end_asked: bool = False
@@ -66,7 +66,7 @@
 
 @dataclass
 class ZoneOrder:
-    """A zone's drain as the operator knows it: when it was acknowledged, and its end first sent."""
+    """A zone's drain as the operator sees it: when it was acknowledged, and its end first sent."""
 
     zone: str
     ends_at_s: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Sending:
-    """An item on its way to a runner."""
+    """An item that was sent to a runner."""
 
     at_s: float
     job: str
@@ -85,12 +85,12 @@
 
 
 class RelayedSoak:
-    """Runs the users and the faults; ``violations`` says what went wrong."""
+    """Simulates users and faults; ``violations`` has the guarantees that were violated."""
 
     def __init__(self, seed: int, plan: SoakPlan) -> None:
         self.plan = plan
         self.runs = RunBook(plan.events)
-        self.tables = TableWatch()
+        self.tables = TableChecker()
         self.random = random.Random(seed)
         self.fleet = RelayedFleet(seed)
         self.fleet.leader("controller")
@@ -100,7 +100,7 @@
         self.jobs: dict[str, SoakJob] = {}
         self.runners: dict[str, RunnerRecord] = {}
         self.zones: dict[str, str] = {}
-        """The zone of each runner there ever was."""
+        """The zone of every runner, including former ones."""
         self.drained_s: dict[str, float] = {}
         self.sendings: list[Sending] = []
         self.zone_orders: list[ZoneOrder] = []
@@ -110,9 +110,9 @@
         self._calm_at_s = self.now + 2.0
         self._next_runner = 0
         self._caught_up_at_s = 0.0
-        """Until then the machine that was lost last counts as lost."""
+        """Time until which the last failed machine counts as lost."""
         self._unread: list[tuple[str, Callable[[], None]]] = []
-        """Orders on zones that wait at frozen controllers."""
+        """Zone drain orders that wait at frozen controllers."""
         self._armed: tuple[str, str] | None = None
         for name in self.fleet.names("gateway"):
             self._listen_at_gateway(name)
@@ -123,29 +123,29 @@
         return self.fleet.clock.seconds()
 
     def run(self) -> None:
-        """Run the whole soak, then heal everything and judge."""
+        """Run the whole soak, then end all faults and check the guarantees."""
         for _ in range(3):
             self._add_runner()
         while self.now < self.until_s:
             self._step(faults=True)
-        self._heal()
+        self._end_faults()
         end_s = self.now + QUIET_S
         while self.now < end_s and not self._is_settled():
             self._step(faults=False)
             self._read_from_the_start()
-        self._judge()
+        self._check()
 
     def _step(self, faults: bool) -> None:
         self.fleet.run_for(STEP_S)
         if not faults:
-            self._press_zone_orders()
+            self._send_pending_zone_order()
         self._play_runners()
         self._watch_nodes()
         self._beat_runners()
         if faults:
             self._play_operator()
             self._play_clients()
-            self._play_faults()
+            self._inject_faults()
         self._read_jobs()
 
     # --- runners -------------------------------------------------------------------------
@@ -171,7 +171,7 @@
         return self.fleet.controller(name) if name else None
 
     def _controller_name(self) -> str:
-        """Return the name of a controller that is open, empty when none is."""
+        """Return the name of a controller that has opened its storage, empty if there is none."""
         names = [
             name
             for name in self.fleet.names("controller")
@@ -211,7 +211,7 @@
                 self._play_call(call)
 
     def _first_event(self, after: int) -> int:
-        """Go on behind the last event; some runners send that one again."""
+        """Return the first event of a resumed run; some runners repeat the last one."""
         return max(1, after if self.random.random() < REPEAT_CHANCE else after + 1)
 
     def _play_call(self, call: Any) -> None:
@@ -244,7 +244,7 @@
             self._begin_zone_drain()
         if self.random.random() < STEP_S / 6:
             self._replace_runner()
-        self._press_zone_orders()
+        self._send_pending_zone_order()
 
     def _begin_zone_drain(self) -> None:
         """Drain a zone, unless one is drained already."""
@@ -252,8 +252,8 @@
             ends_at_s = self.now + self.random.uniform(*ZONE_DRAINED_FOR_S)
             self.zone_orders.append(ZoneOrder(self.random.choice(sorted(ZONES)), ends_at_s))
 
-    def _press_zone_orders(self) -> None:
-        """Send the order that is due until it is acknowledged, to any controller."""
+    def _send_pending_zone_order(self) -> None:
+        """Send the pending order to a random controller until it is acknowledged."""
         controller = self._controller_name()
         if not self.zone_orders or not controller or self.random.random() > 2 * STEP_S:
             return
@@ -265,9 +265,9 @@
             self._send_zone_order(controller, order, False)
 
     def _send_zone_order(self, name: str, order: ZoneOrder, draining: bool) -> None:
-        """Send an order; a controller that stands still reads it when it wakes.
+        """Send an order; a frozen controller reads it when it resumes.
 
-        The operator has left by then, if that takes longer than ``ORDER_WAIT_S``.
+        If that takes longer than ``ORDER_WAIT_S``, the operator has closed its connection by then.
         """
         until_s = self.now + ORDER_WAIT_S
 
@@ -286,12 +286,12 @@
             return
         if draining:
             order.acknowledged_s = order.acknowledged_s or self.now
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
         else:
             order.ended = True
 
     def _replace_runner(self) -> None:
-        """A runner crashes twice; a word of the incarnation between comes after the newest's."""
+        """Crash a runner twice; a report of its 2nd incarnation arrives after one of the 3rd."""
         names = [name for name in self.runners if name not in self.drained_s]
         if not names:
             return
@@ -324,14 +324,14 @@
         done.addCallback(self._table_taken, version)
 
     def _content(self, version: int) -> bytes:
-        """Return a table's content; now and then another one is sent under the same version."""
+        """Return a table's content; sometimes a different one for the same version."""
         other = self.random.random() < OTHER_CONTENT_CHANCE
         return f"{version} {'east west' if other else 'west east'}".encode()
 
     def _table_taken(self, result: Any, version: int) -> None:
         if result.is_ok():
             self.tables.acknowledged(version)
-            self._strike_if_armed("controller")
+            self._inject_if_armed("controller")
 
     def _read_table(self) -> None:
         controller = self._controller()
@@ -346,7 +346,7 @@
     def _play_clients(self) -> None:
         if self.random.random() < STEP_S / 2:
             name, count = f"job-{len(self.jobs) + 1}", self.random.randint(1, 4)
-            job = SoakJob(name, count, ResultsWatch(name, count, self.runs))
+            job = SoakJob(name, count, ResultsChecker(name, count, self.runs))
             self.jobs[name] = job
             self._submit(job)
         for job in self.jobs.values():
@@ -366,7 +366,7 @@
     def _submitted(self, result: Any, job: SoakJob) -> None:
         if result.is_ok() and job.accepted_s is None:
             job.accepted_s = self.now
-            self._strike_if_armed("storage")
+            self._inject_if_armed("storage")
 
     def _end(self, job: SoakJob) -> None:
         job.end_asked = True
@@ -382,18 +382,18 @@
                 self._read_job(job)
 
     def _read_from_the_start(self) -> None:
-        """Once all is calm clients read what they have not seen whole, as a whole and at a gateway.
+        """After the faults, clients read unfinished jobs from the start and at a gateway.
 
-        Reads at drawn positions and nodes alone may miss a result for the whole calm time.
+        Reads at random positions and nodes alone might miss a result until the soak ends.
         """
         for job in self.jobs.values():
-            owed = job.accepted_s is not None and not job.results.is_whole()
-            if owed and self.random.random() < STEP_S:
+            unfinished = job.accepted_s is not None and not job.results.is_whole()
+            if unfinished and self.random.random() < STEP_S:
                 done = self._gateway().read("", job.job, 0, 0.0)
                 done.addCallback(self._page_read, job, 0, job.results.least(0))
 
     def _read_job(self, job: SoakJob) -> None:
-        """Read from some position, now and then with a wait, or at a node that may not lead."""
+        """Read from a random position, sometimes with a wait or at a node that may not lead."""
         after = self.random.choice([0, 0, self.random.randint(0, job.count + 1)])
         wait_s = self.random.choice([0.0, 0.0, 1.0])
         least = job.results.least(after)
@@ -414,16 +414,16 @@
             self.violations.append(f"{job.job} was accepted and is not found")
 
     def _listen_at_gateway(self, name: str) -> None:
-        """Watch what a gateway's process is told of tables, from its start on."""
+        """Check the routing tables that a gateway's process receives, from its start on."""
         node = self.fleet.nodes[name]
 
-        def told(document: TableDocument) -> None:
-            self.violations += self.tables.told(node, document.version, document.content)
+        def on_table(document: TableDocument) -> None:
+            self.violations += self.tables.received(node, document.version, document.content)
 
-        node.base.follower.on_table = told
+        node.base.follower.on_table = on_table
 
     def _watch_nodes(self) -> None:
-        """Watch the versions and the orders on zones that every node has."""
+        """Check the table versions and zone drain orders of every node."""
         for name, node in self.fleet.nodes.items():
             version = node.base.follower.table_version
             if name.startswith("storage"):
@@ -434,7 +434,7 @@
 
     # --- faults --------------------------------------------------------------------------
 
-    def _play_faults(self) -> None:
+    def _inject_faults(self) -> None:
         for due_s, name, kind in list(self._down):
             if self.now >= due_s:
                 self._down.remove((due_s, name, kind))
@@ -447,10 +447,10 @@
         if self.random.random() < 0.4:
             self._armed = (group, kind)
             return
-        self._strike(group, kind)
+        self._inject(group, kind)
 
-    def _strike_if_armed(self, group: str) -> None:
-        """Strike the moment that a client has its acknowledgement."""
+    def _inject_if_armed(self, group: str) -> None:
+        """Inject the armed fault at the moment that a client gets an acknowledgement."""
         armed = self._armed
         if armed is None or armed[0] != group or self._down or self.now >= self.until_s:
             return
@@ -458,9 +458,9 @@
             return
         self._armed = None
         self._calm_at_s = self.now + self.plan.calm_s + self.random.uniform(0, 2)
-        self.fleet.clock.callLater(0, self._strike, *armed)
+        self.fleet.clock.callLater(0, self._inject, *armed)
 
-    def _strike(self, group: str, kind: str) -> None:
+    def _inject(self, group: str, kind: str) -> None:
         names = self.fleet.names(group)
         name = self._victim(group, names)
         for_s = self.random.uniform(0.3, 4.0)
@@ -512,26 +512,26 @@
                 self.fleet.rejoin(name)
 
     def _read_orders_at(self, name: str) -> None:
-        """Have a controller that wakes read the orders that have come meanwhile."""
+        """Have a resumed controller read the orders that arrived while it was frozen."""
         waiting = [read for at, read in self._unread if at == name]
         self._unread = [each for each in self._unread if each[0] != name]
         for read in waiting:
             read()
 
-    def _heal(self) -> None:
+    def _end_faults(self) -> None:
         for _, name, kind in self._down:
             self._bring_back(name, kind)
         self._down = []
 
-    # --- judging -------------------------------------------------------------------------
+    # --- final checks --------------------------------------------------------------------
 
     def _is_settled(self) -> bool:
         if self._behind():
             return False
-        if not all(order.ended for order in self.zone_orders) or self._shunned():
+        if not all(order.ended for order in self.zone_orders) or self._unserved():
             return False
-        owed = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
-        return all(job.results.is_whole() for job in owed)
+        unfinished = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
+        return all(job.results.is_whole() for job in unfinished)
 
     def _behind(self) -> dict[str, int]:
         """Return the gateways whose table is older than the newest one, with its version."""
@@ -542,7 +542,7 @@
         newest = self.tables.newest
         return {name: version for name, version in versions.items() if version < newest}
 
-    def _judge(self) -> None:
+    def _check(self) -> None:
         for name, version in self._behind().items():
             wanted = self.tables.newest
             self.violations.append(f"{name} has table {version}, {wanted} was acknowledged")
@@ -551,16 +551,16 @@
                 continue
             if not job.results.is_whole():
                 self.violations.append(f"{job.job} was accepted and is not finished")
-        self._judge_sendings()
-        self._judge_runners()
+        self._check_sendings()
+        self._check_runners()
 
-    def _judge_runners(self) -> None:
-        """Once all is calm a runner that lives and goes on speaking gets work everywhere."""
-        for name, runner in self._shunned():
-            self.violations.append(f"{name} sends nothing to {runner}, which lives")
+    def _check_runners(self) -> None:
+        """Check that every gateway sends work to each live runner after the faults."""
+        for name, runner in self._unserved():
+            self.violations.append(f"{name} sends nothing to {runner}, which is alive")
 
-    def _shunned(self) -> list[tuple[str, str]]:
-        """Return gateways with the living runners that they send nothing to."""
+    def _unserved(self) -> list[tuple[str, str]]:
+        """Return pairs of a gateway and a live runner to which it sends nothing."""
         drained = {order.zone for order in self.zone_orders if not order.ended}
         living = [
             record.runner
@@ -577,7 +577,7 @@
             if not registry.is_ready(runner)
         ]
 
-    def _judge_zone_drains(self, sending: Sending) -> None:
+    def _check_zone_drains(self, sending: Sending) -> None:
         zone = self.zones.get(sending.runner)
         for order in self.zone_orders:
             if order.zone != zone or order.acknowledged_s is None:
@@ -588,9 +588,9 @@
                 late_s = sending.at_s - order.acknowledged_s
                 self.violations.append(f"{sending.runner} got an item {late_s:.1f} s into a drain")
 
-    def _judge_sendings(self) -> None:
+    def _check_sendings(self) -> None:
         for sending in self.sendings:
-            self._judge_zone_drains(sending)
+            self._check_zone_drains(sending)
             drained_s = self.drained_s.get(sending.runner)
             if drained_s is not None and sending.at_s > drained_s + DRAIN_S + STEP_S:
                 late_s = sending.at_s - drained_s
--- a/features/support/relayed_soak_plans.py
+++ b/features/support/relayed_soak_plans.py
@@ -15,23 +15,23 @@
 CALM_OF_LONG_ITEMS_S = 0.5
 LOST_NOTES = 0.2
 REFUSED_AFTER_S = 0.7
-"""A refusal is heard of when the next note has gone out: that one begins behind a hole."""
+"""Delay of a refusal: it arrives after the next note was sent, which then leaves a gap."""
 
 
 def play(seed: int, plan: SoakPlan | None = None) -> RelayedSoak:
-    """Run a soak; return it judged."""
+    """Run a soak; return it with its violations."""
     soak = RelayedSoak(seed, plan or SoakPlan())
     soak.run()
     return soak
 
 
 def long_items(seconds: float = 60, events: int = LONG_ITEM_EVENTS) -> SoakPlan:
-    """Items run longer than most leaders lead, so that notes are lost, late and taken up."""
+    """Items run longer than most leaderships, so that progress notes get lost, late and resumed."""
     return SoakPlan(seconds, events, CALM_OF_LONG_ITEMS_S, KEPT_DISK_KINDS)
 
 
 def play_long_items(seed: int, plan: SoakPlan | None = None) -> RelayedSoak:
-    """Run a soak of long items whose groups refuse some notes of progress and go on."""
+    """Run a soak of long items in which groups refuse some progress notes."""
     propose = GroupDriver.propose
     chances = random.Random(seed)
 
--- a/src/rainsail/jobs/after_run.py
+++ b/src/rainsail/jobs/after_run.py
@@ -1,4 +1,7 @@
-"""What follows the end of an item's run: the item is over, or runs again. Pure."""
+"""Decides what follows the end of an item's run: list the item, or retry and after which backoff.
+
+Pure functions.
+"""
 
 from dataclasses import dataclass
 from typing import assert_never
@@ -6,54 +9,53 @@
 from rainsail.jobs.item_run import RunEnd
 
 RUNNER_BACKOFF_MIN_S = 0.1
-"""A runner at which a run has failed takes no item for this long; it doubles with each further
-run in a row that fails there.
+"""Backoff of a runner after one failed run; it doubles with each further consecutive failure.
 
-As long as between two starts at one runner (``start_interval_s``), so that a runner of which one
-run in many breaks loses no slot, while one that has died, with all its runs, rests at its longest.
-Measured with the process soak, in which 4 runs in 100 break: a rest of 1.5 s after each left 100 to
-190 of some 550 jobs unfinished 40 s after the last fault.
+Equals the interval between two starts at one runner (``start_interval_s``), so an occasional broken
+run costs no slot, while a dead runner, all of whose runs fail, reaches the maximum. In the process
+soak 4 runs in 100 break; there a pause of 1.5 s after each left 100 to 190 of some 550 jobs
+unfinished 40 s after the last fault.
 """
 RUNNER_BACKOFF_MAX_S = 1.5
-"""No rest is longer.
+"""Maximum backoff of a runner.
 
-Not measured; longer than the 1.2 s between two heartbeats of a runner, so that the next one tells
-whether it is still there.
+Longer than the 1.2 s between two heartbeats of a runner, so that the next heartbeat shows whether
+the runner is still alive.
 """
 RUNNER_AVOIDANCE_S = 5.0
-"""An item that a runner answered with a failure goes to other ready runners only, for this long.
+"""Time for which an item avoids a runner that answered it with a failure, if another one is ready.
 
-Not measured; chosen longer than most items run, so that a slot elsewhere becomes free meanwhile,
-and short against the time that jobs have, should none become free.
+Longer than most items run, so that a slot elsewhere becomes free meanwhile; short compared to the
+completion time of jobs, in case none does.
 """
 NOT_RUN_PAUSE_S = 0.25
-"""A runner that did not run an item takes no other for this long.
+"""Pause of a runner that did not run an item.
 
-Not measured; chosen so that a full runner is asked four times a second, not at each plan.
+A full runner is thus retried four times a second, not in every dispatch round.
 """
 RUNS_BEFORE_ITEM_BACKOFF = 3
-"""From this many runs in a row that brought no event an item waits before it runs again.
+"""Consecutive broken runs without a new event after which an item backs off.
 
-Not measured by itself; chosen so that a runner or two that fail do not delay an item.
+High enough that one or two failing runners do not delay an item.
 """
 ITEM_BACKOFF_MIN_S = 0.5
-"""An item's first wait after such runs; it doubles with each further one.
+"""An item's first backoff after such runs; it doubles with each further one.
 
-Measured with the two limits beside it: an item whose answer nobody can read runs 4 to 14 times in
-60 s, 38 times without a wait.
+With this and the two limits beside it, an item whose answer cannot be parsed runs 4 to 14 times in
+60 s; without a backoff it runs 38 times.
 """
 CONFIRMATION_PAUSE_S = 0.5
-"""An item whose whole text is not confirmed waits this long before it runs again.
+"""Wait of an item whose complete text is unconfirmed before it runs again.
 
-Items that run beside it begin meanwhile, and so confirm it.
+Meanwhile the streams of items that run concurrently start, which usually confirms it.
 """
 ITEM_BACKOFF_MAX_S = 8.0
-"""The wait grows no longer; not measured, chosen to be short against the time that jobs have."""
+"""Maximum backoff of an item; short compared to the completion time of jobs."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemOver:
-    """The item is listed: with its text when it is ``done``, else as given up."""
+    """The item is to be listed: with its text if ``done``, as given up otherwise."""
 
     done: bool
     reason: str
@@ -61,19 +63,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunAgain:
-    """The item waits for another run."""
+    """The item is queued for another run."""
 
 
 def indicates_runner_failure(end: RunEnd) -> bool:
-    """Tell whether the end of a run speaks against its runner, though it may not be at fault."""
+    """Tell whether the end of a run suggests a failing runner; the cause may lie elsewhere."""
     return end in (RunEnd.BROKEN, RunEnd.UNREACHED, RunEnd.FAILED)
 
 
 def runner_backoff_s(failed_runs: int) -> float:
-    """Return how long a runner rests after so many runs in a row that failed there.
+    """Return the backoff of a runner after so many consecutive failed runs.
 
-    What fails now and then costs next to nothing, while what fails always gets few items: each rest
-    ends with one item that tries.
+    Occasional failures cost next to nothing, while a runner that always fails gets few items: one
+    probing item after each backoff.
     """
     if failed_runs < 1:
         return 0.0
@@ -81,10 +83,10 @@
 
 
 def runner_pause_s(end: RunEnd, failed_runs: int) -> float:
-    """Return how long a runner takes no item after the end of a run there.
+    """Return how long a runner gets no item after the end of a run there.
 
-    ``failed_runs`` counts the runs in a row, of whatever items, that have failed at the runner,
-    this one included.
+    ``failed_runs`` counts the consecutive failed runs at the runner, over all items and including
+    this one.
     """
     match end:
         case RunEnd.BROKEN:
@@ -92,7 +94,7 @@
         case RunEnd.UNREACHED:
             return max(NOT_RUN_PAUSE_S, runner_backoff_s(failed_runs))
         case RunEnd.FAILED:
-            # The first failure in a row may be the item's own.
+            # The item itself may have caused the first failure of a series.
             return runner_backoff_s(failed_runs - 1)
         case RunEnd.NOT_RUN:
             return NOT_RUN_PAUSE_S
@@ -103,10 +105,10 @@
 
 
 def decide_after_run(end: RunEnd, failures: int, max_attempts: int) -> ItemOver | RunAgain:
-    """Return what follows a run; ``failures`` counts the attempts that failed, this one included.
+    """Return what follows a run; ``failures`` counts the failed attempts, including this one.
 
-    Only answers that report a failure use attempts up: a run that broke goes on behind the last
-    event, and one that never ran has cost nothing.
+    Only answers that report a failure use up attempts: a broken run is resumed after its last
+    event, and an item that did not run has cost nothing.
     """
     match end:
         case RunEnd.WHOLE | RunEnd.CONFIRMED:
@@ -120,10 +122,10 @@
 
 
 def item_backoff_s(runs_without_event: int) -> float:
-    """Return how long an item waits after so many runs in a row that broke without an event.
+    """Return an item's backoff after so many consecutive broken runs without a new event.
 
-    Without it an item whose answer no run can read would take slots without end, and pause each
-    runner in turn for all other items.
+    Without it an item whose answer cannot be parsed would occupy slots forever, and its failed runs
+    would pause each runner in turn for all other items.
     """
     doublings = runs_without_event - RUNS_BEFORE_ITEM_BACKOFF
     if doublings < 0:
--- a/src/rainsail/jobs/client.py
+++ b/src/rainsail/jobs/client.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to the ledger, wherever its leader is."""
+"""The gateways' client of the ledger: sends each call to the current leader."""
 
 from typing import Any
 
@@ -18,29 +18,26 @@
 from rainsail.state.job_commands import RelayedItem
 
 SUBMIT_TIMEOUT_S = 3.4
-"""Time within which a job is committed or ended, over all tries.
-
-Not measured; chosen so that the ledger may change its leader meanwhile.
-"""
+"""Timeout for committing or ending a job, over all attempts; covers a change of leader."""
 READ_TIMEOUT_S = 2.0
-"""Time within which a read is answered, beside the wait that it asks for.
+"""Timeout of a read, in addition to the wait that it requests.
 
-Not measured; chosen shorter than a commit's, since a read goes out again without harm.
+Shorter than a commit's, since reads can be repeated without side effects.
 """
 
 
 class JobClient:
-    """Calls to the ledger's leader. Every call is idempotent and may be sent again.
+    """Calls to the ledger's leader. Every call is idempotent and may be retried.
 
-    A job belongs to the tenant that handed it in (empty: to nobody). Its id holds within the
-    tenant, so that calls of others find nothing.
+    A job belongs to the tenant that submitted it (empty: to no tenant). Its id is scoped to the
+    tenant, so that other tenants cannot address it.
     """
 
     def __init__(self, calls: LeaderCaller) -> None:
         self._calls = calls
 
     def set_leader(self, leader: str) -> None:
-        """Try this node first: it was last reported to lead the ledger."""
+        """Set the node to try first: the last one reported to lead the ledger."""
         self._calls.set_hint(leader)
 
     def submit(
@@ -52,9 +49,9 @@
         items: tuple[RelayedItem, ...],
         limit: QueueLimit,
     ) -> "Deferred[Result[Any, Fault]]":
-        """Hand a whole job in; Ok once a quorum has synced all of it.
+        """Submit a complete job; Ok once a quorum has synced all of it.
 
-        The fault is OVER_LIMIT when the job does not fit the route's limit and was not taken.
+        The fault is OVER_LIMIT when the job exceeds the route's limit and was not accepted.
         """
         message = SubmitRelayedJob(scoped_id(tenant, job), tenant, host, path, items, limit)
         return self._calls.call(message, None, SUBMIT_TIMEOUT_S, repeatable=True)
@@ -62,16 +59,16 @@
     def read(
         self, tenant: str, job: str, after: int, wait_s: float
     ) -> "Deferred[Result[Any, Fault]]":
-        """Return a ``ResultPage``."""
+        """Read the results from position ``after`` on; returns a ``ResultPage``."""
         message = ReadResults(scoped_id(tenant, job), after, wait_s)
         return self._calls.call(message, None, READ_TIMEOUT_S + wait_s, repeatable=True)
 
     def read_body(self, tenant: str, job: str, item: str) -> "Deferred[Result[Any, Fault]]":
-        """Return an ``ItemBodyFound``."""
+        """Read the request body of an unlisted item; returns an ``ItemBodyFound``."""
         message = ReadItemBody(scoped_id(tenant, job), item)
         return self._calls.call(message, None, READ_TIMEOUT_S, repeatable=True)
 
     def end(self, tenant: str, job: str) -> "Deferred[Result[Any, Fault]]":
-        """End a job: what is listed stays, nothing more of it runs."""
+        """End a job: its listed results stay, its other items do not run any more."""
         message = EndJobCall(scoped_id(tenant, job))
         return self._calls.call(message, None, SUBMIT_TIMEOUT_S, repeatable=True)
--- a/src/rainsail/jobs/context.py
+++ b/src/rainsail/jobs/context.py
@@ -1,4 +1,4 @@
-"""What the dispatcher and its parts take from outside, as two typed bundles."""
+"""Dependencies of the dispatcher and its parts, in two bundles: the node and the ledger."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,21 +22,21 @@
 from rainsail.state.job_commands import ItemOutcome, NoteProgress
 
 ListOutcome = Callable[[str, ItemOutcome], None]
-"""Commits the outcome of an item of a job; called once an item."""
+"""Commits the outcome of an item of a job; called once per item."""
 
 CommitProgress = Callable[[NoteProgress], "Deferred[Any]"]
-"""Commits the progress of items; fires with a fault when that is refused or unclear."""
+"""Commits the progress of items; fires with a fault if it is refused or its outcome is unknown."""
 
 MayStart = Callable[[], bool]
-"""Tells whether this node still leads and hears of runners that leave and tables that change.
+"""Tells whether this node still leads and receives updates on runners and routing tables.
 
-A node that was frozen or is cut off must not act on what it knew before.
+A node that was suspended or is partitioned must not act on stale state.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchNode:
-    """The node on which the dispatcher runs: its runners, and how to reach them."""
+    """The node on which the dispatcher runs: its clock, runners, connections and settings."""
 
     zone: str
     clock: Clock
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ledger:
-    """The ledger group as the dispatcher reads it, and its ways to commit commands there."""
+    """The ledger group: its replicated state, and functions that commit commands to it."""
 
     state: JobState
     time: LedgerTime
@@ -62,17 +62,17 @@
     may_start: MayStart
 
     def job_of(self, item: OpenItem) -> RelayedJob | None:
-        """Return the job of an item, None when it is not kept any more."""
+        """Return the job of an item, None if it has been deleted."""
         return self.state.jobs.get(item.job)
 
     def is_job_open(self, job: str) -> bool:
-        """Tell whether a job is kept and has not been ended by its client."""
+        """Tell whether a job exists and has not been ended by its client."""
         kept = self.state.jobs.get(job)
         return kept is not None and not kept.ended
 
     def is_open(self, item: OpenItem) -> bool:
         """Tell whether an item is still to be run.
 
-        A command that an earlier leader proposed may list it after this one has taken it up.
+        A command that a previous leader proposed may list it after this leader has enqueued it.
         """
         return self.is_job_open(item.job) and item.index in self.state.jobs[item.job].unlisted
--- a/src/rainsail/jobs/dispatch_state.py
+++ b/src/rainsail/jobs/dispatch_state.py
@@ -1,4 +1,4 @@
-"""The soft state of the dispatcher, which its parts share."""
+"""The in-memory state that the dispatcher's parts share."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchState:
-    """Which items wait or run where, who holds slots, the table in force, how streams begin."""
+    """Waiting and running items, use of runner slots, the routing table, beginnings of streams."""
 
     waiting: WaitingItems
     running: RunningItems
@@ -22,7 +22,7 @@
 
 
 def make_dispatch_state(node: DispatchNode, ledger: Ledger) -> DispatchState:
-    """Return a state in which nothing waits or runs and no table is known."""
+    """Return a state without any items and without a routing table."""
     running = RunningItems()
     slots = RunnerSlots(node.warm_ups, node.settings, running)
     routes = ItemRoutes(ledger.state)
--- a/src/rainsail/jobs/dispatcher.py
+++ b/src/rainsail/jobs/dispatcher.py
@@ -1,8 +1,8 @@
 """Runs the items of open jobs while this node leads the ledger group.
 
-Puts the parts together and runs them in turn, several times a second. All of their state is soft:
-a new leader runs unlisted items on from the progress that the ledger keeps; a listed item is never
-run again.
+Wires the parts together and runs each in turn, several times a second. All of their state is in
+memory only: a new leader resumes unlisted items from the progress committed to the ledger. A listed
+item is never run again.
 """
 
 from rainsail.cluster.messages import RunnerRecord
@@ -20,14 +20,11 @@
 from rainsail.routing.online_use import OnlineUseTracker
 
 DISPATCH_PERIOD_S = 0.05
-"""Time between two rounds.
-
-Not measured; chosen so that a slot that becomes free is empty for a short part of an item's run.
-"""
+"""Time between two rounds; a freed slot stays empty only for a small part of an item's run time."""
 
 
 class Dispatcher:
-    """The items of one ledger group; ``start`` and ``stop`` follow the group's leadership."""
+    """Dispatches the items of one ledger group; active from ``start`` to ``stop``."""
 
     def __init__(self, node: DispatchNode, ledger: Ledger) -> None:
         self._node = node
@@ -47,7 +44,7 @@
     # --- leadership ----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take up every open job."""
+        """Begin to dispatch: every open job is enqueued in the first round."""
         self._active = True
         self._state.waiting.clear()
         self._jobs.clear()
@@ -58,7 +55,7 @@
         self._progress.start()
 
     def stop(self) -> None:
-        """Close every run: another leader runs what is not listed."""
+        """Close every run; the next leader runs the unlisted items."""
         self._active = False
         self._progress.stop()
         self._planner.end_leadership()
@@ -77,35 +74,35 @@
         self._starter.start_items()
         self._node.clock.callLater(DISPATCH_PERIOD_S, self._run_periodically)
 
-    # --- what others read and ask --------------------------------------------------------
+    # --- access for other components -----------------------------------------------------
 
     @property
     def observer(self) -> StateObserver:
-        """Learns from the commands that the ledger's state applies."""
+        """The observer of the commands that the ledger's state applies."""
         return self._planner
 
     @property
     def online(self) -> OnlineUseTracker:
-        """The online work at each runner, as gateways report it."""
+        """The online requests at each runner, as gateways report them."""
         return self._state.slots.online
 
     @property
     def table_version(self) -> int:
-        """The version of the routing table by which items run, 0 while none is known."""
+        """The version of the routing table by which items run; 0 before the first one arrives."""
         return self._state.routes.version
 
     def items_at(self, runner: str) -> int:
-        """Return how many items run at a runner."""
+        """Return the number of items that run at a runner."""
         return self._state.running.count_at(runner)
 
     def preempt_at(self, runner: str) -> None:
-        """Preempt as many of a runner's items as online work needs slots there."""
+        """Preempt items at a runner to free the slots that online requests need there."""
         self._preemptor.preempt_at(runner)
 
     # --- changes of the fleet ------------------------------------------------------------
 
     def set_table(self, table: RoutingTable) -> None:
-        """Send by this routing table from now on."""
+        """Use this routing table from now on."""
         self._state.routes.table = table
         self._state.beginnings.keep_only(table.services, table.route_names())
         self._node.registry.warm_ups.set_terms(table.warm_up_terms())
@@ -113,17 +110,17 @@
             self._planner.update_due_time(job)
 
     def on_runner_restarted(self, record: RunnerRecord) -> None:
-        """Forget what was known of a runner before it restarted."""
+        """Discard what is known of a runner from before its restart."""
         self._state.slots.forget(record.runner)
         self._node.pool.forget(record.address)
 
     def on_runners_changed(self, changed: list[RunnerRecord]) -> None:
-        """Close idle connections to runners that take no more items."""
+        """Close idle connections to runners that are not ready any more."""
         for record in changed:
             if not self._node.registry.is_ready(record.runner) and record.address:
                 self._node.pool.forget(record.address)
 
     def forget_dropped(self) -> None:
-        """Forget jobs that the ledger, and runners that the registry does not keep any more."""
+        """Forget jobs and runners that the ledger or the registry has removed."""
         self._jobs.forget_dropped()
         self._state.slots.keep_only({record.runner for record in self._node.registry.records()})
--- a/src/rainsail/jobs/feasibility.py
+++ b/src/rainsail/jobs/feasibility.py
@@ -1,14 +1,14 @@
-"""Which open items can still be in time together, when more is asked than fits. Pure.
+"""Computes which open items can meet their due times together, also under overload. Pure.
 
-Earliest due first is the best order while everything fits, and the worst once it does not: each
-item then ends just after its due time. So the fewest items are given up, by the rule of Moore and
-Hodgson: items are admitted by due time, and whenever the admitted ones need more time than the
-slots give until the last one's due time, the one that needs most is given up. An item that has
-begun needs less, so what was begun is finished. Among equals the one that is due first is given up:
-the others have more time left to make up for a wrong estimate.
+Earliest due date first is the best order while all items fit, and the worst under overload: each
+item then ends just after its due time. The Moore-Hodgson algorithm minimises the number of late
+items: items are admitted by due time, and whenever the admitted ones need more time than the slots
+provide until the last one's due time, the one with the longest remaining time is rejected. An item
+that has begun needs less, so begun items tend to be finished. Of items with equal remaining time
+the one with the earliest due time is rejected: the others have more slack for a wrong estimate.
 
-Slots count as a fluid here (any item can use any share of them), except that one item can use one
-slot only. The fresh items of a job are alike and counted, so that a large job costs no more.
+Slot time is treated as divisible between items, except that one item can use only one slot. The
+unstarted items of a job are equal and counted together, so a large job costs no more to plan.
 """
 
 import heapq
@@ -18,12 +18,12 @@
 from typing import NamedTuple
 
 ROUNDING = 1e-9
-"""Differences below this come from adding floating-point numbers."""
+"""Tolerance for floating-point rounding errors in sums."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """``count`` items that are due together and need ``remaining_s`` of one slot each."""
+    """``count`` items with one due time, each of which needs one slot for ``remaining_s``."""
 
     key: str
     due_s: float
@@ -32,7 +32,7 @@
 
 
 class _Admitted(NamedTuple):
-    """An admitted demand; the first in this order is the first to be given up."""
+    """An admitted demand; the smallest in this order is rejected first."""
 
     negative_remaining_s: float
     due_s: float
@@ -40,7 +40,7 @@
 
 
 def feasible_counts(demands: Iterable[Demand], slots: float, now: float) -> dict[str, int]:
-    """Return how many items of each demand can be in time together on so many slots."""
+    """Return how many items of each demand can meet their due times together on these slots."""
     admission = _Admission()
     for demand in sorted(demands, key=lambda each: each.due_s):
         time_s = demand.due_s - now
@@ -53,7 +53,7 @@
 
 
 class _Admission:
-    """The items that are admitted so far; ``counts`` has how many of each demand."""
+    """The items admitted so far; ``counts`` has their number by demand."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
@@ -67,7 +67,7 @@
         heapq.heappush(self._longest, _Admitted(-demand.remaining_s, demand.due_s, demand.key))
 
     def reject_beyond(self, given_s: float) -> None:
-        """Give up the longest items until the others need no more than the given slot time."""
+        """Reject the longest items until the others need no more than the given slot time."""
         while self._longest and self._needed_s > given_s + ROUNDING:
             longest = self._longest[0]
             remaining_s = -longest.negative_remaining_s
--- a/src/rainsail/jobs/held_reads.py
+++ b/src/rainsail/jobs/held_reads.py
@@ -1,4 +1,4 @@
-"""Reads of results that wait for the next result (long polls)."""
+"""Long polling: reads of results that wait for the next result."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,14 +9,14 @@
 from rainsail.runtime.clock import Clock
 
 MAX_READ_WAIT_S = 1.0
-"""A read waits no longer for a result, whatever it asks for.
+"""Upper bound of a read's wait, whatever it requests.
 
-Not measured; chosen shorter than the time within which a gateway's call is answered.
+Shorter than the timeout of a gateway's call.
 """
 
 
 class _HeldRead:
-    """One read, and whether it has been answered."""
+    """One waiting read."""
 
     def __init__(self, message: ReadResults) -> None:
         self.message = message
@@ -25,16 +25,16 @@
 
 
 class HeldReads:
-    """Holds reads by job, and answers each once: when it is released or has waited long enough."""
+    """Holds reads by job, and answers each once: when released, or when its wait has expired."""
 
     def __init__(self, clock: Clock, answer: Callable[[ReadResults], Any]) -> None:
-        """``answer`` returns the reply to a read as things are at that moment."""
+        """``answer`` returns the reply to a read from the current state."""
         self._clock = clock
         self._answer = answer
         self._by_job: dict[str, list[_HeldRead]] = {}
 
     def hold(self, message: ReadResults) -> "Deferred[Any]":
-        """Hold a read; fires with its reply."""
+        """Hold a read; the Deferred fires with its reply."""
         held = _HeldRead(message)
         self._by_job.setdefault(message.job, []).append(held)
         wait_s = min(message.wait_s, MAX_READ_WAIT_S)
@@ -42,7 +42,7 @@
         return held.done
 
     def release_where(self, is_due: Callable[[ReadResults], bool]) -> None:
-        """Answer the reads that are due."""
+        """Answer the reads for which ``is_due`` holds."""
         for job in list(self._by_job):
             for held in list(self._by_job.get(job, ())):
                 if is_due(held.message):
--- a/src/rainsail/jobs/item_guard.py
+++ b/src/rainsail/jobs/item_guard.py
@@ -1,4 +1,4 @@
-"""Asks the quarantine about items, and reports to it what their runs show of the runners."""
+"""Checks items against the quarantine, and reports to it how runners survive them."""
 
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.jobs.item_routes import ItemRoutes
@@ -11,7 +11,7 @@
 
 
 class ItemGuard:
-    """A request guard for open items; fingerprints are computed when first needed."""
+    """Applies the request guard to open items; fingerprints are computed on first use."""
 
     def __init__(self, state: JobState, guard: RequestGuard, routes: ItemRoutes) -> None:
         self._state = state
@@ -19,11 +19,11 @@
         self._routes = routes
 
     def fingerprint_name(self, item: OpenItem, service: str) -> str:
-        """Return an item's fingerprint at a service as logs write it."""
+        """Return an item's fingerprint at a service in the form used in logs."""
         return name_of(self._fingerprint(item, service))
 
     def _fingerprint(self, item: OpenItem, service: str) -> Fingerprint:
-        """Return the fingerprint that an item shares with its repetitions at a service."""
+        """Return an item's fingerprint at a service, which equal requests share."""
         job = self._state.jobs.get(item.job)
         route = None if job is None else self._routes.of_item(job, item.index)
         split_service = "" if route is None else route.split_service(service)
@@ -39,11 +39,11 @@
         return made
 
     def is_held(self, item: OpenItem, service: str = "") -> bool:
-        """Tell whether an item must reach no runner of a service for now; empty: of any."""
+        """Tell whether an item must not be sent to runners of a service (empty: of any) now."""
         return self._guard.holds_any and self._guard.holds(self._fingerprint(item, service))
 
     def on_run_ended(self, item: OpenItem, record: RunnerRecord | None) -> None:
-        """Report a connection that ended under a run, or an answer that its runner outlived."""
+        """Report a connection that ended during a run, or a run that its runner survived."""
         run = item.run
         if run is None or record is None:
             return
--- a/src/rainsail/jobs/item_order.py
+++ b/src/rainsail/jobs/item_order.py
@@ -1,9 +1,9 @@
-"""Which item goes first.
+"""The order in which items run.
 
-While everything fits, what is due first goes first. Once it does not, the items that can be in time
-together go before the others, and among these what needs least goes first: items that are nearly
-done are not left behind for some that are due a little earlier. What cannot be in time still runs,
-oldest first, once slots are free. All times are the ledger's.
+While all items can meet their due times, the earliest due time goes first. Under overload, the
+items that can be in time together (``feasibility``) go before the infeasible ones, shortest
+remaining time first: items that are nearly done are not overtaken by some with a slightly earlier
+due time. Infeasible items still run, oldest first, once slots are free. All times are ledger time.
 """
 
 from collections.abc import Iterable
@@ -19,34 +19,34 @@
 from rainsail.mechanisms import DEFAULTS, Mechanisms
 
 ADMISSION_FACTOR = 1.2
-"""Items are admitted for this share of the slots that they got lately on average.
+"""Items are admitted for the recent average of their slots, multiplied by this factor.
 
-An item that is admitted too much is given up later, one that was given up too early is lost.
-Measured on twelve drawn loads: 3202 items in time, 3200 with a share of 1. On sixty others: 64,931
-with 1, 64,444 with 1.2, 63,925 with 1.4; which is best on whole fleets has not been measured.
+Above 1, because an item admitted in error can be rejected later, while one rejected too early is
+lost. Items in time on twelve random loads: 3202, against 3200 with a factor of 1. On sixty others:
+64,931 with 1, 64,444 with 1.2, 63,925 with 1.4. Not compared on whole fleets.
 """
 
 
 class Urgency(NamedTuple):
-    """Sorts items, most urgent first."""
+    """Sort key of items: the smallest is the most urgent."""
 
     infeasible: bool
     remaining_s: float
-    """The time that the item still runs; 0 while everything fits, and once it is given up."""
+    """Estimated remaining run time under overload; 0 if all items fit or this one is infeasible."""
     due_s: float
     is_fresh: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FreshItems:
-    """The items of a job that have not begun."""
+    """The number of a job's items that have not begun."""
 
     job: str
     count: int
 
 
 class ItemOrder:
-    """Decides now and then which items fit, and orders all items by that."""
+    """Plans periodically which items can be in time, and orders all items by that plan."""
 
     def __init__(self, mechanisms: Mechanisms = DEFAULTS) -> None:
         self._overload_order = mechanisms.overload_order
@@ -59,11 +59,11 @@
         self._needed: dict[str, float] = {}
 
     def on_slots_seen(self, service: str, slots: float, now: float) -> None:
-        """Note how many slots of a service items have or could have."""
+        """Record how many slots of a service items hold or could get."""
         self._meters.setdefault(service, SlotMeter()).on_slots_seen(slots, now)
 
     def begin_plan(self) -> None:
-        """Forget the last plan; one ``plan`` for each service follows."""
+        """Discard the last plan; one call of ``plan`` for each service must follow."""
         self._fresh_admitted.clear()
         self._infeasible.clear()
         self._overloaded = False
@@ -72,7 +72,7 @@
     def plan(
         self, service: str, fresh: Iterable[FreshItems], begun: Iterable[OpenItem], now: float
     ) -> None:
-        """Decide which of a service's items fit."""
+        """Decide which of a service's items can be in time."""
         items = {f"{item.job}/{item.index}": item for item in begun}
         demands = [self._demand(key, item.job, item.events) for key, item in items.items()]
         demands += [self._demand(each.job, each.job, 0, each.count) for each in fresh]
@@ -104,11 +104,11 @@
         return Demand(key, self.due.due_s(job), self.lengths.remaining_s(events), count)
 
     def slots_needed(self, service: str) -> float | None:
-        """Return the slots on which all items end well in time; None when there are none such."""
+        """Return the slots on which all items end well in time; None if batch has no slack."""
         return self._needed.get(service)
 
     def fresh_admitted(self, job: str) -> int | None:
-        """Return how many of a job's fresh items fit, None when all may."""
+        """Return how many of a job's fresh items are feasible; None if there is no limit."""
         return self._fresh_admitted.get(job)
 
     def urgency(self, item: OpenItem) -> Urgency:
--- a/src/rainsail/jobs/item_planner.py
+++ b/src/rainsail/jobs/item_planner.py
@@ -1,7 +1,7 @@
-"""Plans now and then which items can be in time, and how many may run at once.
+"""Plans periodically which items can be in time, and how many may run at once.
 
-Learns what it needs from the commands that the ledger applies, on every replica: so a new leader
-plans with the lengths, the pace and the slots that items had under the one before.
+Every replica derives its estimates from the commands that the ledger applies. A new leader thus
+plans with the lengths, event rates and slots that items had under the previous one.
 """
 
 from itertools import chain
@@ -17,8 +17,7 @@
 PLAN_INTERVAL_S = 0.2
 """Time between two plans.
 
-Not measured; chosen to be short against the time that an item runs, at a quarter of the cost of a
-plan with each look at the waiting items.
+Short compared to an item's run time, at a quarter of the cost of a plan in every dispatch round.
 """
 
 
@@ -38,23 +37,23 @@
         self._leads = False
 
     def begin_leadership(self) -> None:
-        """Count this node's own runs from now on, and no peak of online work from before."""
+        """Count this node's own runs from now on; discard earlier peaks of online work."""
         self._leads = True
         self._reserve.clear()
 
     def end_leadership(self) -> None:
-        """Count the items that another leader runs, as the ledger tells of them."""
+        """Count the items that another leader runs, from the progress that it commits."""
         self._leads = False
 
-    # --- what the ledger applies ---------------------------------------------------------
+    # --- callbacks for applied commands --------------------------------------------------
 
     def accepted(self, job: RelayedJob) -> None:
-        """Learn the age of a job and when it is due."""
+        """Set a job's due time, and advance ledger time to its acceptance."""
         self._ledger.time.advance(job.accepted_s, self._node.clock.seconds())
         self.update_due_time(job)
 
     def progressed(self, ledger_s: float, notes: tuple[ItemNote, ...]) -> None:
-        """Learn how fast items run, and how many at a time while another node leads."""
+        """Record how fast items run and, while another node leads, how many run concurrently."""
         self._ledger.time.advance(ledger_s, self._node.clock.seconds())
         self.order.lengths.progressed(ledger_s, notes)
         if self._leads:
@@ -63,18 +62,18 @@
             self.order.on_slots_seen(service, len(running), ledger_s)
 
     def finished(self, events: int) -> None:
-        """Learn how long items are."""
+        """Record the length of an item."""
         self.order.lengths.finished(events)
 
     def update_due_time(self, job: RelayedJob) -> None:
-        """Set when a job is due by the table in force."""
+        """Set a job's due time by the current routing table."""
         within_s = self._routes.due_within_s(job)
         self.order.due.set_due(job.job, job.accepted_s, within_s)
 
     # --- planning ------------------------------------------------------------------------
 
     def plan_if_due(self) -> None:
-        """Plan each service that runs items, unless the last plan is fresh or no table is known."""
+        """Plan every service that runs items, at most once per ``PLAN_INTERVAL_S``."""
         now = self._node.clock.seconds()
         if self._routes.table is None or now - self._planned_s < PLAN_INTERVAL_S:
             return
@@ -91,7 +90,7 @@
             self._plan_reserve(service, records, now)
 
     def _plan_reserve(self, service: str, records: list[RunnerRecord], now: float) -> None:
-        """Decide how many slots stay free for online work that may come back."""
+        """Decide how many slots to keep free for returning online work."""
         if not self._node.settings.mechanisms.batch_reserve:
             return
         online = sum(self._slots.online.running(record.runner) for record in records)
@@ -100,7 +99,7 @@
         self._reserve.plan(service, slots, self.order.slots_needed(service))
 
     def may_run_more(self, service: str) -> bool:
-        """Tell whether the reserve allows one more item of a service to run."""
+        """Tell whether the reserve allows another item of a service to run."""
         limit = self._reserve.limit(service)
         if limit is None:
             return True
--- a/src/rainsail/jobs/item_recorder.py
+++ b/src/rainsail/jobs/item_recorder.py
@@ -1,4 +1,4 @@
-"""Records what becomes of items: in the log, in the metrics, and in the ledger when one is over."""
+"""Records events of items in the log and the metrics, and final outcomes in the ledger."""
 
 from typing import Any
 
@@ -12,31 +12,31 @@
 
 
 class ItemRecorder:
-    """Writes one line and counts one for each event of an item."""
+    """Logs each event of an item and updates its counter."""
 
     def __init__(self, ledger: Ledger, metrics: NodeMetrics) -> None:
         self._ledger = ledger
         self._metrics = metrics
 
     def item_sent(self, item: OpenItem) -> None:
-        """Record that an item goes out to its runner."""
+        """Record that an item is sent to its runner."""
         self._log_of(item).bind(after_event=item.progress.last_event).info("item_sent")
         self._metrics.count("item_runs")
 
     def item_preempted(self, item: OpenItem) -> None:
-        """Record that an item's run was closed for online work."""
+        """Record that an item's run was closed to free a slot for online work."""
         self._log_of(item).bind(last_event=item.progress.last_event).info("item_gave_way")
         self._metrics.count("items_gave_way")
 
     def run_ended_early(
         self, item: OpenItem, end: RunEnd, reason: str, fingerprint_name: str
     ) -> None:
-        """Record a run that did not bring the whole answer."""
+        """Record a run that ended without the complete answer."""
         log = self._log_of(item).bind(reason=reason, fingerprint=fingerprint_name)
         log.bind(end=end.value, last_event=item.progress.last_event).info("item_run_ended")
 
     def item_over(self, item: OpenItem, over: ItemOver) -> None:
-        """Record that an item is done or given up, and have the ledger list it."""
+        """Record that an item is done or given up, and list it in the ledger."""
         log = self._log_of(item).bind(done=over.done, reason=over.reason)
         log = log.bind(tokens=self._tokens_of(item), ran_s=round(item.ran_s, 3))
         log.bind(events=item.events).info("item_ended")
@@ -45,7 +45,7 @@
         self._ledger.list_outcome(item.job, ItemOutcome(item.index, over.done, text))
 
     def _log_of(self, item: OpenItem) -> Any:
-        """Return a logger with the names of an item, as its client knows them."""
+        """Return a logger bound to the item's and the job's ids as the client knows them."""
         job = self._ledger.job_of(item)
         job_name = item.job if job is None else job.client_id
         item_name = "" if job is None else job.items[item.index].item
--- a/src/rainsail/jobs/item_routes.py
+++ b/src/rainsail/jobs/item_routes.py
@@ -1,4 +1,4 @@
-"""Finds the route of an item, and with it the service, the regions and the attempts it may use.
+"""Looks up the routes of items and the services, regions and attempts that they allow.
 
 Owns the routing table by which items run.
 """
@@ -17,7 +17,7 @@
 
 
 class ItemRoutes:
-    """Routes by the table in force; while none is known there is no route."""
+    """Looks up routes in the current routing table; without a table there are none."""
 
     def __init__(self, state: JobState) -> None:
         self.table: RoutingTable | None = None
@@ -25,48 +25,48 @@
 
     @property
     def version(self) -> int:
-        """The version of the routing table, 0 while none is known."""
+        """The version of the routing table, 0 without one."""
         return 0 if self.table is None else self.table.version
 
     def of_job(self, job: RelayedJob) -> Route | None:
-        """Return the route by which a job was handed in."""
+        """Return the route by which a job was submitted."""
         return None if self.table is None else self.table.match(job.host, job.path)
 
     def of_item(self, job: RelayedJob, index: int) -> Route | None:
-        """Return the route of an item's own path, or the job's route where there is none."""
+        """Return the route of an item's own path, or the job's route if that path has none."""
         if self.table is None:
             return None
         return self.table.match(job.host, job.items[index].path) or self.of_job(job)
 
     def due_within_s(self, job: RelayedJob) -> float:
-        """Return how long after its acceptance a job is due, 0 where no time is set."""
+        """Return how long after its acceptance a job is due; 0: no due time."""
         route = self.of_job(job)
         return 0.0 if route is None else route.completion_s
 
     def kept_s(self, job: RelayedJob) -> float:
-        """Return how long after its acceptance a job's items may wait, 0 for without end."""
+        """Return how long after its acceptance a job's items may wait; 0: without limit."""
         route = self.of_job(job)
         return 0.0 if route is None else route.kept_s
 
     def max_attempts(self, item: OpenItem) -> int:
-        """Return how many attempts of an item may fail; 1 where its route is not known."""
+        """Return how many attempts of an item may fail; 1 if its route is unknown."""
         job = self._state.jobs.get(item.job)
         route = None if job is None else self.of_item(job, item.index)
         return 1 if route is None else max(1, route.max_attempts)
 
     def allowed_regions(self, route: Route, tenant: str) -> AllowedRegions:
-        """Return where a tenant's items may run by the table in force; None: everywhere."""
+        """Return the regions in which a tenant's items may run; None: everywhere."""
         assert self.table is not None
         return self.table.allowed_regions(route, tenant)
 
     def batch_services(self) -> set[str]:
-        """Return the services that run items."""
+        """Return the services that run batch items."""
         return set() if self.table is None else self.table.batch_services()
 
     def by_service(self, items: Iterable[ItemsOfJob]) -> dict[str, list[ItemsOfJob]]:
         """Group items by the service with the largest share of their job's route.
 
-        Items whose job has no route are left out.
+        Omits items whose job has no route.
         """
         found: dict[str, list[ItemsOfJob]] = {}
         for item in items:
--- a/src/rainsail/jobs/item_run.py
+++ b/src/rainsail/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One item's run at a runner: events are gathered until the answer is whole."""
+"""One run of an item at a runner: collects events until the answer is complete."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -39,10 +39,10 @@
 
 NO_EVENTS = "no stream of events"
 MATCHING_RUNS_ACCEPTED = 3
-"""So many runs of one item that begin alike show that it does begin so, whatever others begin with.
+"""Runs of one item with the same first event after which it is accepted as the true beginning.
 
-Not measured; chosen so that an item whose answer has no event ends after few runs, while three
-runs that lack their beginning in the same way hardly ever come together.
+This holds even if other items' streams begin differently. An item whose answer has no event thus
+ends after few runs, and it is very unlikely that three runs lose their beginning in the same way.
 """
 
 
@@ -51,15 +51,15 @@
 
     WHOLE = "whole"
     UNCONFIRMED = "unconfirmed"
-    """The answer is whole, but nothing tells yet whether it has its beginning."""
+    """The answer ended properly, but it is not yet known whether its first events were lost."""
     CONFIRMED = "confirmed"
-    """The run begins like an earlier one, whose text was unconfirmed and is whole."""
+    """The run begins like an earlier one, and so confirms that one's text as complete."""
     BROKEN = "broken"
-    """The answer broke off; another run goes on behind the last whole event."""
+    """The answer broke off; another run resumes after the last complete event."""
     NOT_RUN = "not_run"
-    """The runner has not run the item and never will."""
+    """The runner has not run the item and will not run it later."""
     UNREACHED = "unreached"
-    """The item has not left: there was no connection to the runner."""
+    """The item was not sent: there was no connection to the runner."""
     FAILED = "failed"
     IMPOSSIBLE = "impossible"
 
@@ -69,12 +69,12 @@
     AttemptEnd.FAILED: RunEnd.FAILED,
     AttemptEnd.BROKEN: RunEnd.BROKEN,
 }
-"""How a run ends with a whole answer that is no stream of events."""
+"""The end of a run by the verdict on a complete answer that is not an event stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedText:
-    """The whole text of a run, of which nothing tells yet whether it has its beginning."""
+    """The text of a run of which it is not yet known whether its first events were lost."""
 
     beginning: StreamBeginning
     last_event: int | None
@@ -84,23 +84,23 @@
 
 @dataclass(slots=True)
 class ItemProgress:
-    """What has been received of an item's answer, kept from run to run by the leader."""
+    """The part of an item's answer received so far; the leader keeps it between runs."""
 
     last_event: int | None = None
     texts: list[str] = field(default_factory=list)
     numbers: list[int] = field(default_factory=list)
-    """The id of the event of each text."""
+    """The event id of each text."""
     failures: int = 0
     impossible: int = 0
     rejected_beginnings: Counter[FirstEvent] = field(default_factory=Counter)
-    """How many runs were given up for their beginning, by their first event."""
+    """How many runs were rejected because of their beginning, by their first event."""
     unconfirmed: UnconfirmedText | None = None
-    """An earlier run's text that the item's next run from the start is compared with."""
+    """An earlier run's text; the item's next run from the start is compared with it."""
     from_previous_leader: bool = False
-    """What has come was received by an earlier leader."""
+    """Whether the text was received by a previous leader."""
 
     def take(self, event: Event) -> None:
-        """Add an event that is behind those already there."""
+        """Append an event; ignore one that is already there or has no number."""
         if event.number is None:
             return
         if self.last_event is not None and event.number <= self.last_event:
@@ -111,23 +111,23 @@
 
     @property
     def first_event(self) -> int | None:
-        """The number of the first event: none is missing between it and the last one."""
+        """The number of the first event, derived from the last one: there are no gaps."""
         return None if self.last_event is None else self.last_event - len(self.texts) + 1
 
     def start_anew(self) -> None:
-        """Drop what has come, for a run that begins at the beginning."""
+        """Discard the text, so that the next run begins from the start."""
         self.last_event = None
         self.texts.clear()
         self.numbers.clear()
 
     def set_unconfirmed(self, beginning: StreamBeginning) -> None:
-        """Set the whole text aside until its beginning is confirmed."""
+        """Store the text as unconfirmed until its beginning is confirmed, and start anew."""
         texts, numbers = tuple(self.texts), tuple(self.numbers)
         self.unconfirmed = UnconfirmedText(beginning, self.last_event, texts, numbers)
         self.start_anew()
 
     def take_confirmed(self) -> None:
-        """Take the text that was set aside as the item's."""
+        """Adopt the unconfirmed text as the item's text."""
         confirmed, self.unconfirmed = self.unconfirmed, None
         assert confirmed is not None
         self.last_event = confirmed.last_event
@@ -136,7 +136,7 @@
 
     @property
     def text(self) -> str:
-        """The data of all events, parted by line feeds."""
+        """The data of all events, separated by line feeds."""
         return EVENT_SEPARATOR.join(self.texts)
 
 
@@ -153,14 +153,14 @@
         ended: Callable[["ItemRun", RunEnd, str], None],
         load_heard: Callable[[ServerLoad], None] = lambda load: None,
     ) -> None:
-        """``load_heard`` gets what the runner says of its load with the answer's head."""
+        """``load_heard`` is called with the load that the runner reports in the answer's head."""
         self.item = item
         self.progress = progress
         self.verdict: AnswerVerdict | None = None
         self.connection_ended = False
-        """The run broke off because the connection ended, as when a runner ends."""
+        """The run broke off because the connection ended, as it does when a runner crashes."""
         self.proves_survival = False
-        """The whole answer shows that the runner outlived the item."""
+        """The complete answer proves that the runner survived the item."""
         self._protocol = protocol
         self._source = source
         self._beginnings = beginnings
@@ -172,7 +172,7 @@
         self._over = False
 
     def answer_begun(self, head: AnswerHead) -> None:
-        """Judge the head."""
+        """Classify the answer by its head, and end the run if the answer is unusable."""
         self.verdict = verdict = self._protocol.judge(head, self.item)
         self._status = head.status
         kind = judge_head(head, verdict)
@@ -181,7 +181,7 @@
         elif kind == HeadKind.NOT_RUN:
             self._end(RunEnd.NOT_RUN, f"status {head.status}")
         elif kind == HeadKind.BODY and head.status == STATUS_OK:
-            # Its end would be taken for the end of the item's text.
+            # The end of this body would be mistaken for the end of the item's text.
             self._end(RunEnd.BROKEN, NO_EVENTS)
         else:
             self._take_head(head, kind, verdict)
@@ -194,11 +194,11 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the runner has begun to answer: until then the item may wait there."""
+        """Tell whether the runner has begun to answer; before that the item may be queued there."""
         return self.verdict is not None
 
     def answer_data(self, data: bytes) -> None:
-        """Take whole events."""
+        """Append the complete events that these bytes bring."""
         if self._over or self._stream is None:
             return
         self._take_events(self._stream.feed(data))
@@ -217,7 +217,7 @@
             self.progress.take(event)
 
     def _begin_text(self, first: FirstEvent) -> bool:
-        """Judge the first event of a run from the start; False: that has ended the run."""
+        """Check the first event of a run from the start; return False if that ended the run."""
         beginning = StreamBeginning(self._source, first)
         is_accepted = self._is_accepted(beginning)
         self._beginnings.observe(beginning)
@@ -227,21 +227,21 @@
         return self._compare_with_unconfirmed(first)
 
     def _is_accepted(self, beginning: StreamBeginning) -> bool:
-        """Tell whether the item's text may begin so; count the run if it may not."""
+        """Tell whether the item's text may begin like this; count the run if it may not."""
         if not self._beginnings.is_lost(beginning):
             return True
         self.progress.rejected_beginnings[beginning.first] += 1
         return self.progress.rejected_beginnings[beginning.first] >= MATCHING_RUNS_ACCEPTED
 
     def _compare_with_unconfirmed(self, first: FirstEvent) -> bool:
-        """Judge an earlier run's text by how this run begins; False: that has ended this run."""
+        """Check an unconfirmed text against this run's beginning; False if that ended the run."""
         unconfirmed = self.progress.unconfirmed
         if unconfirmed is None:
             return True
         verdict = self._beginnings.judge_by_second_run(unconfirmed.beginning, first)
         if verdict == BeginningVerdict.WHOLE:
             self.progress.take_confirmed()
-            self._end(RunEnd.CONFIRMED, "begins like an earlier run")
+            self._end(RunEnd.CONFIRMED, "same beginning as an earlier run")
             return False
         if verdict == BeginningVerdict.UNKNOWN:
             self._end(RunEnd.BROKEN, LOST_BEGINNING)
@@ -250,7 +250,7 @@
         return True
 
     def answer_ended(self) -> None:
-        """Judge the whole answer."""
+        """Determine the run's end from the complete answer."""
         if self._stream is not None:
             self._end_stream(self._stream)
         else:
@@ -269,9 +269,10 @@
             self._end_whole_answer(StreamBeginning(self._source, self.progress.first_event))
 
     def _end_whole_answer(self, beginning: StreamBeginning) -> None:
-        """Judge a whole answer by what is known of beginnings at its end.
+        """Check a complete answer against the beginnings known by now.
 
-        Runs of other items, or those of an earlier leader, may have told only meanwhile.
+        Runs of other items, or progress from a previous leader, may have revealed them only during
+        this run.
         """
         has_events = beginning.first is not None
         if has_events and not self._is_accepted(beginning):
@@ -284,23 +285,23 @@
             self._end(RunEnd.WHOLE, "ended")
 
     def _is_unconfirmed(self, beginning: StreamBeginning) -> bool:
-        """Tell whether neither other streams nor runs of this item tell that the text is whole."""
+        """Tell whether neither other streams nor earlier runs of this item confirm the text."""
         matching_runs = self.progress.rejected_beginnings[beginning.first] + 1
         if matching_runs >= MATCHING_RUNS_ACCEPTED:
             return False
         return self._beginnings.judge(beginning) == BeginningVerdict.UNKNOWN
 
     def answer_failed(self, reason: str) -> None:
-        """The answer broke off."""
+        """End the run: the answer broke off."""
         self.connection_ended = reason in CONNECTION_ENDS
         self._end(RunEnd.BROKEN, reason)
 
     def request_unsent(self, reason: str) -> None:
-        """Nothing was sent."""
+        """End the run: the request was not sent."""
         self._end(RunEnd.UNREACHED, reason)
 
     def stop(self) -> None:
-        """Hear no more of this run."""
+        """Ignore everything that still comes of this run."""
         self._over = True
 
     def _end(self, end: RunEnd, reason: str) -> None:
--- a/src/rainsail/jobs/item_runs.py
+++ b/src/rainsail/jobs/item_runs.py
@@ -1,6 +1,6 @@
 """Sends items to runners, and acts on the end of each run.
 
-What follows the end of a run is decided in ``after_run``.
+``after_run`` decides what follows the end of a run.
 """
 
 from rainsail.cluster.messages import RunnerRecord
@@ -24,14 +24,14 @@
 from rainsail.routing.facts import ServerLoad
 
 IDLE_TIMEOUT_S = 4.0
-"""A run that brings no event for this long is closed, and goes on at another runner.
+"""A run without a new event for this long is closed; the item is requeued.
 
-Not measured; chosen far above the time that a runner takes to read a prompt or between two events.
+Far longer than a runner takes to read a prompt, or between two events.
 """
 
 
 class ItemRuns:
-    """Starts runs, hears how they end, and ends those that bring nothing."""
+    """Starts runs, handles their ends, and times out idle ones."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._recorder = recorder
 
     def start(self, item: OpenItem, job: RelayedJob, record: RunnerRecord, now: float) -> None:
-        """Send an item to a runner, to go on behind the last event that has come."""
+        """Send an item to a runner, which resumes after the last event received."""
         content = job.items[item.index]
         request = self._node.protocol.item_request(
             ItemRequest(job.host, content, item.progress.last_event, job.tenant),
@@ -70,7 +70,7 @@
         return StreamSource(record.service, "" if route is None else route.name)
 
     def _learn_from_previous_leader(self, item: OpenItem, source: StreamSource) -> None:
-        """Learn how streams begin from what an earlier leader has received of an item."""
+        """Learn how streams begin from the progress that a previous leader committed."""
         progress = item.progress
         if progress.from_previous_leader and progress.first_event is not None:
             self._beginnings.observe(StreamBeginning(source, progress.first_event))
@@ -96,18 +96,18 @@
         )
 
     def end_idle_runs(self) -> None:
-        """End the runs that have brought no event for ``IDLE_TIMEOUT_S``."""
+        """End the runs without a new event for ``IDLE_TIMEOUT_S``."""
         now = self._node.clock.seconds()
         for item in list(self._running):
             if item.idle_s(now) > IDLE_TIMEOUT_S and item.run is not None:
                 self._on_run_ended(item, RunEnd.BROKEN, "silent")
-                # Each further item would wait there for as long before it is known.
+                # Any other item sent there could also wait for the whole timeout.
                 self._slots.pause(item.runner, now + RUNNER_BACKOFF_MAX_S)
 
     def list_confirmed(self) -> None:
-        """List the waiting items whose texts the beginnings of other streams have confirmed.
+        """List the waiting items whose texts other streams' beginnings have confirmed meanwhile.
 
-        A text that turns out to lack its beginning is dropped; its item runs again.
+        A text that turns out to lack its first events is dropped; its item runs again.
         """
         for item in list(self._waiting.requeued_items):
             unconfirmed = item.progress.unconfirmed
@@ -141,7 +141,7 @@
         self._list_or_requeue(item, end, now)
 
     def _list_or_requeue(self, item: OpenItem, end: RunEnd, now: float) -> None:
-        """Have an item listed that is over; let any other wait for its next run."""
+        """List an item that is over; requeue any other for its next run."""
         if end == RunEnd.FAILED:
             item.progress.failures += 1
             item.failed_at_s[item.runner] = now
--- a/src/rainsail/jobs/item_starter.py
+++ b/src/rainsail/jobs/item_starter.py
@@ -1,4 +1,4 @@
-"""Starts waiting items, most urgent first, wherever a runner has a free slot for them."""
+"""Starts waiting items on free runner slots, most urgent first."""
 
 from enum import StrEnum
 
@@ -17,18 +17,18 @@
 
 
 class StartResult(StrEnum):
-    """What became of an item that was to start."""
+    """The result of trying to start an item."""
 
     WAITS_NO_LONGER = "waits_no_longer"
-    """It has started, or is over."""
+    """It has started or is over, and leaves the queue."""
     NO_SLOT = "no_slot"
-    """No runner has a free slot, and so none for the items behind it."""
+    """No runner has a free slot for it, nor for the items after it."""
     PASSED_OVER = "passed_over"
-    """It waits for a reason of its own; those behind it may start."""
+    """It has to wait, but the items after it may start."""
 
 
 class ItemStarter:
-    """Gives items to runners; the choice of the runner is ``slot_use.choose_runner``."""
+    """Assigns items to runners, which ``slot_use.choose_runner`` selects."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._wait_for_reports_until_s = 0.0
 
     def begin_leadership(self) -> None:
-        """Wait for the first report of a gateway before the first start, for a limited time."""
+        """Delay the first start until a gateway has reported, at most by ``report_wait_s``."""
         now = self._node.clock.seconds()
         self._wait_for_reports_until_s = now + self._node.settings.report_wait_s
 
@@ -77,7 +77,7 @@
         return self._slots.online.heard_any or now >= self._wait_for_reports_until_s
 
     def _keep_waiting(self, item: OpenItem, now: float) -> None:
-        """Let an item wait that the quarantine holds, and give it up once its route allows that."""
+        """Keep a quarantined item waiting; give it up once its route's time limit has passed."""
         self._waiting.skip(item)
         job = self._ledger.job_of(item)
         kept_s = 0.0 if job is None else self._routes.kept_s(job)
@@ -85,12 +85,12 @@
             return
         if self._ledger.time.at(now) - job.accepted_s >= kept_s:
             self._waiting.take(item)
-            self._recorder.item_over(item, ItemOver(False, "runners ended under it"))
+            self._recorder.item_over(item, ItemOver(False, "still quarantined at its time limit"))
 
     def _start_or_give_up(self, item: OpenItem, now: float) -> StartResult:
         """Start an item if a runner has a free slot.
 
-        An item that is not open any more, or for which there is no route, waits no longer either.
+        An item that is not open any more, or that has no route, leaves the queue as well.
         """
         if not self._ledger.is_open(item):
             return StartResult.WAITS_NO_LONGER
@@ -103,7 +103,7 @@
             return StartResult.WAITS_NO_LONGER
         service = self._split.service(route)
         if self._guard.is_held(item, service):
-            # Its turn may be another service's the next time.
+            # The next split decision may select another service.
             self._keep_waiting(item, now)
             return StartResult.PASSED_OVER
         allowed = self._routes.allowed_regions(route, job.tenant)
@@ -111,7 +111,7 @@
         if record is not None:
             self._runs.start(item, job, record, now)
             return StartResult.WAITS_NO_LONGER
-        # An item that avoids a runner holds up nobody: its slots may be free for others.
+        # The runners that this item avoids may have free slots for other items.
         return StartResult.PASSED_OVER if item.failed_at_s else StartResult.NO_SLOT
 
     def _choose_runner(
@@ -124,7 +124,7 @@
             for record in self._node.registry.ready(service)
             if self._node.regions.allows(allowed, record.zone)
         ]
-        # Its attempts must not be used up at one runner that fails every item.
+        # A runner that fails every item must not use up the item's attempts.
         preferred = [each for each in allowed_records if not item.avoids(each.runner, now)]
         records = {
             record.runner: record
--- a/src/rainsail/jobs/job_state.py
+++ b/src/rainsail/jobs/job_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of the ledger group: jobs, their items and what is listed of them."""
+"""The replicated state of the ledger group: jobs, their items and the listed results."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
@@ -22,18 +22,18 @@
 from rainsail.wire.codec import decode, encode
 
 EVENT_SEPARATOR = "\n"
-"""Stands between the data of two events in an item's text."""
+"""Separates the data of two events in an item's text."""
 NO_EVENT = -1
-"""Stands for the last event of an item of which none has come."""
+"""Last event number of an item that has received no event."""
 
 
 @dataclass(slots=True)
 class RelayedJob:
-    """One job. ``listed`` holds the results by position; ``unlisted`` the items still open."""
+    """One job: ``listed`` has the results by position, ``unlisted`` the indexes of open items."""
 
     job: str
     tenant: str
-    """The name of the tenant that handed it in, empty for none."""
+    """The name of the tenant that submitted it, empty for none."""
     host: str
     path: str
     items: list[RelayedItem]
@@ -41,24 +41,24 @@
     unlisted: set[int] = field(default_factory=set)
     ended: bool = False
     accepted_s: float = 0.0
-    """The ledger's time of the acceptance."""
+    """Ledger time of the acceptance."""
     open_tokens: int = 0
     """The tokens of all unlisted items, 0 once the job has ended."""
     notes: dict[int, ItemNote] = field(default_factory=dict)
-    """How far the runs of unlisted items have come, from their first event on."""
+    """The committed progress of unlisted items, from their first event on."""
 
     @property
     def client_id(self) -> str:
-        """What the job's client calls it."""
+        """The id under which the client submitted the job."""
         return client_id(self.tenant, self.job)
 
     @property
     def is_open(self) -> bool:
-        """Tell whether items are still to be run."""
+        """Tell whether the job has items left to run."""
         return bool(self.unlisted) and not self.ended
 
     def body(self, item: str) -> bytes | None:
-        """Return the body of an item that is not listed yet."""
+        """Return the request body of an unlisted item, None for any other."""
         for index, each in enumerate(self.items):
             if each.item == item:
                 return each.body if index in self.unlisted and not self.ended else None
@@ -66,16 +66,16 @@
 
 
 class StateObserver:
-    """Is called for what a replica applies, whether it leads or not; does nothing by default."""
+    """Callbacks for the commands that any replica applies; by default they do nothing."""
 
     def accepted(self, job: RelayedJob) -> None:
-        """A job was accepted, or read from a snapshot."""
+        """Handle a job that was accepted or restored from a snapshot."""
 
     def progressed(self, ledger_s: float, notes: tuple[ItemNote, ...]) -> None:
-        """The progress of items was committed, at a time of the ledger."""
+        """Handle committed progress of items; ``ledger_s`` is the ledger time of the commit."""
 
     def finished(self, events: int) -> None:
-        """An item ended whole, after so many events."""
+        """Handle a completed item; ``events`` is its number of events."""
 
 
 class JobState:
@@ -84,10 +84,10 @@
     def __init__(self) -> None:
         self.jobs: dict[str, RelayedJob] = {}
         self.observer = StateObserver()
-        """Is called for what is applied; not part of the state."""
+        """Called for applied commands; not part of the replicated state."""
 
     def apply(self, index: int, command: FleetCommand) -> FleetCommandOutcome:
-        """Apply the committed command at log ``index``."""
+        """Apply the committed command at log position ``index``."""
         match command:
             case AcceptJob():
                 self._accept(command)
@@ -104,7 +104,7 @@
             case NoOperation():
                 pass
             case _:
-                detail = f"{type(command).__name__} is no command of the ledger"
+                detail = f"{type(command).__name__} is not a ledger command"
                 return Fault(FaultCode.INVALID, "jobs.apply", detail)
         return Done()
 
@@ -138,7 +138,7 @@
             self.observer.finished(outcome.text.count(EVENT_SEPARATOR) + 1)
 
     def _note(self, note: ItemNote) -> None:
-        """Add a note that goes on where the last one of its item ended; drop any other."""
+        """Append a progress note that continues the item's last one; ignore any other."""
         job = self.jobs.get(note.job)
         if job is None or job.ended or note.index not in job.unlisted:
             return
@@ -159,7 +159,7 @@
         return Done()
 
     def waiting_tokens(self, tenant: str, host: str, prefix: str) -> int:
-        """Return a tenant's tokens that wait on a route: those of its jobs' unlisted items."""
+        """Return the tokens of the unlisted items of a tenant's jobs on a route."""
         return sum(
             job.open_tokens
             for job in self.jobs.values()
@@ -169,12 +169,12 @@
         )
 
     def snapshot(self) -> Iterator[bytes]:
-        """Return one chunk for each job, as they are at the call."""
+        """Return one chunk for each job, encoded at the time of the call."""
         chunks = [encode(_snapshot_of(job)) for job in self.jobs.values()]
         return iter(chunks)
 
     def restore(self, chunks: Iterable[bytes]) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with a snapshot."""
         jobs = [_job_of(decode(chunk)) for chunk in chunks if chunk]
         self.jobs = {job.job: job for job in jobs}
         for job in jobs:
--- a/src/rainsail/jobs/ledger_service.py
+++ b/src/rainsail/jobs/ledger_service.py
@@ -1,4 +1,4 @@
-"""The ledger's leader as gateways call it: it takes jobs in and answers reads of their results."""
+"""Serves the gateways' calls on the ledger's leader: job submissions and reads of results."""
 
 from typing import Any
 
@@ -29,17 +29,14 @@
 from rainsail.wire.messenger import Messenger
 
 MAX_PAGE_BYTES = 700_000
-"""Text of one page of results.
-
-Not measured; chosen so that a page stays under a megabyte with what JSON adds to it.
-"""
+"""Maximum text size of one page of results; the JSON encoding of a page stays below a megabyte."""
 
 
 class LedgerService:
     """Serves jobs over the messenger while this node leads the ledger group.
 
-    Reads are answered from this node's own state: while it holds the leader's lease, which a quorum
-    renews, no other node can have committed anything.
+    Reads are answered from local state: while this node holds the leader lease, which a quorum
+    renews, no other node can commit.
     """
 
     def __init__(
@@ -57,15 +54,15 @@
         messenger.serve(EndJobCall, self._end)
 
     def serve_group(self, group: GroupDriver) -> None:
-        """Begin to answer for a group whose storage is open."""
+        """Begin to serve a group whose storage is open."""
         self._group = group
         group.on_applied(lambda index: self._held.release_where(self._has_news))
 
     def _refusal(self, step: str) -> Fault | None:
-        """Return the fault with which a node answers that does not lead, None when it leads."""
+        """Return the fault to answer with if this node does not lead, None if it leads."""
         group = self._group
         if group is None:
-            return Fault(FaultCode.NOT_LEADER, step, "the ledger is not open here")
+            return Fault(FaultCode.NOT_LEADER, step, "this node has not opened the ledger")
         if not group.is_leader():
             return Fault(FaultCode.NOT_LEADER, step, "another node leads", group.leader())
         return None
@@ -134,7 +131,7 @@
         return self._held.hold(message)
 
     def _has_news(self, message: ReadResults) -> bool:
-        """Tell whether a read is answered at once: waiting would bring nothing more."""
+        """Tell whether a read can be answered at once: it has a result, or none will follow."""
         job = self._state.jobs.get(message.job)
         return job is None or not job.is_open or len(job.listed) > message.after
 
@@ -149,7 +146,7 @@
 
 
 def page_of(job: RelayedJob, after: int) -> ResultPage:
-    """Return the results from a position on, at least one if there is one."""
+    """Return the page of results from a position on; it has at least one result if any exists."""
     entries: list[ResultEntry] = []
     size = 0
     for listed in job.listed[max(0, after) :]:
@@ -161,7 +158,7 @@
 
 
 def _reply(result: Any, answer: RelayedJobAccepted | JobEnded) -> Any:
-    """Return the reply to a proposal: the answer once it is committed and applied, or a fault."""
+    """Return the reply to a proposal: ``answer`` once committed and applied, else the fault."""
     if result.is_error():
         return Error(result.error)
     outcome = result.ok[1]
--- a/src/rainsail/jobs/ledger_time.py
+++ b/src/rainsail/jobs/ledger_time.py
@@ -1,27 +1,27 @@
-"""The ledger's own time, which goes on across changes of its leader and losses of all power.
+"""Ledger time: a replicated clock that continues across leader changes and full power losses.
 
-The leader writes it into the jobs that it accepts and into the progress of items; every replica
-carries it on by its own clock in between. So a leader knows how old a job is, though it may have
-been started only now. The time of day would not do: it may jump on any machine. The time during
-which no replica was up is not counted.
+The leader writes it into accepted jobs and committed progress; in between, every replica advances
+it by its own monotonic clock. A leader that has just started thus knows the age of each job.
+Wall-clock time is unsuitable because it may jump on any machine. Time during which no replica runs
+does not count.
 """
 
 
 class LedgerTime:
-    """Seconds since the first job was accepted, about the same on every replica."""
+    """Seconds since the first job was accepted, approximately equal on all replicas."""
 
     def __init__(self) -> None:
         self._ledger_s = 0.0
         self._set_at_s: float | None = None
 
     def advance(self, ledger_s: float, now: float) -> None:
-        """Take a time that the ledger holds, never going back; ``now`` is the node's clock."""
+        """Advance to a committed ledger time, never backwards; ``now`` is the node's clock."""
         if self._set_at_s is None or ledger_s > self.at(now):
             self._ledger_s = ledger_s
             self._set_at_s = now
 
     def at(self, now: float) -> float:
-        """Return the ledger's time at a time of the node's clock."""
+        """Convert a time of the node's clock to ledger time."""
         if self._set_at_s is None:
             self._set_at_s = now
         return self._ledger_s + now - self._set_at_s
--- a/src/rainsail/jobs/messages.py
+++ b/src/rainsail/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Calls of gateways to the ledger's leader."""
+"""Messages between gateways and the ledger's leader."""
 
 from dataclasses import dataclass
 
@@ -10,20 +10,20 @@
 @wire_type("QueueLimit")
 @dataclass(frozen=True, slots=True)
 class QueueLimit:
-    """How many tokens of a tenant may wait on a route; 0 stands for any number."""
+    """The maximum of a tenant's waiting tokens on a route; 0: unlimited."""
 
     prefix: str
-    """The route's prefix: a job of the same host whose path begins so is of the same route."""
+    """The route's path prefix: jobs of the same host with this prefix share the route."""
     tokens: int
 
 
 @wire_record("SubmitRelayedJob")
 @dataclass(frozen=True, slots=True)
 class SubmitRelayedJob:
-    """Asks the leader to keep a whole job; the same id again is accepted again.
+    """Submits a complete job to the leader. Idempotent: a known id is accepted again.
 
-    The gateway names the limit of the route by which it took the job, since a leader may have been
-    started only now and know no table yet.
+    The gateway passes the limit of the job's route, because a leader that has just started may not
+    have a routing table yet.
     """
 
     job: str
@@ -37,7 +37,7 @@
 @wire_record("RelayedJobAccepted")
 @dataclass(frozen=True, slots=True)
 class RelayedJobAccepted:
-    """A quorum has synced the whole job."""
+    """Reply to ``SubmitRelayedJob``: a quorum has synced the complete job."""
 
     job: str
 
@@ -45,7 +45,7 @@
 @wire_record("ReadResults")
 @dataclass(frozen=True, slots=True)
 class ReadResults:
-    """Asks for the results from a position on, held up to ``wait_s`` until there is one."""
+    """Requests the results from position ``after`` on, waiting up to ``wait_s`` for the first."""
 
     job: str
     after: int
@@ -55,7 +55,7 @@
 @wire_type("ResultEntry")
 @dataclass(frozen=True, slots=True)
 class ResultEntry:
-    """One result: the item's id, whether it is done, and its text."""
+    """One result: the item's id, whether it is done or was given up, and its text."""
 
     item: str
     done: bool
@@ -65,7 +65,7 @@
 @wire_record("ResultPage")
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results at positions ``after`` and on, of ``total`` items."""
+    """Results from position ``after`` on, of a job of ``total`` items."""
 
     job: str
     total: int
@@ -76,7 +76,7 @@
 @wire_record("ReadItemBody")
 @dataclass(frozen=True, slots=True)
 class ReadItemBody:
-    """Asks for the body of an item that is not listed yet."""
+    """Requests the body of an unlisted item."""
 
     job: str
     item: str
@@ -85,7 +85,7 @@
 @wire_record("ItemBodyFound")
 @dataclass(frozen=True, slots=True)
 class ItemBodyFound:
-    """The body, byte by byte as it was handed in."""
+    """The body, byte for byte as it was submitted."""
 
     body: bytes
 
@@ -93,7 +93,7 @@
 @wire_record("EndJobCall")
 @dataclass(frozen=True, slots=True)
 class EndJobCall:
-    """Asks the leader to run nothing more of a job."""
+    """Ends a job: none of its items is run any more."""
 
     job: str
 
@@ -101,6 +101,6 @@
 @wire_record("JobEnded")
 @dataclass(frozen=True, slots=True)
 class JobEnded:
-    """The end is committed."""
+    """Reply to ``EndJobCall``: the end is committed."""
 
     job: str
--- a/src/rainsail/jobs/open_item.py
+++ b/src/rainsail/jobs/open_item.py
@@ -1,4 +1,4 @@
-"""An item that is not listed yet, as the ledger's leader keeps it from run to run."""
+"""An unlisted item, as the ledger's leader tracks it between runs."""
 
 from dataclasses import dataclass, field
 
@@ -12,85 +12,86 @@
 
 @dataclass(slots=True)
 class OpenItem:
-    """One item's progress, and its run if it has one now; times are of the node's clock."""
+    """One item's progress, and its current run if any; times are of the node's clock."""
 
     job: str
-    """The job's id within the whole ledger."""
+    """The job's scoped id."""
     index: int
-    """The item's place among the items of its job."""
+    """The item's index in its job."""
     progress: ItemProgress = field(default_factory=ItemProgress)
     ready_at_s: float = 0.0
-    """The item takes no run before this time."""
+    """The earliest time of the next run."""
     runner: str = ""
-    """Where the item runs or ran last."""
+    """The runner of the current run, or of the last one."""
     run: ItemRun | None = None
     call: Call | None = None
     started_s: float = 0.0
-    """When the present run, or the last one, began."""
+    """Start of the current run, or of the last one."""
     ran_s: float = 0.0
-    """The duration of all runs that are over."""
+    """Total duration of the runs that are over."""
     events_seen: int = 0
-    """The events there were when the run was last looked at."""
+    """The number of events at the last check for idleness."""
     last_event_s: float = 0.0
-    """When a new event was last seen, or the run began."""
+    """Time of the last check that found new events, or start of the run."""
     events_committed: int = 0
-    """How many events the ledger keeps, or has been asked to keep and has not refused."""
+    """Events that are committed to the ledger, or proposed to it and not refused."""
     events_at_start: int = 0
     runs_without_event: int = 0
-    """How many runs in a row broke without a new event."""
+    """Consecutive broken runs without a new event."""
     failed_at_s: dict[str, float] = field(default_factory=dict)
-    """When each runner last answered the item with a failure."""
+    """Time of the last failure that each runner answered for this item."""
     fingerprints: dict[str, Fingerprint] = field(default_factory=dict)
-    """What the item has in common with its repetitions, by service where its route is split."""
+    """The item's fingerprints, by service if its route is split."""
 
     @property
     def events(self) -> int:
-        """The events that have come."""
+        """The number of events received."""
         return len(self.progress.texts)
 
     @property
     def begun(self) -> bool:
-        """Tell whether some of the answer has come, so that another run has less to do."""
+        """Tell whether part of the answer has been received, so that the next run is shorter."""
         return bool(self.progress.texts)
 
     def running_s(self, now: float) -> float:
-        """Return how long the item has run in all, its present run included."""
+        """Return the total duration of the item's runs, including the current one."""
         return self.ran_s + (now - self.started_s if self.run is not None else 0.0)
 
     def begin_run(self, runner: str, now: float) -> None:
-        """Set what a run begins with."""
+        """Reset the state of the current run."""
         self.runner = runner
         self.started_s = self.last_event_s = now
         self.events_seen = self.events_at_start = self.events
 
     def avoids(self, runner: str, now: float) -> bool:
-        """Tell whether the item goes to another ready runner if there is one."""
+        """Tell whether the item prefers other ready runners after a recent failure at this one."""
         failed_s = self.failed_at_s.get(runner)
         return failed_s is not None and now - failed_s < RUNNER_AVOIDANCE_S
 
     def idle_s(self, now: float) -> float:
-        """Return how long the run has brought no event; to be asked regularly."""
+        """Return the time since the last new event; must be called regularly to notice events."""
         if self.events != self.events_seen:
             self.events_seen = self.events
             self.last_event_s = now
         return now - self.last_event_s
 
     def count_runs_without_event(self) -> int:
-        """Count a run that broke; return how many in a row have broken without a new event."""
+        """Count a broken run; return the number of consecutive ones without a new event."""
         brought_events = self.events > self.events_at_start
         self.runs_without_event = 0 if brought_events else self.runs_without_event + 1
         return self.runs_without_event
 
     def forget_dropped_events(self) -> None:
-        """Count only events that are still there: a run may have been dropped from its start.
+        """Lower the count of committed events after a run was discarded from its start.
 
-        The ledger may keep a note of the dropped events. It takes no other note of the item then,
-        and a new leader that goes on from there judges the beginning again at the end.
+        The ledger may still have a progress note of the discarded events. It then rejects further
+        notes of the item, and a new leader that resumes from that note checks the beginning again
+        at the end of the answer.
         """
         self.events_committed = min(self.events_committed, self.events)
 
     def close_run(self, now: float) -> None:
-        """Close the run's connection; nothing of this run is taken any more."""
+        """Close the run's connection and ignore whatever still arrives for it."""
         self.ran_s = self.running_s(now)
         if self.run is not None:
             self.run.stop()
@@ -101,7 +102,7 @@
 
 
 def resume_item(job: RelayedJob, index: int) -> OpenItem:
-    """Return an open item that goes on where the progress that the ledger keeps ends."""
+    """Return an open item that resumes after its committed progress."""
     item = OpenItem(job.job, index)
     note = job.notes.get(index)
     if note is not None:
@@ -114,7 +115,7 @@
 
 
 def take_new_progress(item: OpenItem) -> ItemNote | None:
-    """Return what has come since the last call and count it as kept; None when nothing has."""
+    """Return the progress since the last call and count it as committed; None if there is none."""
     progress = item.progress
     texts = tuple(progress.texts[item.events_committed :])
     if not texts or progress.last_event is None:
--- a/src/rainsail/jobs/open_jobs.py
+++ b/src/rainsail/jobs/open_jobs.py
@@ -1,4 +1,4 @@
-"""Takes up the items of open jobs, and drops those that are not to be run any more."""
+"""Enqueues the items of open jobs, and drops those of ended ones."""
 
 from rainsail.jobs.context import Ledger
 from rainsail.jobs.dispatch_state import DispatchState
@@ -7,7 +7,7 @@
 
 
 class OpenJobs:
-    """Compares the ledger's jobs with what this leader has taken up."""
+    """Synchronises the queue of items with the ledger's jobs."""
 
     def __init__(self, ledger: Ledger, state: DispatchState, planner: ItemPlanner) -> None:
         self._ledger = ledger
@@ -17,11 +17,11 @@
         self._enqueued: set[str] = set()
 
     def clear(self) -> None:
-        """Forget which jobs were taken up, so that all are taken up anew."""
+        """Forget which jobs were enqueued, so that the next round enqueues all of them."""
         self._enqueued.clear()
 
     def enqueue_new(self) -> None:
-        """Let the unlisted items of each job wait that was not taken up before."""
+        """Enqueue the unlisted items of each job that was not enqueued before."""
         for job in self._ledger.state.jobs.values():
             if job.job in self._enqueued:
                 continue
@@ -33,11 +33,11 @@
             self._waiting.add_job(job.job, items)
 
     def drop_ended(self, now: float) -> None:
-        """Drop the waiting items of jobs that are not open, and close runs nobody needs."""
+        """Drop the waiting items of ended jobs, and close the runs of items that are not open."""
         self._waiting.drop(self._ledger.is_job_open)
         self._running.stop_where(lambda item: not self._ledger.is_open(item), now)
 
     def forget_dropped(self) -> None:
-        """Forget jobs that the ledger does not keep any more."""
+        """Forget jobs that the ledger has deleted."""
         self._enqueued.intersection_update(self._ledger.state.jobs)
         self._planner.order.due.keep_only(self._ledger.state.jobs)
--- a/src/rainsail/jobs/other_callers.py
+++ b/src/rainsail/jobs/other_callers.py
@@ -1,8 +1,8 @@
-"""Load from callers that neither the gateways' reports nor this leader's items account for.
+"""Estimates load that neither the gateways' reports nor this leader's items account for.
 
-A ledger leader that loses its power leaves its items running: their connections end only when the
-runners notice. What a runner reports of its load, less the requests known to run there, counts as
-taken slots and fades over the time that an item takes to end.
+When a ledger leader loses power, its items keep running until the runners notice the dead
+connections. The load that a runner reports, minus the requests known to run there, is therefore
+counted as taken slots. It decays over the time that an item takes to end.
 """
 
 from dataclasses import dataclass
@@ -10,9 +10,7 @@
 from rainsail.routing.facts import ServerLoad
 
 REPORT_DECAY_S = 4.0
-"""Time after which a report no longer counts.
-
-Not measured by itself; chosen so that an item that was running at the report has probably ended.
+"""Time in which a report decays to zero; items running at the report have probably ended by then.
 """
 
 
@@ -23,18 +21,18 @@
 
 
 class OtherCallersLoad:
-    """The unaccounted requests at each runner by its last report, falling to 0 with time."""
+    """The unaccounted requests at each runner by its last report, decaying linearly to 0."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
 
     def on_load_report(self, runner: str, load: ServerLoad, known: int, now: float) -> None:
-        """Take a runner's report, of which ``known`` requests are accounted for."""
+        """Record a runner's report, of which ``known`` requests are accounted for."""
         unaccounted = max(0, load.running + load.waiting - known)
         self._reports[runner] = _Report(unaccounted, now)
 
     def forget(self, runner: str) -> None:
-        """Forget what a runner reported."""
+        """Forget a runner's report."""
         self._reports.pop(runner, None)
 
     def clear(self) -> None:
@@ -42,7 +40,7 @@
         self._reports.clear()
 
     def at(self, runner: str, now: float) -> int:
-        """Return how many unaccounted requests a runner probably still has."""
+        """Return the estimated number of unaccounted requests that a runner still has."""
         report = self._reports.get(runner)
         if report is None:
             return 0
--- a/src/rainsail/jobs/outcome_batcher.py
+++ b/src/rainsail/jobs/outcome_batcher.py
@@ -1,4 +1,4 @@
-"""Commits the outcomes of items, those of a job together, as few commands of the ledger group."""
+"""Commits the outcomes of items to the ledger group in batches, one command for each job."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,19 +8,13 @@
 from rainsail.state.job_commands import ItemOutcome, ListOutcomes
 
 BATCHING_DELAY_S = 0.02
-"""Outcomes that come within this time share a command.
-
-Not measured; chosen to be short against the run of an item.
-"""
+"""Time over which outcomes are collected into a batch; short compared to an item's run."""
 RETRY_S = 0.2
-"""Time between a refused commit and the next try.
-
-Not measured; chosen so that a group that is busy is not asked more often than five times a second.
-"""
+"""Delay before a refused commit is retried; limits retries to five a second at a busy group."""
 
 
 class OutcomeBatcher:
-    """Commits outcomes job by job; a refused commit is tried again while this node leads."""
+    """Commits outcomes job by job; retries refused commits while this node leads."""
 
     def __init__(self, propose: Callable[[ListOutcomes], Any], clock: Clock) -> None:
         self._propose = propose
@@ -30,16 +24,16 @@
         self._active = False
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start committing."""
         self._active = True
 
     def stop(self) -> None:
-        """Drop what is not committed: another leader runs those items again."""
+        """Drop uncommitted outcomes; the next leader runs those items again."""
         self._active = False
         self._gathered = {}
 
     def add(self, job: str, outcome: ItemOutcome) -> None:
-        """Commit an outcome soon."""
+        """Queue an outcome; it is committed within ``BATCHING_DELAY_S`` unless refused."""
         self._gathered.setdefault(job, []).append(outcome)
         self._plan(BATCHING_DELAY_S)
 
--- a/src/rainsail/jobs/placement_service.py
+++ b/src/rainsail/jobs/placement_service.py
@@ -1,10 +1,10 @@
-"""The ledger's leader as gateways call it: it takes their reports and places their requests.
+"""Serves the gateways' load reports and placement requests on the ledger's leader.
 
-While a service has slots to spare gateways choose runners by themselves, and the leader sends them
-nothing. Once a service is busy, the leader answers each report of a gateway that has requests under
-way there with the service's load, and the gateway asks for a place for each request. A leader that
-is asked too often has gateways choose by themselves for a while; from its answers to their reports
-they still know how busy the service is.
+While a service has spare slots, gateways choose runners by themselves and the leader sends them
+nothing. Once a service is busy, the leader answers each report of a gateway that has requests in
+flight there with the service's load, and the gateway then requests a placement for each request. A
+leader that gets too many placement requests tells gateways to choose by themselves for a while;
+from its answers to their reports they still know how busy the service is.
 """
 
 from collections import deque
@@ -28,31 +28,31 @@
 BUSY_SHARE = 0.6
 """A service is busy once online work holds this share of its slots.
 
-Not measured by itself (with the whole of placement, worth 0.672 before and 0.806 after on one day);
-chosen so that gateways ask before the slots run out.
+Below 1, so that gateways request placements before the slots run out. Placement as a whole raised
+the benchmark score of one day from 0.672 to 0.806; this share was not varied by itself.
 """
 LOAD_COUNT_PERIOD_S = 0.04
-"""A service's load is counted once in this time for reports, however many gateways report.
+"""Time for which a service's counted load is reused, however many gateways report.
 
-Not measured; chosen as two periods of the gateways' reports (20 ms).
+Two periods of the gateways' reports (20 ms each).
 """
 MAX_REQUESTS_PER_S = 800
-"""Requests for a place beyond which the leader has gateways choose by themselves.
+"""Rate of placement requests above which gateways are told to choose by themselves.
 
-Not measured; chosen so that a leader's processor is left to the ledger.
+Leaves the leader's processor time to the ledger.
 """
 PLACING_PAUSE_S = 2.0
 """Time for which gateways then choose by themselves.
 
-Not measured; chosen longer than a burst's steepest part, so that gateways do not alternate.
+Longer than the steepest part of a burst, so that gateways do not alternate between the modes.
 """
 REQUEST_WINDOW_S = 1.0
-"""Time over which requests for a place are counted."""
+"""Sliding window over which placement requests are counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementFleet:
-    """What is known of the runners: their records, online work, warm-ups and regions."""
+    """The state of the runners: their records, online work, warm-ups and regions."""
 
     registry: RunnerRegistry
     online: OnlineUseTracker
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemsAtRunners:
-    """What placement needs of the items: their number at a runner, and to have them preempted."""
+    """Access to the items at a runner: their number, and their preemption."""
 
     count_at: Callable[[str], int]
     preempt_at: Callable[[str], None]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CountedLoad:
-    """A service's online requests and slots when they were counted last."""
+    """A service's online requests and slots at the time of the last count."""
 
     counted_s: float
     online: int
@@ -78,7 +78,7 @@
 
 
 class PlacementService:
-    """Answers while this node leads."""
+    """Handles reports and placement requests; answers them while this node leads."""
 
     def __init__(
         self,
@@ -90,9 +90,9 @@
         random: Random,
         metrics: NodeMetrics,
     ) -> None:
-        """``leads`` tells whether this node leads and knows a routing table.
+        """``leads`` tells whether this node leads and has a routing table.
 
-        Without the table it does not know how much runners bear while they warm up.
+        The table is required because it has the load limits of runners that warm up.
         """
         self._messenger = messenger
         self._clock = clock
@@ -112,22 +112,22 @@
         )
         self._loads: dict[str, _CountedLoad] = {}
         self._busy_services: dict[str, set[str]] = {}
-        """The services of which each gateway knows that they are busy, by its last answer."""
+        """The services that each gateway was last told are busy."""
         self._requested_s: deque[float] = deque()
-        """When a place was asked for, within ``REQUEST_WINDOW_S``."""
+        """Times of the placement requests within ``REQUEST_WINDOW_S``."""
         self._paused_until_s = float("-inf")
         messenger.serve(OnlineUse, self._on_report)
         messenger.serve(PlaceRequest, self._on_place_request)
 
     def on_leadership_changed(self) -> None:
-        """Forget what was learnt under another leadership."""
+        """Discard state from an earlier leadership."""
         self._outliers.clear()
         self._busy_services.clear()
         self._loads.clear()
         self._fleet.warm_ups.begin(self._clock.seconds())
 
     def on_runner_restarted(self, runner: str) -> None:
-        """Forget the failures of a runner before it restarted."""
+        """Forget the failures of a runner from before its restart."""
         self._outliers.forget(runner)
 
     # --- reports -------------------------------------------------------------------------
@@ -144,7 +144,7 @@
             self._answer_report(gateway, service, busy_before)
 
     def _take_outcomes(self, message: OnlineUse) -> None:
-        """Have all gateways leave out the runners that fail too often, over all reports."""
+        """Count outcomes over all reports; have all gateways eject runners that fail too often."""
         now = self._clock.seconds()
         for each in message.outcomes:
             out_s = self._outliers.record(each.runner, each.answered, each.failed, now)
@@ -155,7 +155,7 @@
                 self._messenger.send_all(self._fleet.online.gateways(), unsound)
 
     def _answer_report(self, gateway: str, service: str, busy_before: set[str]) -> None:
-        """Send a gateway the load of a service that is busy, and once when it is so no more."""
+        """Send a gateway the load of a busy service, and once more when it stops being busy."""
         load = self._count(service)
         busy = load.online >= BUSY_SHARE * load.slots
         if not busy and service not in busy_before:
@@ -192,7 +192,7 @@
         return placement
 
     def _count_request(self, now: float) -> None:
-        """Have gateways choose by themselves for a while when they ask too often."""
+        """Count a placement request; pause placement for a while if there are too many."""
         self._requested_s.append(now)
         while self._requested_s[0] < now - REQUEST_WINDOW_S:
             self._requested_s.popleft()
--- a/src/rainsail/jobs/preemptor.py
+++ b/src/rainsail/jobs/preemptor.py
@@ -1,6 +1,6 @@
-"""Preempts the least urgent items of runners whose slots online work needs.
+"""Preempts the least urgent items at runners whose slots online work needs.
 
-A preempted item goes on later, behind the last event that has come.
+A preempted item is resumed later, after the last event received.
 """
 
 from rainsail.jobs.context import DispatchNode
@@ -12,7 +12,7 @@
 
 
 class Preemptor:
-    """Closes runs; how many is ``slot_use.items_to_preempt``, which ones is the item order's."""
+    """Closes as many runs as ``slot_use.items_to_preempt`` says, the least urgent first."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         self._recorder = recorder
 
     def preempt_everywhere(self) -> None:
-        """Preempt items at each runner that is overfull."""
+        """Preempt items at each overloaded runner."""
         for runner in self._running.runners():
             self.preempt_at(runner)
 
     def preempt_at(self, runner: str) -> None:
-        """Preempt as many of a runner's items as online work needs slots there."""
+        """Preempt items at a runner to free the slots that online requests need there."""
         record = self._node.registry.get(runner)
         items = self._running.at(runner)
         if record is None or not items:
--- a/src/rainsail/jobs/progress_committer.py
+++ b/src/rainsail/jobs/progress_committer.py
@@ -1,4 +1,4 @@
-"""Has the ledger keep what has come of running items, so that the next leader goes on there."""
+"""Commits the progress of running items to the ledger, so that the next leader can resume them."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 from rainsail.state.job_commands import ItemNote, NoteProgress
 
 CommittedCounts = list[tuple[OpenItem, int]]
-"""Items, each with the number of its events that the ledger kept before a command went out."""
+"""Items, each with its number of committed events before a command was proposed."""
 
 
 class ProgressCommitter:
@@ -22,12 +22,12 @@
         self._active = False
 
     def start(self) -> None:
-        """Commit the progress now and periodically from now on."""
+        """Commit the progress now and then periodically."""
         self._active = True
         self._commit_periodically()
 
     def stop(self) -> None:
-        """Commit no more."""
+        """Stop committing."""
         self._active = False
 
     def _commit_periodically(self) -> None:
@@ -37,10 +37,10 @@
         self._node.clock.callLater(self._node.settings.progress_period_s, self._commit_periodically)
 
     def _commit_progress(self) -> None:
-        """Commit what has come since the last time.
+        """Commit the progress since the last call.
 
-        While items only wait, the ledger's time alone is committed: the next leader has to know
-        how old they are.
+        While items only wait, the command carries no notes but the ledger time, from which the next
+        leader knows the age of the items.
         """
         notes: list[ItemNote] = []
         committed_before: CommittedCounts = []
@@ -56,9 +56,9 @@
             kept.addCallback(self._on_answer, committed_before)
 
     def _on_answer(self, result: Any, committed_before: CommittedCounts) -> None:
-        """Commit what was refused again with the next command: the ledger takes no gaps.
+        """Include refused progress in the next command, since the ledger rejects gaps.
 
-        An unclear answer is treated alike. It comes only when this node no longer leads, and then
+        An unknown outcome is treated alike: it occurs only when this node no longer leads, and then
         these runs are over.
         """
         if result.is_error():
--- a/src/rainsail/jobs/queue_limits.py
+++ b/src/rainsail/jobs/queue_limits.py
@@ -1,4 +1,4 @@
-"""Whether a job fits its tenant's limit of waiting tokens on a route."""
+"""Admission of jobs by the tenant's limit of waiting tokens on a route."""
 
 from rainsail.errors import Fault, FaultCode
 from rainsail.jobs.job_ids import client_id
@@ -8,26 +8,26 @@
 
 
 class QueueLimits:
-    """Counts the tokens of accepted jobs, and of those whose acceptance is under way."""
+    """Counts the waiting tokens of accepted jobs and of pending proposals."""
 
     def __init__(self, state: JobState) -> None:
         self._state = state
         self._proposed: dict[str, SubmitRelayedJob] = {}
 
     def begin(self, message: SubmitRelayedJob) -> None:
-        """Count a job as accepted from when its acceptance is proposed."""
+        """Count a job from the moment that its acceptance is proposed."""
         self._proposed[message.job] = message
 
     def end(self, job: str) -> None:
-        """Count a job by the state alone: its proposal is over, whatever came of it."""
+        """Stop counting a proposal that has ended; from now on the replicated state counts."""
         self._proposed.pop(job, None)
 
     def refusal(self, message: SubmitRelayedJob) -> Fault | None:
-        """Return the fault of a job that does not fit, None when it does.
+        """Return the fault of a job that exceeds the limit, None if it fits.
 
-        The fault promises that the job was not accepted and will not be. That holds although the
-        job may have been proposed to a leader before: all that came before this leader's term is
-        applied, so its log holds no other proposal of the job.
+        The fault guarantees that the job was not accepted and will not be. This holds even if the
+        job was proposed to an earlier leader: this leader has applied all entries from before its
+        term, so its log has no other proposal of the job.
         """
         limit = message.limit
         if not limit.tokens or message.job in self._proposed:
@@ -39,11 +39,11 @@
         job = client_id(message.tenant, message.job)
         log = logger.bind(job=job, tenant=message.tenant, waiting=waiting, limit=limit.tokens)
         log.info("job_over_limit")
-        detail = f"{waiting} tokens wait, {asked} more don't fit {limit.tokens}"
+        detail = f"{waiting} tokens are waiting, {asked} more exceed the limit of {limit.tokens}"
         return Fault(FaultCode.OVER_LIMIT, "jobs.submit", detail)
 
     def _waiting_tokens(self, message: SubmitRelayedJob) -> int:
-        """Return the tokens that wait already of the same tenant on the same route."""
+        """Return the tokens that already wait for the same tenant on the same route."""
         prefix = message.limit.prefix
         proposed = sum(
             _tokens(each)
--- a/src/rainsail/jobs/reserve.py
+++ b/src/rainsail/jobs/reserve.py
@@ -1,12 +1,11 @@
-"""How many items may run at once while batch work has time to spare.
+"""Limits the items that run at once while batch work has slack, to keep slots free for online work.
 
-Items that start in every free slot are preempted as soon as online work comes back, and until they
-are, requests wait. So as long as all items can be in time on fewer slots, the others stay free: as
-many as online work held more of lately than it holds now. Where batch work has no time to spare
-nothing is kept free.
+Items in every free slot have to be preempted as soon as online work returns, and requests wait
+meanwhile. So if all items can be in time on fewer slots, as many slots stay free as the recent peak
+of online work exceeds its current use. If batch work has no slack, nothing is reserved.
 
-The limit holds over a whole service. Which runners keep slots free follows from where items start:
-always where most slots are free.
+The limit applies to a whole service. Since items always start where most slots are free, the free
+slots spread over the runners.
 """
 
 from collections import deque
@@ -17,28 +16,25 @@
 from rainsail.jobs.feasibility import Demand
 
 PEAK_WINDOW_S = 10.0
-"""A peak of online work counts for this long.
-
-Not measured by itself; chosen to cover the pause between two bursts of some seconds.
-"""
+"""Window of the peak of online work; covers the gap between two bursts of some seconds each."""
 PLANNED_TIME_SHARE = 0.2
-"""Items are planned to end within this share of the time that they have.
+"""Items are planned to end within this share of their remaining time.
 
-The rest makes up for what the plan does not know: bursts, runners that leave, runs that break off.
-Measured on four seeds of one site's days, mean worth: 0.807 without a reserve, 0.796 with a share
-of 0.5, 0.799 with 0.35, 0.822 with 0.2; on drawn loads 0.2 costs no items and 0.5 up to 4 %.
+The rest covers what the plan cannot foresee: bursts, leaving runners, broken runs. Mean benchmark
+score on four seeds of one site's days: 0.807 without a reserve, 0.796 with a share of 0.5, 0.799
+with 0.35, 0.822 with 0.2. On random loads, 0.2 costs no items in time and 0.5 up to 4 %.
 """
 PLANNING_HORIZON_S = 60.0
-"""Items without a due time are planned as if they were due so much later.
+"""Items are planned as if due within this time at the latest, also those without a due time.
 
-Not measured; chosen so that they go on while online work is calm.
+Such items thus make progress while there is little online work.
 """
 
 
 def slots_needed(demands: Iterable[Demand], now: float) -> float:
-    """Return the fewest slots on which all items end within the planned share of their time.
+    """Return the minimum of slots on which all items end within the planned share of their time.
 
-    Infinite when some item has no time left.
+    Infinite if some item has no time left.
     """
     most = 0.0
     remaining_s = 0.0
@@ -58,14 +54,14 @@
 
 
 class RecentPeak:
-    """The highest of the values seen within ``PEAK_WINDOW_S``."""
+    """Maximum of the values within a sliding window of ``PEAK_WINDOW_S``."""
 
     def __init__(self) -> None:
         self._falling: deque[_Sample] = deque()
-        """Each value is lower than those before it."""
+        """Samples in order of time and strictly falling value; the first is the maximum."""
 
     def on_value(self, value: int, now: float) -> None:
-        """Take the present value."""
+        """Add the current value."""
         while self._falling and self._falling[-1].value <= value:
             self._falling.pop()
         self._falling.append(_Sample(now, value))
@@ -73,28 +69,28 @@
             self._falling.popleft()
 
     def value(self) -> int:
-        """Return the peak, 0 before anything was seen."""
+        """Return the peak, 0 without any value."""
         return self._falling[0].value if self._falling else 0
 
 
 class Reserve:
-    """Limits on the items that run at once, by service."""
+    """Concurrency limits of items, by service."""
 
     def __init__(self) -> None:
         self._peaks: dict[str, RecentPeak] = {}
         self._limits: dict[str, int] = {}
 
     def clear(self) -> None:
-        """Forget everything: another node has led meanwhile."""
+        """Discard all state, as another node has led meanwhile."""
         self._peaks.clear()
         self._limits.clear()
 
     def on_online_seen(self, service: str, online: int, now: float) -> None:
-        """Note how many online requests a service has under way."""
+        """Record how many online requests a service has in flight."""
         self._peaks.setdefault(service, RecentPeak()).on_value(online, now)
 
     def plan(self, service: str, slots: int, needed: float | None) -> None:
-        """Decide on a service's limit; ``needed`` is None where batch has no time to spare."""
+        """Compute a service's limit; ``needed`` is None if batch work has no slack."""
         if needed is None or needed >= slots:
             self._limits.pop(service, None)
             return
@@ -102,5 +98,5 @@
         self._limits[service] = max(ceil(needed), slots - peak)
 
     def limit(self, service: str) -> int | None:
-        """Return how many items may run at once, None when there is no limit."""
+        """Return how many items may run at once, None if unlimited."""
         return self._limits.get(service)
--- a/src/rainsail/jobs/retention.py
+++ b/src/rainsail/jobs/retention.py
@@ -1,7 +1,7 @@
-"""Which jobs may be forgotten, by the leader's own clock.
+"""Retention of finished jobs, by the leader's own clock.
 
-A new leader counts from when it first saw that a job was over, so that jobs are kept longer rather
-than shorter.
+A new leader counts from when it first sees a job as over, so a leader change extends the retention
+time and never shortens it.
 """
 
 from rainsail.jobs.job_state import JobState
@@ -17,7 +17,7 @@
         self._over_since_s: dict[str, float] = {}
 
     def due(self, now: float) -> list[DropRelayedJob]:
-        """Return the commands that forget what is due."""
+        """Return the commands that delete the jobs whose retention time has passed."""
         over = [job.job for job in self._state.jobs.values() if not job.is_open]
         self._over_since_s = {job: self._over_since_s.get(job, now) for job in over}
         return [
--- a/src/rainsail/jobs/run_lengths.py
+++ b/src/rainsail/jobs/run_lengths.py
@@ -1,8 +1,9 @@
-"""How much items have to do and how fast they run, learnt from what the ledger commits.
+"""Estimates the remaining run time of items from committed lengths and event rates.
 
-Every replica learns, so that a new leader knows at once. The bound on an answer that a request
-states says little of its length (measured: a correlation of -0.05 over 118 items). What an item
-still needs is estimated by how much longer those items ran that came as far.
+Every replica derives the estimates from committed commands, so a new leader has them at once. The
+maximum length that a request states is a poor predictor (correlation with the actual length: -0.05
+over 118 items). Instead, an item's remaining events are estimated from the finished items that were
+longer than its events so far.
 """
 
 from bisect import bisect_right, insort
@@ -14,39 +15,36 @@
 from rainsail.state.job_commands import ItemNote
 
 MAX_LENGTHS = 128
-"""Lengths of ended items that are remembered.
-
-Not measured; chosen so that a change of the workload counts after a few jobs.
-"""
+"""Number of recent lengths to remember; small enough to follow workload changes in a few jobs."""
 MAX_EVENT_TIMES = 65
-"""Paces that are remembered; odd, so that their median is one of them. Not measured."""
+"""Number of recent event times to remember; odd, so that their median is one of them."""
 MIN_REMAINING_SHARE = 0.1
-"""Share of the mean length that is left at least, however far an item has come.
+"""Minimum estimate of the remaining events, as a share of the mean length.
 
-Not measured; chosen so that an item of unheard length is never taken to be done at once.
+An item longer than all before is thus never expected to end at once.
 """
 MAX_ROUND_INTERVAL_S = 0.75
-"""Two notes of an item that are further apart do not come from one run.
+"""Notes of an item that are further apart are not assumed to come from one run.
 
-Not measured; chosen between one and two of the dispatcher's periods for progress (0.5 s).
+Between one and two progress periods of the dispatcher (0.5 s each).
 """
 
 
 class RunLengths:
-    """The events of the items that ended last, and the seconds that an event takes."""
+    """Lengths (in events) of the items that finished last, and the time per event."""
 
     def __init__(self) -> None:
         self._by_age: deque[int] = deque()
         self._sorted: list[int] = []
         self._sums_from: list[int] = [0]
-        """The sum of the sorted lengths from each place on, computed once for many estimates."""
+        """Suffix sums of the sorted lengths, computed once for many estimates."""
         self._event_times_s: deque[float] = deque(maxlen=MAX_EVENT_TIMES)
         self._event_s = 0.0
         self._noted_s: dict[tuple[str, int], float] = {}
-        """When each item of the last round of notes was noted, by job and index."""
+        """Time of the last round of notes for each item in it, by job and index."""
 
     def finished(self, events: int) -> None:
-        """Take the length of an item that ended whole."""
+        """Record the length of a completed item."""
         self._by_age.append(events)
         insort(self._sorted, events)
         if len(self._by_age) > MAX_LENGTHS:
@@ -56,7 +54,7 @@
         self._sums_from = from_the_end[::-1]
 
     def progressed(self, ledger_s: float, notes: Iterable[ItemNote]) -> None:
-        """Take one round of notes; an item noted in two rounds in a row ran in between."""
+        """Record a round of notes; an item with notes in two consecutive rounds ran in between."""
         noted_s: dict[tuple[str, int], float] = {}
         for note in notes:
             key = (note.job, note.index)
@@ -70,11 +68,11 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether lengths and the pace of events have been seen."""
+        """Tell whether both a length and the time per event are known."""
         return bool(self._sorted) and self._event_s > 0.0
 
     def remaining_s(self, events: int) -> float:
-        """Return how long an item that has made ``events`` probably still runs; 0 if not known."""
+        """Return the estimated remaining time of an item after ``events``; 0 if unknown."""
         return self._remaining_events(events) * self._event_s
 
     def _remaining_events(self, events: int) -> float:
--- a/src/rainsail/jobs/running_items.py
+++ b/src/rainsail/jobs/running_items.py
@@ -1,4 +1,4 @@
-"""The items that run now, by runner."""
+"""The items that currently run, by runner."""
 
 from collections.abc import Callable, Iterator
 from itertools import chain
@@ -35,19 +35,19 @@
         self._by_runner.setdefault(item.runner, []).append(item)
 
     def remove(self, item: OpenItem) -> None:
-        """Remove an item whose run is over; nothing happens when it is not there."""
+        """Remove an item whose run is over; does nothing if it is not there."""
         items = self._by_runner.get(item.runner, [])
         if item in items:
             items.remove(item)
 
     def stop_where(self, unwanted: Callable[[OpenItem], bool], now: float) -> None:
-        """Close the runs of the items that are not wanted any more, and remove them."""
+        """Close the runs of the items for which ``unwanted`` holds, and remove them."""
         for item in [item for item in self if unwanted(item)]:
             item.close_run(now)
             self.remove(item)
 
     def stop_all(self, now: float) -> None:
-        """Close every run, and forget the runners too."""
+        """Close every run, and forget all runners."""
         for item in self:
             item.close_run(now)
         self._by_runner.clear()
--- a/src/rainsail/jobs/slot_meter.py
+++ b/src/rainsail/jobs/slot_meter.py
@@ -1,14 +1,14 @@
-"""How many slots items get on average, over busy and idle times of online work."""
+"""Average number of slots for items, over busy and idle phases of online work."""
 
 AVERAGE_TIME_CONSTANT_S = 8.0
-"""Time constant of the average: several bursts of online work, and well under the time of a job.
+"""Time constant of the average: several bursts of online work, and far less than a job's duration.
 
-Measured on sixty drawn loads, items in time: 64,444 with 8 s, 64,581 with 4 s, 64,383 with 16 s.
+Items in time on sixty random loads: 64,444 with 8 s, 64,581 with 4 s, 64,383 with 16 s.
 """
 
 
 class SlotMeter:
-    """Average of the slots that items have or could have, forgetting exponentially."""
+    """Exponentially decaying average of the slots that items hold or could get."""
 
     def __init__(self) -> None:
         self._slot_time_s = 0.0
@@ -16,7 +16,7 @@
         self._seen_s: float | None = None
 
     def on_slots_seen(self, slots: float, now: float) -> None:
-        """Take the present number; it counts for the time since the last one was taken."""
+        """Add the current number; it is weighted with the time since the last one."""
         if self._seen_s is None:
             self._seen_s = now
             return
@@ -27,5 +27,5 @@
         self._time_s = self._time_s * kept_share + passed_s
 
     def average(self) -> float | None:
-        """Return the average, None before two numbers were taken."""
+        """Return the average, None before two numbers were added."""
         return self._slot_time_s / self._time_s if self._time_s else None
--- a/src/rainsail/jobs/waiting_items.py
+++ b/src/rainsail/jobs/waiting_items.py
@@ -1,7 +1,7 @@
-"""The items that wait for a run.
+"""The queue of items that wait for a run.
 
-The fresh items of a job form one queue, so that a large job costs no more to look at than a small
-one; items that have run and were put back are few and are looked at one by one.
+The fresh items of a job (those that have not begun) form one queue, so that a large job costs no
+more to examine than a small one. Requeued items are few and are examined one by one.
 """
 
 from collections import deque
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Group:
-    """Items that go one after the other."""
+    """Items of one urgency that are started in sequence."""
 
     urgency: Urgency
     items: Iterable[OpenItem]
 
 
 class WaitingItems:
-    """Items by job, given out by urgency."""
+    """Waiting items by job, yielded by urgency."""
 
     def __init__(self) -> None:
         self._fresh: dict[str, deque[OpenItem]] = {}
@@ -32,12 +32,12 @@
         return sum(map(len, self._fresh.values())) + len(self._requeued)
 
     def clear(self) -> None:
-        """Forget every item."""
+        """Remove all items."""
         self._fresh.clear()
         self._requeued.clear()
 
     def add_job(self, job: str, items: Iterable[OpenItem]) -> None:
-        """Add a job's items; those that have begun already are not part of its queue."""
+        """Add a job's items; those that have already begun are added as requeued ones."""
         fresh: deque[OpenItem] = deque()
         for item in items:
             if item.begun:
@@ -67,10 +67,10 @@
         return self._requeued
 
     def by_urgency(self, order: ItemOrder) -> Iterator[OpenItem]:
-        """Yield the items, most urgent first; the fresh items of one job go together.
+        """Yield the items, most urgent first; the fresh items of one job stay together.
 
-        The caller may ``take`` the item that was yielded last before it asks for the next. Once it
-        leaves a job's first fresh item untaken, that job's other fresh items are passed over.
+        The caller may ``take`` the last yielded item before it requests the next one. If it does
+        not take a job's first fresh item, the job's other fresh items are skipped.
         """
         groups = [_Group(order.urgency(item), (item,)) for item in self._requeued]
         for job, queue in self._fresh.items():
@@ -79,14 +79,14 @@
         return chain.from_iterable(group.items for group in groups)
 
     def skip(self, item: OpenItem) -> None:
-        """Let the fresh items behind one be looked at while the item itself goes on waiting."""
+        """Move an item out of its job's queue, so that the fresh items after it are considered."""
         queue = self._fresh.get(item.job)
         if queue and queue[0] is item:
             self.take(item)
             self.requeue(item)
 
     def take(self, item: OpenItem) -> None:
-        """Take an item out."""
+        """Remove an item."""
         queue = self._fresh.get(item.job)
         if queue and queue[0] is item:
             queue.popleft()
@@ -97,7 +97,7 @@
 
 
 def _fresh_groups(job: str, queue: deque[OpenItem], order: ItemOrder) -> Iterator[_Group]:
-    """Yield a job's fresh items: those that can be in time, and all that are then left."""
+    """Yield a job's fresh items in up to two groups: the feasible ones, and the rest."""
     kept = order.fresh_admitted(job)
     if kept is None or kept > 0:
         yield _Group(order.fresh_urgency(job, infeasible=False), _from_the_front(queue, kept))
