--- a/features/batch/intake.feature
+++ b/features/batch/intake.feature
@@ -1,6 +1,6 @@
-Feature: Jobs are taken in whole or not at all
+Feature: Jobs are accepted completely or not at all
 
-  Scenario: a job sent again with the same key is the same job
+  Scenario: a submission repeated with the same key refers to the same job
     Given a batch fleet of 1 runners and 1 gateway
     When a batch job of 10 items is submitted
     And the same batch job is submitted again
@@ -13,7 +13,7 @@
     And a batch job with the same key and other items is submitted
     Then the second batch submission is refused as a conflict
 
-  Scenario: a submission cut off in the middle goes on where it ended
+  Scenario: a repeated submission continues an interrupted one
     Given a batch fleet of 1 runners and 1 gateway
     And the control plane loses the answers of all batch ranges after the first
     When a batch job of 3000 items is submitted
@@ -21,7 +21,7 @@
     When the control plane answers again and the same batch job is submitted again
     Then the batch submission is accepted with 3000 items
 
-  Scenario: a big job is stored in ranges of bounded size, one at a time
+  Scenario: a large job is stored in ranges of bounded size, one at a time
     Given a batch fleet of 1 runners and 1 gateway
     When a batch job of 5000 items is submitted
     Then no batch range has more than 1000 items or 262144 bytes
--- a/features/steps/batch_dispatch_steps.py
+++ b/features/steps/batch_dispatch_steps.py
@@ -59,7 +59,7 @@
 
 @when("a batch job of {count:d} items, one of them poison, is submitted")
 def step_submit_poison(context, count):
-    """Submit a job whose last item kills its engine."""
+    """Submit a job whose last item crashes its engine."""
     poison = ItemBody("poison", POISON, 40)
     _submit(context, (*context.batch.items(count - 1), poison))
 
@@ -79,7 +79,7 @@
 
 @when("the engine of {runner} dies with batch items in flight")
 def step_engine_dies(context, runner):
-    """Kill an engine that runs batch items, and start it again a second later."""
+    """Crash an engine that runs batch items, and restart it a second later."""
     engine = _engine(context, runner)
     assert _running(engine) > 0
     engine.crash()
@@ -90,7 +90,7 @@
 
 @when("the engine of {runner} says that it is draining")
 def step_engine_drains(context, runner):
-    """Let the engine refuse new work and report it."""
+    """Have the engine refuse new work and report that it is draining."""
     _engine(context, runner).draining = True
 
 
@@ -140,7 +140,7 @@
 @when("tenant {tenant} has a batch job of {count:d} items")
 @when("tenant {tenant} submits a batch job of {count:d} items")
 def step_tenant_job(context, tenant, count):
-    """Submit a tenant's job and let it run a moment."""
+    """Submit a tenant's job and let it run for half a second."""
     submitted = context.batch.submit(context.batch.items(count), tenant=tenant)
     context.tenant_jobs = {**getattr(context, "tenant_jobs", {}), tenant: submitted.ok.job_id}
     context.batch.run(0.5)
@@ -168,7 +168,7 @@
 
 @then("every batch result is the whole answer of its item")
 def step_right_answers(context):
-    """Compare each text with what an engine would answer in one go."""
+    """Compare each text with the answer that an engine gives without interruption."""
     rows = context.batch.rows(context.batch_job)
     assert len(rows) == len(context.batch_items)
     wrong = context.batch.wrong_answers(context.batch_job, context.batch_items)
@@ -177,7 +177,7 @@
 
 @then("the ledger took one result per batch item")
 def step_once(context):
-    """Count the verdicts of the dispatchers once nothing is under way."""
+    """Count the verdicts of the dispatchers once nothing is in flight."""
     context.batch.run(2.0)
     gateways = context.batch.gateways
     committed = sum(each.dispatcher.committer.counts.committed for each in gateways)
@@ -189,7 +189,7 @@
 
 @then("no engine runs batch items after {seconds:g} s")
 def step_none_running(context, seconds):
-    """Look at the engines themselves."""
+    """Check the engines' own records."""
     assert context.batch.batch_running() > 0 or seconds <= 0.1
     context.batch.run(seconds)
     assert context.batch.batch_running() == 0
@@ -197,7 +197,7 @@
 
 @then("the batch job stays cancelled and takes no more results")
 def step_stays_cancelled(context):
-    """Run on and compare."""
+    """Run for 30 s and compare the job."""
     before = context.batch.job(context.batch_job)
     context.batch.run(30.0)
     after = context.batch.job(context.batch_job)
@@ -226,7 +226,7 @@
 
 @then("{runner} runs no batch items {milliseconds:d} ms later")
 def step_aside(context, runner, milliseconds):
-    """Look at the engine's own records."""
+    """Check the engine's own records."""
     assert _running(_engine(context, runner)) > 0
     context.batch.run(milliseconds / 1000.0)
     assert _running(_engine(context, runner)) == 0
@@ -246,7 +246,7 @@
 
 @then("the engines generated few batch tokens twice")
 def step_few_twice(context):
-    """Compare what was generated with what the answers hold."""
+    """Compare the number of generated tokens with the length of the answers."""
     dispatcher = context.batch.gateways[0].dispatcher
     assert dispatcher.counts.preempted >= 8, dispatcher.counts
     needed = sum(item.max_tokens for item in context.batch_items)
@@ -257,7 +257,7 @@
 
 @then("the ledger keeps the text of returned batch items")
 def step_keeps_text(context):
-    """Look at the returned records."""
+    """Check the returned records."""
     returned = [
         item
         for command in context.batch.control.commands
@@ -269,9 +269,9 @@
     assert context.batch.job(context.batch_job).leased == 0
 
 
-@then("gateway-{index:d} runs no batch item under a lapsed lease {seconds:g} s after it wakes")
+@then("gateway-{index:d} runs no batch item under an expired lease {seconds:g} s after it resumes")
 def step_lapsed(context, index, seconds):
-    """Everything that the gateway had before the pause is cancelled."""
+    """Check that all attempts from before the pause are cancelled."""
     fleet = context.batch
     gateway = fleet.gateways[index]
     pause_ended_s = fleet.clock.seconds()
@@ -314,9 +314,9 @@
     assert view.pending > 0, view
 
 
-@then("the job of tenant {first} completes while that of tenant {second} goes on")
+@then("the job of tenant {first} completes while that of tenant {second} continues")
 def step_fair(context, first, second):
-    """Run until one is done and look at the other."""
+    """Run until the first job has completed; the second is less than half done."""
     fleet = context.batch
     small, large = context.tenant_jobs[first], context.tenant_jobs[second]
     assert fleet.run_until(lambda: fleet.job(small).phase is JobPhase.COMPLETED, 60.0)
@@ -325,7 +325,7 @@
 
 @then("the batch job due in {hours:d} hour completes first")
 def step_deadline_first(context, hours):
-    """Run until that one is done; the other is not."""
+    """Run until this job has completed; the other one has not."""
     fleet = context.batch
     early = context.due_jobs.pop(hours)
     (late,) = context.due_jobs.values()
@@ -336,7 +336,7 @@
 
 @when("tenant {tenant} sends batch jobs of {count:d} items one after the other for {seconds:d} s")
 def step_following_jobs(context, tenant, count, seconds):
-    """Send the next job as soon as the last is done; a tenant that others call synchronous."""
+    """Submit each job as soon as the previous one has completed."""
     fleet = context.batch
     end_s = fleet.clock.seconds() + seconds
     context.following = []
--- a/features/steps/batch_failure_steps.py
+++ b/features/steps/batch_failure_steps.py
@@ -8,7 +8,7 @@
 
 @given("the network loses the first {count:d} cancels of every batch item")
 def step_lose_cancels(context, count):
-    """Lose cancels on their way to the engine, by link and turn."""
+    """Lose the first cancels on each link to an engine."""
     lost = {}
 
     def lose(gateway, runner, what):
@@ -23,7 +23,7 @@
 
 @given("the network loses, repeats and disorders chunks of batch items")
 def step_disorder(context):
-    """Lose one chunk of each attempt, deliver others twice or late; sent again all arrive."""
+    """Lose one chunk of each attempt, and duplicate or delay others; resent chunks all arrive."""
     lost = set()
     sent = set()
 
@@ -44,7 +44,7 @@
 
 @when("the process of gateway-{index:d} dies with batch items in flight")
 def step_gateway_dies(context, index):
-    """Stop every timer and drop every stream of a gateway, without a word to anyone."""
+    """Stop all timers and drop all streams of a gateway without notifying anyone."""
     gateway = context.batch.gateways[index]
     assert gateway.dispatcher.running_items > 0
     gateway.clock.stop()
@@ -53,7 +53,7 @@
 
 @when("the runners of gateway-{old:d} pass to gateway-{new:d}")
 def step_pass_runners(context, old, new):
-    """Declare the runners in the other gateway's zone, as an operator would."""
+    """Reassign the runners to the other gateway's zone, as an operator would."""
     fleet = context.batch
     for resource in fleet.states[0].list_resources(Kind.RUNNER):
         if resource.spec.zone != f"z{old}":
@@ -69,7 +69,7 @@
 
 @when("the batch fleet runs until gateway-{index:d} has batch results to commit")
 def step_until_results(context, index):
-    """Stop between the end of an item and its commit."""
+    """Run until an item has ended whose result is not committed yet."""
     committer = context.batch.gateways[index].dispatcher.committer
     assert context.batch.run_until(lambda: committer.pending_refs(0), 30.0)
 
@@ -84,7 +84,7 @@
 
 @then("no attempt of a batch item counts as failed")
 def step_no_failures(context):
-    """Chunks were lost, and none of it cost an attempt."""
+    """Check that chunks were lost and that no attempt failed because of that."""
     assert len(context.lost_chunks) >= len(context.batch_items)
     counts = context.batch.gateways[0].dispatcher.counts
     assert counts.failed == 0, counts
@@ -92,14 +92,14 @@
 
 @then("gateway-{index:d} has had late batch results dropped")
 def step_dropped(context, index):
-    """Read the verdicts that it got once it has heard the ledger again."""
+    """Check the ledger's verdicts on the results that it committed after the pause."""
     context.batch.run(1.0)
     assert context.batch.gateways[index].dispatcher.committer.counts.dropped > 0
 
 
 @then("no batch item starts on {runner} before the first token of that prompt")
 def step_none_starts(context, runner):
-    """Look at the engine's records until the prompt has been read."""
+    """Check the engine's records until the prefill of the prompt is over."""
     fleet = context.batch
     engine = next(each for each in fleet.engines if each.runner == runner)
     prefill = fleet.gateways[0].prefill
@@ -112,7 +112,7 @@
 
 @then("{runner} still runs {count:d} batch items {milliseconds:d} ms later")
 def step_still_runs(context, runner, count, milliseconds):
-    """Look at the dispatcher's own count."""
+    """Check the dispatcher's own count."""
     context.batch.run(milliseconds / 1000.0)
     state = context.batch.gateways[0].fleet.runner(runner)
     assert state.batch_running == count, state.batch_running
--- a/features/steps/batch_intake_steps.py
+++ b/features/steps/batch_intake_steps.py
@@ -14,7 +14,7 @@
 
 @given("a batch fleet of {runners:d} runners and 1 gateway with {groups:d} ledger groups")
 def step_groups(context, runners, groups):
-    """Start a fleet whose ledger is spread over groups."""
+    """Start a fleet with several ledger groups."""
     context.batch = BatchFleet(runners, groups=groups)
 
 
@@ -28,14 +28,14 @@
 
 @when("the same batch job is submitted again")
 def step_again(context):
-    """Send it again, with a later deadline as a client would."""
+    """Repeat the submission, as a client would."""
     context.batch_first = context.batch_submission
     context.batch_submission = context.batch.submit(context.batch_items)
 
 
 @when("the control plane answers again and the same batch job is submitted again")
 def step_answers_again(context):
-    """Heal and send it again."""
+    """Stop losing answers and repeat the submission."""
     context.batch.control.lose_answer = lose_nothing
     step_again(context)
 
@@ -50,7 +50,7 @@
 
 @when("a batch job is submitted with {fault}")
 def step_faulty(context, fault):
-    """Submit a faulty job."""
+    """Submit an invalid job."""
     items = context.batch.items(3)
     key, deadline = "night", DEADLINE_UNIX_S
     if fault == "no items":
@@ -71,7 +71,7 @@
 
 @when("{count:d} batch jobs of {items:d} items are submitted")
 def step_many(context, count, items):
-    """Submit jobs under keys of their own."""
+    """Submit jobs with distinct keys."""
     fleet = context.batch
     answers = [fleet.submit(fleet.items(items), f"night-{index}") for index in range(count)]
     context.batch_jobs = [answer.ok.job_id for answer in answers]
@@ -91,34 +91,34 @@
 
 @then("the second batch submission is refused as a conflict")
 def step_conflict(context):
-    """Look at the fault."""
+    """Check the fault."""
     assert context.batch_submission.error.code is FaultCode.CONFLICT
 
 
 @then("the batch submission is refused as invalid")
 def step_invalid(context):
-    """Look at the fault."""
+    """Check the fault, including that nothing was run."""
     assert context.batch_submission.error.code is FaultCode.INVALID
     assert context.batch_submission.error.outcome is Outcome.NOT_RUN
 
 
 @then("the batch submission ends with a fault whose outcome is unknown")
 def step_unknown(context):
-    """Look at the fault; the job is not accepted."""
+    """Check the fault; the job is not accepted."""
     assert context.batch_submission.error.outcome is Outcome.UNKNOWN
     assert [view.phase for view in context.batch.states[0].jobs()] == [JobPhase.OPEN]
 
 
 @then("the batch submission is accepted with {count:d} items")
 def step_accepted(context, count):
-    """Look at the job."""
+    """Check the accepted job."""
     assert context.batch_submission.ok.phase is not JobPhase.OPEN
     assert context.batch_submission.ok.spec.item_count == count
 
 
 @then("no batch range has more than {items:d} items or {size:d} bytes")
 def step_ranges(context, items, size):
-    """Look at the commands."""
+    """Check the commands that add items."""
     ranges = [each for each in context.batch.control.commands if isinstance(each, AddItems)]
     assert sum(len(each.items) for each in ranges) == len(context.batch_items)
     assert len(ranges) >= len(context.batch_items) / items
@@ -129,7 +129,7 @@
 
 @then("a small batch job submitted meanwhile is accepted within {seconds:g} s")
 def step_small_meanwhile(context, seconds):
-    """Start a big submission, then a small one."""
+    """Start a large submission, then a small one."""
     fleet = context.batch
     big = fleet.intake.submit("broker", "big", SERVICE, fleet.items(20_000, "big"), DEADLINE_UNIX_S)
     accepted = []
@@ -144,7 +144,7 @@
 
 @then("tenant {tenant} can neither read nor cancel that batch job")
 def step_others(context, tenant):
-    """Try both."""
+    """Try to read, cancel and list the job as another tenant."""
     fleet, job = context.batch, context.batch_job
     assert fleet.answer(fleet.intake.job(tenant, job)).error.code is FaultCode.NOT_FOUND
     assert fleet.answer(fleet.intake.cancel(tenant, job)).error.code is FaultCode.NOT_FOUND
@@ -162,7 +162,7 @@
 
 @then("its batch results read in pages of {size:d} are all there in order")
 def step_pages(context, size):
-    """Follow the pages."""
+    """Read all pages."""
     fleet, first, rows = context.batch, 0, []
     while first >= 0:
         page = fleet.answer(fleet.intake.results("broker", context.batch_job, first, size)).ok
@@ -182,7 +182,7 @@
 
 @then("all batch jobs complete within {seconds:g} s")
 def step_all_complete(context, seconds):
-    """Run until the last is done."""
+    """Run until all jobs have completed."""
     fleet = context.batch
     assert fleet.run_until(
         lambda: all(fleet.job(job).phase is JobPhase.COMPLETED for job in context.batch_jobs),
@@ -192,7 +192,7 @@
 
 @then("with a fourth group a batch job stays or moves to it")
 def step_fourth_group(context):
-    """Rendezvous hashing moves jobs to the new group only."""
+    """Check that rendezvous hashing moves jobs to the new group only."""
     moved = 0
     for job in context.batch_jobs:
         before, after = group_of_job(job, (0, 1, 2)), group_of_job(job, (0, 1, 2, 3))
--- a/features/support/batch.py
+++ b/features/support/batch.py
@@ -1,4 +1,4 @@
-"""A small batch fleet on the virtual clock: gateways with dispatchers, emulated engines."""
+"""A small batch fleet in virtual time: gateways with dispatchers, and emulated engines."""
 
 from dataclasses import dataclass
 from random import Random
@@ -46,12 +46,12 @@
 
 
 class PoisonableEngineClient(SimulatedEngineClient):
-    """Loses the link of every attempt whose prompt is poison."""
+    """Ends every attempt with a poison prompt as if the engine had crashed."""
 
     batch_clock: Any = None
 
     def generate(self, address: str, request: GenerateRequest, listener: AttemptListener) -> None:
-        """Start an attempt, unless it is one that would kill the engine."""
+        """Start an attempt, unless its prompt would crash the engine."""
         if not request.prompt.startswith(POISON):
             super().generate(address, request, listener)
             return
@@ -61,7 +61,7 @@
 
 @dataclass
 class GatewayProcess:
-    """One gateway's batch side."""
+    """The batch part of one gateway."""
 
     name: str
     clock: SkewedClock
@@ -73,7 +73,7 @@
 
 
 class BatchFleet:
-    """Engines, gateways and one modelled control group."""
+    """Engines, gateways and a simulated control plane."""
 
     def __init__(
         self,
@@ -148,14 +148,14 @@
         dispatcher.start()
         return GatewayProcess(name, clock, config, engine, prefill, fleet, dispatcher)
 
-    # --- driving --------------------------------------------------------------------------
+    # --- simulation -----------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
         """Run virtual time."""
         self.clock.advance(seconds)
 
     def run_until(self, condition: Any, limit_s: float) -> bool:
-        """Run until the condition holds; False when the limit is reached first."""
+        """Run until the condition holds; return False if the limit is reached first."""
         end_s = self.clock.seconds() + limit_s
         while not condition():
             if not self.clock.run_next(end_s):
@@ -181,10 +181,10 @@
         submitted = self.intake.submit(tenant, key, SERVICE, items, DEADLINE_UNIX_S)
         return self.answer(submitted)
 
-    # --- looking --------------------------------------------------------------------------
+    # --- observation ----------------------------------------------------------------------
 
     def job(self, job_id: str) -> Any:
-        """Return a job from whichever group has it."""
+        """Return a job from the group that stores it."""
         for state in self.states.values():
             view = state.job(job_id)
             if view is not None:
@@ -196,7 +196,7 @@
         return self.states[0].results(job_id, 0, 1_000_000)
 
     def wrong_answers(self, job_id: str, items: Any) -> list[int]:
-        """Return the indexes of results that are not the whole right answer."""
+        """Return the indexes of results that differ from the expected complete answer."""
         return [
             row.index
             for row in self.rows(job_id)
@@ -205,7 +205,7 @@
         ]
 
     def batch_running(self) -> int:
-        """Return the low-priority attempts that engines hold now."""
+        """Return the number of attempts that have not ended at the engines."""
         return sum(
             1 for engine in self.engines for record in engine.executions if record.ended_s is None
         )
@@ -213,7 +213,7 @@
     def start_online(
         self, gateway: GatewayProcess, runner: str, count: int, prompt_tokens: int = 0
     ) -> None:
-        """Send online requests to a runner as the gateway's core would."""
+        """Send online requests to a runner like the gateway's core."""
         for index in range(count):
             attempt_id = f"online-{self.clock.seconds():.3f}-{index}"
             gateway.fleet.attempt_started(runner, attempt_id, False)
@@ -226,7 +226,7 @@
 
 
 class _OnlineListener:
-    """Tells the fleet when an online attempt has ended."""
+    """Notifies the fleet of the end of an online attempt."""
 
     def __init__(self, gateway: GatewayProcess, runner: str) -> None:
         self._gateway = gateway
--- a/src/rainsail/batch/__init__.py
+++ b/src/rainsail/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch work: job intake, the dispatcher and its policies."""
+"""Batch jobs on native engines: intake, leases, the dispatcher and its policies."""
--- a/src/rainsail/batch/command_batcher.py
+++ b/src/rainsail/batch/command_batcher.py
@@ -1,7 +1,7 @@
-"""Gathers small records into few ledger commands and sends each until it is answered.
+"""Batches small records into ledger commands, and retries each command until it is answered.
 
-One command per group is under way at a time; what comes meanwhile gathers behind it. The
-commands must be idempotent, because a command whose answer was lost is sent again.
+One command per group is in flight at a time; further records queue meanwhile. The commands must be
+idempotent, because a command whose answer was lost is sent again.
 """
 
 import random
@@ -21,12 +21,12 @@
 T = TypeVar("T")
 
 DEFINITE_CODES = (FaultCode.INVALID, FaultCode.FORBIDDEN, FaultCode.NOT_FOUND, FaultCode.TOO_LARGE)
-"""Faults that the same command would meet again."""
+"""Faults that a retry of the same command would meet again."""
 
 
 @dataclass(slots=True)
 class _GroupQueue(Generic[T]):
-    """Records of one group: those that wait, and those in the command under way."""
+    """Records of one group: the queued ones, and those of the command in flight."""
 
     waiting: list[T] = field(default_factory=list)
     sending: tuple[T, ...] = ()
@@ -36,8 +36,8 @@
 class CommandBatcher(Generic[T]):
     """Sends records of one kind as batched commands.
 
-    ``make_command`` builds the command, ``size_of`` gives a record's bytes, ``on_answer``
-    hears the records and the outcome (a ``Fault`` only when it is definite).
+    ``make_command`` builds a command, ``size_of`` returns a record's size in bytes, and
+    ``on_answer`` is called with the records and the outcome (a ``Fault`` only if it is definite).
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._drained: list[Deferred[None]] = []
 
     def add(self, group: GroupId, record: T) -> None:
-        """Queue a record; it is sent within ``commit_period_s``."""
+        """Queue a record; it is sent within ``commit_period_s`` unless a command is in flight."""
         queue = self._queues.setdefault(group, _GroupQueue())
         queue.waiting.append(record)
         if len(queue.waiting) >= self._settings.commit_max_items:
@@ -71,14 +71,14 @@
             self._clock.callLater(self._settings.commit_period_s, self._timer_due, group)
 
     def pending(self, group: GroupId) -> list[T]:
-        """Return every record of a group that has no answer yet."""
+        """Return the records of a group that have no answer yet."""
         queue = self._queues.get(group)
         if queue is None:
             return []
         return [*queue.sending, *queue.waiting]
 
     def drain(self) -> "Deferred[None]":
-        """Send what waits now; the Deferred fires once every record has its answer."""
+        """Send all queued records; the Deferred fires once every record has its answer."""
         drained: Deferred[None] = Deferred()
         self._drained.append(drained)
         for group in list(self._queues):
--- a/src/rainsail/batch/content.py
+++ b/src/rainsail/batch/content.py
@@ -1,4 +1,4 @@
-"""Digest of a job's content and the cutting of its items into ranges of bounded size."""
+"""Computes the digest of a job's content, and splits its items into ranges of bounded size."""
 
 import hashlib
 from collections.abc import Iterator
@@ -6,11 +6,11 @@
 from rainsail.state.commands import ItemBody
 
 ITEM_OVERHEAD_BYTES = 16
-"""Bytes that an item adds to a command besides its texts."""
+"""Encoding overhead of an item in a command, in addition to its texts."""
 
 
 class ContentDigest:
-    """The SHA-256 of what a job runs, built up from its items in order."""
+    """Incremental SHA-256 of a job's service, adapter and items, in order."""
 
     def __init__(self, service: str, adapter: str) -> None:
         self._digest = hashlib.sha256()
@@ -25,7 +25,7 @@
             self._digest.update(item.max_tokens.to_bytes(8, "big"))
 
     def hexdigest(self) -> str:
-        """Return the digest of everything added (hex)."""
+        """Return the digest of everything added so far, in hex."""
         return self._digest.hexdigest()
 
 
@@ -36,14 +36,14 @@
 
 
 def item_bytes(item: ItemBody) -> int:
-    """Return about how many bytes an item takes in a command."""
+    """Return the approximate size of an item in a command, in bytes."""
     return len(item.custom_id.encode()) + len(item.prompt.encode()) + ITEM_OVERHEAD_BYTES
 
 
 def item_ranges(
     items: tuple[ItemBody, ...], range_bytes: int, range_items: int
 ) -> Iterator[tuple[int, tuple[ItemBody, ...]]]:
-    """Yield (first index, items) ranges within both bounds; an item too large stands alone."""
+    """Yield (first index, items) ranges within both limits; an oversized item is a range itself."""
     start = 0
     size = 0
     for index, item in enumerate(items):
--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -1,9 +1,9 @@
 """Runs leased batch items on the idle capacity of the runners that a gateway owns.
 
-On every change of a runner (an online request arrives or ends, a load report comes in) the
-policy says how many items the runner may hold; what is above that is preempted at once, what is
-below is filled from items leased ahead of need. ``item_runs`` holds what runs, ``lease_pools``
-what waits; ``result_committer`` and ``item_returns`` record what became of the items.
+On every change of a runner (an online request arrives or ends, a load report arrives) the policy
+returns how many items the runner may hold. Items above that number are preempted at once; free
+places are filled with items that were leased in advance. ``item_runs`` holds the running items,
+``lease_pools`` the waiting ones; ``result_committer`` and ``item_returns`` record their outcomes.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class DispatchCounts:
-    """What became of the items that this dispatcher started."""
+    """Counts of the runs that this dispatcher started and how they ended, and of lapsed leases."""
 
     started: int = 0
     finished: int = 0
@@ -47,10 +47,10 @@
 
 
 class BatchDispatcher:
-    """The batch side of one gateway. ``holder`` is the gateway's incarnation.
+    """The batch part of one gateway. ``holder``, the gateway's incarnation, holds the leases.
 
-    ``prefill`` is the meter through which the gateway's core sends its online attempts; without
-    one the policy does not see how much prefill they wait for.
+    ``prefill`` is the meter through which the gateway's core sends its online attempts. Without
+    it, the policy does not know how many prompt tokens wait for prefill.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._renew()
 
     def stop(self) -> "Deferred[None]":
-        """Stop every item, return it, and fire once the ledger has heard of all."""
+        """Stop and return every item; fires once the ledger has recorded all of them."""
         self._running = False
         for timer in self._timers:
             if timer.active():
@@ -124,7 +124,7 @@
 
     @property
     def running_items(self) -> int:
-        """How many items run on engines now."""
+        """The number of items that run on engines."""
         return len(self._runs)
 
     def _tick(self) -> None:
@@ -149,10 +149,10 @@
         self._timers = [timer for timer in self._timers if timer.active()]
         self._timers.append(self._clock.callLater(delay_s, call))
 
-    # --- what each runner may hold --------------------------------------------------------
+    # --- allowances of runners ------------------------------------------------------------
 
     def _runners(self) -> list[str]:
-        """Return the runners owned, then those owned before that still run items."""
+        """Return the owned runners, then formerly owned ones that still run items."""
         owned = [runner.name for runner in self._fleet.owned_runners()]
         known = dict.fromkeys(owned)
         known.update(dict.fromkeys(self._runs.runners()))
@@ -170,7 +170,7 @@
                 self._runner_changed(runner)
 
     def _evaluate(self, runner: str) -> None:
-        """Bring a runner to its allowance: preempt what is above, fill what is below."""
+        """Adjust a runner to its allowance: preempt surplus items, or fill free places."""
         previous = self._evaluating
         self._evaluating = runner
         try:
@@ -201,7 +201,7 @@
         return replace(view, online_prefill_tokens=tokens) if tokens else view
 
     def _takes_new_items(self, runner: str) -> bool:
-        """Tell whether new items may start: the configuration is in force, no refusal is fresh."""
+        """Tell whether new items may start: the configuration is valid, and no pause is active."""
         if not self._config.lease_valid():
             return False
         return self._clock.seconds() >= self._not_before_s.get(runner, 0.0)
@@ -232,7 +232,7 @@
             pool.want(self._wanted(spec.service))
 
     def _wanted(self, service: str) -> int:
-        """Return how many items to keep ready: the free places and a few per runner."""
+        """Return how many leased items to keep ready: the free places and a few per runner."""
         wanted = 0
         for runner, allowance in self._allowances.items():
             spec = self._spec(runner)
@@ -284,7 +284,7 @@
             pool.want(self._wanted(service))
 
     def _stop_revoked(self, group: GroupId, refs: tuple[ItemRef, ...]) -> None:
-        """Cancel at the engines what the ledger no longer wants run by this holder."""
+        """Cancel the items whose leases the ledger has revoked for this holder."""
         for ref in refs:
             self._pools.drop(group, ref)
         for run in self._runs.of_group(group):
@@ -293,7 +293,7 @@
                 self._runs.stop(run)
 
     def _lease_lapsed(self, group: GroupId) -> None:
-        """Stop every item of a group; the ledger ignores the returns of revoked leases."""
+        """Stop and return every item of a group; the ledger ignores returns of revoked leases."""
         self.counts.lapses += 1
         for run in self._runs.of_group(group):
             self.returns.add(self._runs.stop(run))
--- a/src/rainsail/batch/fleet_view.py
+++ b/src/rainsail/batch/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs of a gateway's view of the fleet (``gateway.fleet.RunnerFleet``)."""
+"""Interface of the fleet view that the dispatcher uses; see ``gateway.fleet.RunnerFleet``."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class OwnedRunner(Protocol):
-    """What is known of one runner (``gateway.runner_state.ObservedRunner``)."""
+    """One runner as the gateway sees it; see ``gateway.runner_state.ObservedRunner``."""
 
     @property
     def name(self) -> str:
@@ -22,12 +22,12 @@
 
     @property
     def spec(self) -> RunnerSpec:
-        """What the operator declared."""
+        """The runner's spec as declared by the operator."""
         ...
 
 
 class BatchFleet(Protocol):
-    """The part of the fleet view that batch work reads and tells."""
+    """The part of the fleet view that batch work reads and updates."""
 
     def owned_runners(self) -> Sequence[OwnedRunner]:
         """Return the runners that this gateway owns now, in name order."""
@@ -38,7 +38,7 @@
         ...
 
     def view(self, runner: str) -> BatchRunnerView:
-        """Return what is known of a runner now."""
+        """Return the current view of a runner."""
         ...
 
     def usable(self, runner: str) -> bool:
--- a/src/rainsail/batch/groups.py
+++ b/src/rainsail/batch/groups.py
@@ -1,4 +1,4 @@
-"""Which replicated group keeps a job's ledger."""
+"""Assigns jobs to replicated groups, each of which stores the ledger of its jobs."""
 
 import xxhash
 
@@ -12,7 +12,7 @@
 
 
 def group_of_job(job_id: str, groups: tuple[GroupId, ...]) -> GroupId:
-    """Return the group with the highest rendezvous hash, so that a new group moves few jobs."""
+    """Return the job's group by rendezvous hashing, so that adding a group moves few jobs."""
     return max(groups, key=lambda group: (_rendezvous_weight(job_id, group), group))
 
 
--- a/src/rainsail/batch/held_item.py
+++ b/src/rainsail/batch/held_item.py
@@ -10,8 +10,8 @@
 class HeldItem:
     """A leased item with its group and service.
 
-    ``generated_prefix`` is the text so far, ``held_since_s`` when it began to wait and
-    ``last_runner`` the runner that has read its prompt (empty: none).
+    ``generated_prefix`` is the text generated so far, ``held_since_s`` the time since which it
+    waits, and ``last_runner`` the runner that has processed its prompt (empty: none).
     """
 
     group: GroupId
@@ -23,16 +23,16 @@
 
     @property
     def ref(self) -> ItemRef:
-        """The item's name and fence in its group."""
+        """The item's reference in its group, with the fencing token of the lease."""
         return self.leased.ref
 
     @property
     def kv_tokens(self) -> int:
-        """Tokens that an engine must read before it can go on with the item."""
+        """Tokens that an engine must prefill before it can resume the item."""
         return count_tokens(self.leased.body.prompt) + count_tokens(self.generated_prefix)
 
     def waiting(self, generated_prefix: str, now_s: float, last_runner: str) -> "HeldItem":
-        """Return the item as it waits again, with what was generated and where."""
+        """Return the item as waiting again, with its text so far and its last runner."""
         return replace(
             self,
             generated_prefix=generated_prefix,
@@ -41,5 +41,5 @@
         )
 
     def returned(self, failure: str = "") -> ReturnedItem:
-        """Return the record that gives the item back to the queue."""
+        """Return the record that returns the item to the ledger's queue."""
         return ReturnedItem(self.ref, self.generated_prefix, failure)
--- a/src/rainsail/batch/intake.py
+++ b/src/rainsail/batch/intake.py
@@ -1,7 +1,7 @@
-"""Takes callers' jobs into the ledger, and reads and cancels them.
+"""Submits callers' jobs to the ledger, and reads and cancels them.
 
-A job is accepted once it is sealed. Its id follows from the tenant and the job key, so a client
-that sends a job again after a lost answer, through any gateway, goes on with the same job.
+A job is accepted once it is sealed. Its id is derived from the tenant and the job key, so a client
+that repeats a submission after a lost answer, through any gateway, continues the same job.
 """
 
 import random
@@ -40,15 +40,15 @@
     FaultCode.OVERLOADED,
     FaultCode.NOT_LEADER,
 )
-"""Faults after which a ledger command of the intake is sent again; each is idempotent."""
+"""Faults after which the intake retries a ledger command; all its commands are idempotent."""
 
 SLICE_ITEMS = 1000
-"""Items checked before other work of the process gets its turn."""
+"""Items checked in one go; other work of the process runs between two slices."""
 SLICE_PAUSE_S = 0.001
 
 
 class JobIntake:
-    """Files and batches of callers to ledger commands."""
+    """Translates callers' operations on jobs into ledger commands and queries."""
 
     def __init__(
         self,
@@ -78,8 +78,8 @@
     ) -> "Deferred[Result[JobView, Fault]]":
         """Store a job and accept it.
 
-        CONFLICT when the tenant used the key with other content; after any other fault the
-        same call may be made again and goes on where the first one ended.
+        The fault is CONFLICT if the tenant has used the key with other content. After any other
+        fault the call may be repeated, and continues where the first one ended.
         """
         refusal = self._refusal(job_key, items, deadline_unix_s)
         if refusal is not None:
@@ -131,7 +131,7 @@
     async def _checked_digest(
         self, spec: JobSpec, items: tuple[ItemBody, ...]
     ) -> "Result[str, Fault]":
-        """Check every item and return the content's digest, a slice of items at a time."""
+        """Validate all items, one slice at a time, and return the digest of the content."""
         digest = ContentDigest(spec.service, spec.adapter)
         custom_ids: set[str] = set()
         for start in range(0, len(items), SLICE_ITEMS):
@@ -171,7 +171,7 @@
         return await self._read_job(spec.tenant, job_id)
 
     async def _propose(self, command: Command, group: GroupId) -> "Result[Any, Fault]":
-        """Propose an idempotent command, again after faults that may pass."""
+        """Propose an idempotent command; retry it after transient faults."""
         attempt = 1
         while True:
             proposed: Result[Any, Fault] = await self._control.propose(
@@ -189,7 +189,7 @@
         return base_s * self._random.uniform(0.5, 1.5)
 
     def job(self, tenant: str, job_id: str) -> "Deferred[Result[JobView, Fault]]":
-        """Read one job; NOT_FOUND also when it is another tenant's."""
+        """Read one job; NOT_FOUND also if it belongs to another tenant."""
         return Deferred.fromCoroutine(self._read_job(tenant, job_id))
 
     async def _read_job(self, tenant: str, job_id: str) -> "Result[JobView, Fault]":
@@ -205,7 +205,7 @@
         return Error(Fault(FaultCode.NOT_FOUND, "batch.intake", f"no job {job_id}"))
 
     def jobs(self, tenant: str) -> "Deferred[Result[tuple[JobView, ...], Fault]]":
-        """Read every job of a tenant, over all groups, in id order."""
+        """Read all jobs of a tenant from all groups, in order of id."""
         return Deferred.fromCoroutine(self._read_jobs(tenant))
 
     async def _read_jobs(self, tenant: str) -> "Result[tuple[JobView, ...], Fault]":
@@ -220,7 +220,7 @@
         return Ok(tuple(sorted(views, key=lambda view: view.job_id)))
 
     def cancel(self, tenant: str, job_id: str) -> "Deferred[Result[JobView, Fault]]":
-        """Cancel a job: its leases are revoked and engines are told to stop."""
+        """Cancel a job: its leases are revoked, and engines are ordered to stop."""
         return Deferred.fromCoroutine(self._cancel(tenant, job_id))
 
     async def _cancel(self, tenant: str, job_id: str) -> "Result[JobView, Fault]":
@@ -239,7 +239,7 @@
     def results(
         self, tenant: str, job_id: str, first: int, limit: int
     ) -> "Deferred[Result[ResultsReply, Fault]]":
-        """Read a page of finished items in index order, from index ``first`` on."""
+        """Read a page of finished items in order of index, from index ``first`` on."""
         return Deferred.fromCoroutine(self._read_results(tenant, job_id, first, limit))
 
     async def _read_results(
--- a/src/rainsail/batch/interface.py
+++ b/src/rainsail/batch/interface.py
@@ -1,7 +1,7 @@
-"""What a dispatcher decides, apart from I/O.
+"""The interface of dispatch policies.
 
-A ``DispatchPolicy`` is pure: it sees a ``BatchRunnerView`` and answers how many batch items a
-runner may hold; running ones above that are preempted. ``rainsail.batch.dispatcher`` does the I/O
+A ``DispatchPolicy`` is pure: from a ``BatchRunnerView`` it computes how many batch items a runner
+may hold; running items above that number are preempted. ``rainsail.batch.dispatcher`` does the I/O
 for the runners that its gateway owns.
 """
 
@@ -11,12 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchRunnerView:
-    """One owned runner as the dispatcher knows it now.
+    """The current state of one owned runner as the dispatcher knows it.
 
-    ``online_running`` counts this gateway's own online requests on it at this moment,
-    ``reported_running`` and ``reported_waiting`` are those of the last load report, and
-    ``online_prefill_tokens`` the prompt tokens of this gateway's online requests on it that have
-    no first token yet.
+    ``online_running`` counts this gateway's own online requests there, ``reported_running`` and
+    ``reported_waiting`` are the figures of the last load report, and ``online_prefill_tokens``
+    counts the prompt tokens of this gateway's online requests there that have no first token yet.
     """
 
     slots: int
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchAllowance:
-    """How many batch items may run on a runner now; below what runs, the rest is preempted."""
+    """How many batch items may run on a runner; any more that run are preempted."""
 
     items: int
     reason: str
@@ -43,5 +42,5 @@
     """Whether batch items are sent to engines with low priority."""
 
     def allowance(self, view: BatchRunnerView) -> BatchAllowance:
-        """Return the allowance; called on every arrival, end, report and timer tick."""
+        """Return the allowance; called on every arrival, end, load report and timer tick."""
         ...
--- a/src/rainsail/batch/item_returns.py
+++ b/src/rainsail/batch/item_returns.py
@@ -1,4 +1,4 @@
-"""Gives leased items back to the queue in batches."""
+"""Returns leased items to the ledger's queue in batches."""
 
 import random
 
@@ -18,11 +18,11 @@
 )
 
 RETURN_OVERHEAD_BYTES = 64
-"""Bytes that a returned item adds to a command besides its texts."""
+"""Encoding overhead of a returned item in a command, in addition to its texts."""
 
 
 class ItemReturns:
-    """Queues items to return; the ledger ignores those whose lease has passed on."""
+    """Queues items to return; the ledger ignores those that have been leased to another holder."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         )
 
     def add(self, held: HeldItem, failure: str = "") -> None:
-        """Queue an item; a ``failure`` costs it one attempt, a preemption none."""
+        """Queue an item; a ``failure`` uses up one attempt, a preemption none."""
         self._batcher.add(held.group, held.returned(failure))
         if failure:
             self.failed += 1
 
     def drain(self) -> "Deferred[None]":
-        """Return what waits; fires once the ledger has answered."""
+        """Return all queued items; fires once the ledger has answered."""
         return self._batcher.drain()
 
     def _command(self, items: tuple[ReturnedItem, ...]) -> Command:
--- a/src/rainsail/batch/item_runner.py
+++ b/src/rainsail/batch/item_runner.py
@@ -1,4 +1,4 @@
-"""Runs one leased item as one attempt on one engine."""
+"""Runs one leased item as a single attempt on one engine."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -19,22 +19,16 @@
 from rainsail.runtime.clock import Clock
 
 CANCEL_RETRY_DELAY_S = 0.1
-"""Seconds before a cancel is sent again when it failed or chunks still come. Not measured."""
+"""Delay before a cancel is retried after it failed or while chunks still arrive."""
 CANCEL_ATTEMPTS = 5
-"""Times that a cancel is sent; the engine's stream ends with its reader after that.
-
-Not measured.
-"""
+"""Maximum number of cancels; after that the engine's stream ends when its reader disconnects."""
 
 RESUME_ATTEMPTS = 3
-"""Times that an engine is asked again for the chunks missing of a finished answer.
-
-Not measured.
-"""
+"""Maximum number of requests for the missing chunks of a finished answer."""
 
 
 class LeasedRunEnd(StrEnum):
-    """How a run ended, as far as the item is concerned."""
+    """How a run ended for its item."""
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -42,7 +36,7 @@
 
 
 class LeasedItemRun:
-    """One attempt of an item; hears the engine and gathers the text.
+    """One attempt of an item; listens to the engine and assembles the text.
 
     ``on_end(run, end, detail, retry_after_s)`` is called once, and never after ``stop``.
     """
@@ -93,23 +87,23 @@
 
     @property
     def text(self) -> str:
-        """The text so far, the prefix of earlier attempts included."""
+        """The text so far, including the prefix from earlier attempts."""
         return self.held.generated_prefix + "".join(self._texts)
 
     @property
     def generating(self) -> bool:
-        """Whether the engine has read the prompt: the first token of this attempt is here."""
+        """Whether prefill is over: the first token of this attempt has arrived."""
         return self._next_sequence > 0
 
     def stop(self) -> None:
-        """Cancel at the engine; nothing is reported after this."""
+        """Cancel the attempt at the engine; ``on_end`` is not called after this."""
         if self.stopped or self.ended:
             return
         self.stopped = True
         self._send_cancel()
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Take a chunk in any order; chunks of other attempts and repeats are dropped."""
+        """Accept a chunk in any order; duplicates and chunks of other attempts are dropped."""
         if chunk.attempt_id != self.attempt_id or self.ended:
             return
         if self.stopped:
@@ -129,7 +123,7 @@
             self.kv_tokens += chunk.tokens
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Take the attempt's end."""
+        """Handle the end of the attempt."""
         if end.attempt_id != self.attempt_id or self.ended:
             return
         if self._resume_if_incomplete(end):
@@ -141,7 +135,7 @@
         self._on_end(self, run_end, detail, end.retry_after_s)
 
     def _resume_if_incomplete(self, end: EngineAttemptEnd) -> bool:
-        """Resume the stream of a finished answer that lacks chunks; tell whether that was done."""
+        """Resume the stream if a finished answer lacks chunks; tell whether it was resumed."""
         finished = end.reason in (EndReason.STOP, EndReason.LENGTH)
         whole = self._next_sequence >= end.chunk_count
         if self.stopped or not finished or whole or self._resumes >= RESUME_ATTEMPTS:
--- a/src/rainsail/batch/item_runs.py
+++ b/src/rainsail/batch/item_runs.py
@@ -1,4 +1,4 @@
-"""The leased items that run on engines now, by runner."""
+"""The leased items that run on engines, by runner."""
 
 from collections.abc import Callable, Iterator
 
@@ -11,11 +11,11 @@
 from rainsail.state.commands import GroupId, ItemRef
 
 RunEnded = Callable[[LeasedItemRun, LeasedRunEnd, str, float], None]
-"""Called with a run that has ended by itself, how, the detail, and seconds until a retry."""
+"""Called when a run ends without ``stop``: the run, its end, a detail, and the retry delay (s)."""
 
 
 class LeasedItemRuns:
-    """Starts, stops and counts runs, each under its own attempt id."""
+    """Starts, stops and counts runs; each has a unique attempt id."""
 
     def __init__(
         self, holder: str, fleet: BatchFleet, engine: EngineClient, clock: Clock, on_end: RunEnded
@@ -44,16 +44,16 @@
         return list(self._runs.get(runner, {}).values())
 
     def all(self) -> Iterator[LeasedItemRun]:
-        """Yield every run, by runner; runs may be stopped meanwhile."""
+        """Yield every run, by runner; runs may be stopped during the iteration."""
         for runner in list(self._runs):
             yield from self.of_runner(runner)
 
     def of_group(self, group: GroupId) -> Iterator[LeasedItemRun]:
-        """Yield the runs whose item a group keeps; runs may be stopped meanwhile."""
+        """Yield the runs of a group's items; runs may be stopped during the iteration."""
         return (run for run in self.all() if run.held.group == group)
 
     def refs(self, group: GroupId) -> Iterator[ItemRef]:
-        """Yield the items of a group that run."""
+        """Yield the references of a group's running items."""
         return (run.held.ref for run in self.of_group(group))
 
     def start(self, runner: str, spec: RunnerSpec, held: HeldItem, priority: Priority) -> None:
@@ -68,13 +68,13 @@
         run.start(priority)
 
     def stop(self, run: LeasedItemRun) -> HeldItem:
-        """Cancel a run at its engine; return the item with the text generated so far."""
+        """Cancel a run at its engine; return its item with the text generated so far."""
         run.stop()
         self._forget(run)
         return self.held_item(run)
 
     def held_item(self, run: LeasedItemRun) -> HeldItem:
-        """Return a run's item as it waits now, with the text generated so far."""
+        """Return a run's item as waiting again, with the text generated so far."""
         return run.held.waiting(run.text, self._clock.seconds(), run.runner)
 
     def _run_ended(
--- a/src/rainsail/batch/lease_pool.py
+++ b/src/rainsail/batch/lease_pool.py
@@ -1,4 +1,4 @@
-"""Leases items of one service ahead of need, so that a free slot never waits for the ledger."""
+"""Leases items of one service in advance, so that free slots do not wait for the ledger."""
 
 import random
 from collections import deque
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class _GroupLeasing:
-    """One group's backlog as last heard (None: not yet) and the command under way."""
+    """One group's last reported backlog (None: not yet reported) and the command in flight."""
 
     backlog: int | None = None
     request: LeaseItems | None = None
@@ -33,9 +33,9 @@
 
 
 class LeasePool:
-    """Holds the leased items of one service that run on no engine.
+    """Holds the leased items of one service that do not run on an engine.
 
-    ``on_leased(group, sent_at_s)`` is called after items have come in.
+    ``on_leased(group, sent_at_s)`` is called when items have been leased.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
     def take(self, runner: str) -> HeldItem | None:
         """Take the next item for a runner.
 
-        Preempted ones come before fresh ones, and those whose prompt another runner has read
-        come last: here it would have to be read again.
+        Preempted items come before new ones. Items whose prompt another runner has processed come
+        last, since this runner would have to repeat the prefill.
         """
         if not self._items:
             return None
@@ -80,11 +80,11 @@
         return self._items.popleft()
 
     def requeue(self, held: HeldItem) -> None:
-        """Put an item that did not finish first in line."""
+        """Put an unfinished item at the front of the queue."""
         self._items.appendleft(held)
 
     def want(self, count: int) -> None:
-        """Keep about ``count`` items ready from now on."""
+        """Set the number of items to keep ready; lease more if at least half of it is missing."""
         self._wanted = count
         missing = count - len(self._items) - self._requested()
         if self._stopped or missing <= 0 or 2 * missing < count:
@@ -94,19 +94,19 @@
             self._request(group, missing)
 
     def low(self) -> bool:
-        """Tell whether at most half of what was wanted last is here or on its way."""
+        """Tell whether at most half of the wanted items are held or requested."""
         return 2 * (len(self._items) + self._requested()) <= self._wanted
 
     def note_backlog(self, group: GroupId, backlog: int) -> None:
-        """Take a group's word on how many items of the service wait there."""
+        """Record how many items of the service a group reports as waiting."""
         self._groups[group].backlog = backlog
 
     def refs(self, group: GroupId) -> list[ItemRef]:
-        """Return the items of a group that are held here."""
+        """Return the references of a group's items in this pool."""
         return [held.ref for held in self._items if held.group == group]
 
     def drop(self, group: GroupId, ref: ItemRef) -> bool:
-        """Forget an item whose lease has ended; tell whether it was held."""
+        """Remove an item whose lease has ended; tell whether it was held."""
         for held in self._items:
             if held.group == group and held.ref == ref:
                 self._items.remove(held)
@@ -114,16 +114,16 @@
         return False
 
     def take_stale(self) -> list[HeldItem]:
-        """Take out the items that have waited longer than ``hold_s``."""
+        """Remove and return the items that have waited longer than ``hold_s``."""
         oldest_s = self._clock.seconds() - self._settings.hold_s
         return self._take_where(lambda held: held.held_since_s < oldest_s)
 
     def take_group(self, group: GroupId) -> list[HeldItem]:
-        """Take out every item of a group."""
+        """Remove and return all items of a group."""
         return self._take_where(lambda held: held.group == group)
 
     def stop(self) -> list[HeldItem]:
-        """Lease nothing more, and take out every item."""
+        """Stop leasing; remove and return all items."""
         self._stopped = True
         return self._take_where(lambda held: True)
 
@@ -177,7 +177,7 @@
     def _failed(self, fault: Fault, group: GroupId) -> None:
         """Send the same request id again: the first command may have leased items."""
         if fault.code in DEFINITE_CODES:
-            # Nothing was leased; how many items wait is learnt anew with the next request.
+            # Nothing was leased. The next lease renewal reports the backlog anew.
             logger.bind(group=group, service=self._service).info("items not leased: {}", fault)
             self._groups[group].request = None
             self._groups[group].backlog = 0
--- a/src/rainsail/batch/lease_pools.py
+++ b/src/rainsail/batch/lease_pools.py
@@ -1,4 +1,4 @@
-"""The pools of leased items that run on no engine, one for each service."""
+"""The pools of leased items that do not run on an engine, one for each service."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class LeasePools:
-    """Makes a service's pool with ``make_pool`` when it is first asked for."""
+    """Creates the pool of a service with ``make_pool`` on first use."""
 
     def __init__(self, make_pool: Callable[[str], LeasePool]) -> None:
         self._make_pool = make_pool
@@ -22,26 +22,26 @@
         return pool
 
     def by_service(self) -> list[tuple[str, LeasePool]]:
-        """Return every service that has a pool, and the pool."""
+        """Return every service that has a pool, with its pool."""
         return list(self._pools.items())
 
     def requeue(self, held: HeldItem) -> None:
-        """Put an item that did not finish first in its service's line."""
+        """Put an unfinished item at the front of its service's queue."""
         self.of_service(held.service).requeue(held)
 
     def refs(self, group: GroupId) -> list[ItemRef]:
-        """Return the items of a group that are held in pools."""
+        """Return the references of a group's items in all pools."""
         return [ref for pool in self._pools.values() for ref in pool.refs(group)]
 
     def drop(self, group: GroupId, ref: ItemRef) -> None:
-        """Forget an item that the ledger has taken back."""
+        """Remove an item whose lease the ledger has revoked."""
         for pool in self._pools.values():
             pool.drop(group, ref)
 
     def take_group(self, group: GroupId) -> list[HeldItem]:
-        """Take every item of a group out."""
+        """Remove and return all items of a group."""
         return [held for pool in self._pools.values() for held in pool.take_group(group)]
 
     def stop(self) -> list[HeldItem]:
-        """Lease nothing more; return the items that are held."""
+        """Stop leasing; remove and return all items."""
         return [held for pool in self._pools.values() for held in pool.stop()]
--- a/src/rainsail/batch/lease_renewer.py
+++ b/src/rainsail/batch/lease_renewer.py
@@ -1,7 +1,7 @@
-"""Renews the item leases of one holder and says when they must be taken as lost.
+"""Renews the item leases of one holder and reports when they have expired.
 
-A lease holds from the moment that its renewal was SENT, on this process's own clock, so a
-paused process finds on waking that its lease has lapsed before it acts on it.
+The term of a lease starts when its renewal is SENT, on this process's own clock. A process that was
+suspended thus notices the expired lease before it acts on it.
 """
 
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 
 @dataclass(slots=True)
 class _GroupLease:
-    """When the lease of one group ends, and whether a renewal is under way."""
+    """When the lease of one group expires, and whether a renewal is in flight."""
 
     expires_at_s: float | None = None
     renewing: bool = False
 
 
 class LeaseRenewer:
-    """Keeps the leases of every group alive while items are held.
+    """Renews the leases of every group.
 
-    ``refs_of(group)`` names the items held; ``on_stop(group, refs)`` hears what must be
-    cancelled, ``on_lapse(group)`` that every lease of a group is lost, and
-    ``on_backlog(group, backlog)`` how many items wait per service.
+    ``refs_of(group)`` returns the held items. ``on_stop(group, refs)`` is called with items to
+    cancel, ``on_lapse(group)`` when all leases of a group have expired, and
+    ``on_backlog(group, backlog)`` with the number of waiting items by service.
     """
 
     def __init__(
@@ -56,24 +56,24 @@
         self._leases = {group: _GroupLease() for group in settings.groups}
 
     def renew_all(self) -> None:
-        """Renew every group's lease; one renewal per group is under way at a time."""
+        """Renew every group's lease; at most one renewal per group is in flight."""
         for group, lease in self._leases.items():
             if not lease.renewing:
                 self._renew(group, lease)
 
     def note_leased(self, group: GroupId, sent_at_s: float) -> None:
-        """Count a first lease from when its command was sent."""
+        """Start the term of a group's first lease at the time its command was sent."""
         lease = self._leases[group]
         if lease.expires_at_s is None:
             lease.expires_at_s = sent_at_s + self._settings.item_lease_s
 
     def valid(self, group: GroupId) -> bool:
-        """Tell whether the leases of a group hold now."""
+        """Tell whether the leases of a group are valid now."""
         expires_at_s = self._leases[group].expires_at_s
         return expires_at_s is None or self._clock.seconds() < expires_at_s
 
     def check(self) -> None:
-        """Report every group whose lease has lapsed, once."""
+        """Report each group whose lease has expired, once."""
         for group, lease in self._leases.items():
             if not self.valid(group):
                 lease.expires_at_s = None
@@ -96,7 +96,7 @@
         lease.renewing = False
         self.check()
         if result.is_error():
-            # The lease runs out by itself unless a later renewal gets through.
+            # The lease expires unless a later renewal succeeds.
             logger.bind(group=group).info("item leases not renewed: {}", result.error)
             return
         reply = result.ok
--- a/src/rainsail/batch/policies/__init__.py
+++ b/src/rainsail/batch/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch policies: how many batch items each runner may hold at a moment."""
+"""Dispatch policies: how many batch items each runner may hold at a given time."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 
 def make_policy(settings: BatchSettings) -> DispatchPolicy:
-    """Return the policy that the settings name; ValueError when there is none of that name."""
+    """Return the policy that the settings name; raises ValueError if the name is unknown."""
     maker = POLICIES.get(settings.policy)
     if maker is None:
         raise ValueError(f"no policy {settings.policy!r}; one of {', '.join(POLICIES)}")
--- a/src/rainsail/batch/policies/lagged_cap.py
+++ b/src/rainsail/batch/policies/lagged_cap.py
@@ -1,6 +1,6 @@
-"""A cap by the lagged load report alone: what most systems do first.
+"""Caps batch items by the last load report alone, as simple systems do.
 
-The report is up to a second old, so a burst is seen late, and items that run stay.
+The report is up to a second old, so a burst is noticed late; running items are not preempted.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     low_priority: bool = False
 
     def allowance(self, view: BatchRunnerView) -> BatchAllowance:
-        """Return the slots reported free, or what runs already when that is more."""
+        """Return the slots reported free, or the running items if they are more."""
         online = max(0, view.reported_running + view.reported_waiting - view.batch_running)
         free = max(0, view.slots - online)
         return BatchAllowance(max(free, view.batch_running), f"{online} reported online")
--- a/src/rainsail/batch/policies/none.py
+++ b/src/rainsail/batch/policies/none.py
@@ -1,10 +1,10 @@
-"""No batch work at all: the baseline that harm is measured against."""
+"""No batch work at all: the baseline for measuring the impact of batch work on online requests."""
 
 from rainsail.batch.interface import BatchAllowance, BatchRunnerView
 
 
 class NoBatchPolicy:
-    """Allows nothing."""
+    """Allows no batch items."""
 
     name = "none"
     low_priority = True
--- a/src/rainsail/batch/policies/shared_queue.py
+++ b/src/rainsail/batch/policies/shared_queue.py
@@ -1,4 +1,4 @@
-"""Batch items are sent like online requests: normal priority, as many as there are slots."""
+"""Sends batch items like online requests: with normal priority, one for each slot."""
 
 from dataclasses import dataclass
 
--- a/src/rainsail/batch/policies/static_partition.py
+++ b/src/rainsail/batch/policies/static_partition.py
@@ -1,4 +1,4 @@
-"""A fixed part of every runner's slots belongs to batch work."""
+"""Reserves a fixed share of every runner's slots for batch work."""
 
 from dataclasses import dataclass
 
@@ -14,5 +14,5 @@
     low_priority: bool = False
 
     def allowance(self, view: BatchRunnerView) -> BatchAllowance:
-        """Return the batch part of the slots."""
+        """Return the batch share of the slots."""
         return BatchAllowance(int(view.slots * self.batch_share), "fixed share")
--- a/src/rainsail/batch/preemption.py
+++ b/src/rainsail/batch/preemption.py
@@ -1,8 +1,7 @@
-"""Which running items are preempted.
+"""Selects the running items to preempt: those that are cheapest to resume.
 
-Here those go first that cost the fewest tokens to read again. ``jobs.slot_use`` and
-``jobs.item_order`` preempt the least urgent, as neither prompt nor tokens of a relayed item are
-known.
+The cost is the number of tokens to prefill again. ``jobs.slot_use`` and ``jobs.item_order`` preempt
+the least urgent items instead, since the prompt and tokens of a relayed item are unknown.
 """
 
 from collections.abc import Sequence
@@ -14,11 +13,11 @@
 
 
 def choose_victims(runs: Sequence[Run], count: int) -> list[Run]:
-    """Return the ``count`` runs that are cheapest to go on with later.
+    """Return the ``count`` runs that are cheapest to resume later.
 
-    Those that are still being read come first: they compete with online prompts for prefill.
-    Of the others the generated text is kept, so what a preemption costs is reading prompt and
-    text again; ties go to the item with the latest deadline.
+    Runs still in prefill come first: they compete with online prompts. Other runs keep their
+    generated text, so a preemption costs another prefill of prompt and text; of equal runs the
+    one with the latest deadline is chosen.
     """
     by_cost = sorted(runs, key=_cost)
     return by_cost[:count]
--- a/src/rainsail/batch/prefill_meter.py
+++ b/src/rainsail/batch/prefill_meter.py
@@ -1,8 +1,8 @@
-"""Knows how many prompt tokens of online work wait for prefill at each engine.
+"""Counts the prompt tokens of online work that wait for prefill at each engine.
 
-Wraps the gateway's ``EngineClient``: an online attempt counts from when it is sent until its
-first token comes back. That is the moment at which batch work hurts the online tail most: every
-iteration that a long prompt needs is longer by each batch sequence in it.
+Wraps the gateway's ``EngineClient``: an online attempt counts from when it is sent until its first
+token arrives. During that time batch work increases online tail latency most, since each batch
+sequence lengthens every iteration that a long prompt needs.
 """
 
 from collections.abc import Callable
@@ -27,11 +27,11 @@
 from rainsail.errors import Fault
 
 CachedTokens = Callable[[str, str], int]
-"""Takes an engine's address and a prompt; returns how many leading tokens are likely cached."""
+"""Maps an engine's address and a prompt to the number of leading tokens that are likely cached."""
 
 
 def nothing_cached(address: str, prompt: str) -> int:
-    """Take every prompt as new."""
+    """Assume that no part of the prompt is cached."""
     return 0
 
 
@@ -61,7 +61,7 @@
     # --- EngineClient -----------------------------------------------------------------------
 
     def generate(self, address: str, request: GenerateRequest, listener: AttemptListener) -> None:
-        """Start an attempt; one of high priority is counted."""
+        """Start an attempt; those of high priority are counted."""
         if request.priority is not Priority.HIGH:
             self._engine.generate(address, request, listener)
             return
@@ -74,33 +74,33 @@
     def resume(
         self, address: str, attempt_id: str, from_sequence: int, listener: AttemptListener
     ) -> None:
-        """Take up a stream: its prefill is over."""
+        """Resume a stream; it is not counted, since its prefill is over."""
         self._engine.resume(address, attempt_id, from_sequence, listener)
 
     def pause(self, attempt_id: str) -> None:
-        """Pass on."""
+        """Forward to the wrapped client."""
         self._engine.pause(attempt_id)
 
     def unpause(self, attempt_id: str) -> None:
-        """Pass on."""
+        """Forward to the wrapped client."""
         self._engine.unpause(attempt_id)
 
     def cancel(self, address: str, attempt_id: str) -> "Deferred[Result[bool, Fault]]":
-        """Pass on."""
+        """Forward to the wrapped client."""
         return self._engine.cancel(address, attempt_id)
 
     def order(self, address: str, order: EngineOrder) -> "Deferred[Result[OrderReply, Fault]]":
-        """Pass on."""
+        """Forward to the wrapped client."""
         return self._engine.order(address, order)
 
     def export_kv(
         self, address: str, session: str, fence: int
     ) -> "Deferred[Result[KvState, Fault]]":
-        """Pass on."""
+        """Forward to the wrapped client."""
         return self._engine.export_kv(address, session, fence)
 
     def import_kv(self, address: str, state: KvState) -> "Deferred[Result[None, Fault]]":
-        """Pass on."""
+        """Forward to the wrapped client."""
         return self._engine.import_kv(address, state)
 
     def subscribe(
@@ -110,12 +110,12 @@
         on_cache: Callable[[CacheEvent], None],
         on_lost: Callable[[Fault], None],
     ) -> Callable[[], None]:
-        """Pass on."""
+        """Forward to the wrapped client."""
         return self._engine.subscribe(address, on_load, on_cache, on_lost)
 
 
 class _MeteredListener:
-    """Takes the attempt off the count at its first chunk or its end."""
+    """Subtracts the attempt's tokens from the count at its first chunk or its end."""
 
     __slots__ = ("_address", "_listener", "_meter", "_tokens")
 
@@ -128,13 +128,13 @@
         self._listener = listener
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Take a chunk."""
+        """Forward a chunk; the first one ends the prefill."""
         if self._tokens:
             self._prefilled()
         self._listener.on_chunk(chunk)
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Take the end."""
+        """Forward the end, which also ends a prefill without any chunk."""
         if self._tokens:
             self._prefilled()
         self._listener.on_end(end)
--- a/src/rainsail/batch/result_committer.py
+++ b/src/rainsail/batch/result_committer.py
@@ -1,4 +1,4 @@
-"""Commits results in batches and counts what became of them."""
+"""Commits results in batches and counts the ledger's verdicts on them."""
 
 import random
 from dataclasses import dataclass
@@ -21,12 +21,12 @@
 )
 
 RESULT_OVERHEAD_BYTES = 64
-"""Bytes that a result adds to a command besides its text."""
+"""Encoding overhead of a result in a command, in addition to its text."""
 
 
 @dataclass(slots=True)
 class CommitCounts:
-    """Results by verdict since the start."""
+    """Number of results by verdict since the start."""
 
     committed: int = 0
     dropped: int = 0
@@ -34,7 +34,7 @@
 
 
 class ResultCommitter:
-    """Sends finished items to the ledger, whose fence decides which are taken."""
+    """Sends results to the ledger, which accepts only those with a valid fencing token."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         return [result.ref for result in self._batcher.pending(group)]
 
     def drain(self) -> "Deferred[None]":
-        """Commit what waits; fires once every result has its verdict."""
+        """Commit all queued results; fires once every result has its verdict."""
         return self._batcher.drain()
 
     def _command(self, results: tuple[ItemResult, ...]) -> Command:
--- a/src/rainsail/batch/settings.py
+++ b/src/rainsail/batch/settings.py
@@ -3,75 +3,83 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 THROUGHPUT_BATCH_WEIGHT = 0.8
-"""Preset of the site that weighs throughput first: its reports must all land overnight."""
+"""Preset that favours throughput, for sites whose batch jobs must all finish overnight."""
 LATENCY_BATCH_WEIGHT = 0.2
-"""Preset of the site that weighs the online tail first: a late answer leaves guests waiting."""
+"""Preset that favours online tail latency, for sites whose users wait for each answer."""
 
 
 class BatchSettings(BaseModel):
-    """How batch jobs are taken in and how their items run on idle capacity."""
+    """How batch jobs are submitted and how their items run on idle capacity."""
 
     model_config = ConfigDict(frozen=True)
 
     groups: tuple[int, ...] = Field(
         default=(0,),
         min_length=1,
-        description="Replicated groups that keep batch ledgers; a job's group is chosen by hash.",
+        description="Replicated groups that store batch ledgers; a job's group is chosen by hash.",
     )
     range_bytes: int = Field(
-        default=256 * 1024, gt=0, description="Most bytes of items in one ledger command."
+        default=256 * 1024, gt=0, description="Maximum bytes of items in one ledger command."
     )
     range_items: int = Field(
-        default=1000, gt=0, description="Most items in one ledger command of the intake."
+        default=1000, gt=0, description="Maximum items in one ledger command of the intake."
     )
-    max_job_items: int = Field(default=600_000, gt=0, description="Most items in one job.")
+    max_job_items: int = Field(default=600_000, gt=0, description="Maximum items in one job.")
     concurrent_submissions: int = Field(
-        default=4, gt=0, description="Jobs whose items one gateway stores at the same time."
+        default=4, gt=0, description="Jobs whose items one gateway stores concurrently."
     )
     command_timeout_s: float = Field(
-        default=5.0, gt=0, description="Seconds that one ledger command may take with retries."
+        default=5.0,
+        gt=0,
+        description="Timeout in seconds of one ledger command, including retries.",
     )
     retry_delay_s: float = Field(
-        default=0.2, gt=0, description="Mean seconds before a failed ledger command is sent again."
+        default=0.2,
+        gt=0,
+        description="Mean delay in seconds before a failed ledger command is retried.",
     )
     submit_attempts: int = Field(
-        default=5, gt=0, description="Times that the intake sends one command before it gives up."
+        default=5,
+        gt=0,
+        description="Attempts of the intake to send one command before it gives up.",
     )
     lease_renewal_period_s: float = Field(
         default=1.0, gt=0, description="Seconds between renewals of the item leases."
     )
     item_lease_s: float = Field(
-        default=5.0, gt=0, description="Length of an item lease until a renewal states another."
+        default=5.0,
+        gt=0,
+        description="Duration in seconds of an item lease until a renewal sets another.",
     )
     prefetch_items_per_runner: int = Field(
         default=4, ge=0, description="Leased items kept ready per owned runner."
     )
     lease_max_items: int = Field(
-        default=256, gt=0, description="Most items asked for in one lease command."
+        default=256, gt=0, description="Maximum items requested in one lease command."
     )
     lease_max_tokens: int = Field(
-        default=1_000_000, gt=0, description="Most tokens asked for in one lease command."
+        default=1_000_000, gt=0, description="Maximum tokens requested in one lease command."
     )
     hold_s: float = Field(
         default=3.0, gt=0, description="Seconds that a leased item may wait before it is returned."
     )
     commit_period_s: float = Field(
-        default=0.05, gt=0, description="Seconds that a result may wait for others to join it."
+        default=0.05, gt=0, description="Seconds that a result may wait to be batched with others."
     )
     commit_max_items: int = Field(
-        default=128, gt=0, description="Most results or returned items in one ledger command."
+        default=128, gt=0, description="Maximum results or returned items in one ledger command."
     )
     refill_delay_s: float = Field(
         default=0.1, ge=0, description="Seconds without new items on a runner after a preemption."
     )
     tick_s: float = Field(
-        default=0.05, gt=0, description="Seconds between looks at runners on which nothing changed."
+        default=0.05, gt=0, description="Seconds between periodic evaluations of all runners."
     )
     policy: str = Field(default="preemptive", description="Name of the dispatch policy.")
     batch_weight: float = Field(
         default=0.5,
         ge=0.0,
         le=1.0,
-        description="Share of a runner's slots in use, online work included, while an online "
-        "prompt of 1000 tokens is read. 0: least harm to the online tail; 1: most throughput.",
+        description="Share of a runner's slots in use, including online work, during prefill of an "
+        "online prompt of 1000 tokens. 0: lowest online tail latency; 1: highest throughput.",
     )
