--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -26,7 +26,7 @@
 
 @dataclass
 class StandInLeader:
-    """In place of a messenger: the leader's answer comes after a while, or not in time."""
+    """Replaces the messenger: answers as the leader after a delay, or not before the timeout."""
 
     clock: VirtualClock
     answer: Placement | None = None
@@ -35,7 +35,7 @@
     last: PlaceRequest | None = None
 
     def call(self, destination, message, timeout_s):
-        """Take a question; return what fires with the answer, or with a fault after the time."""
+        """Record a request; fires with the answer, or with a fault after the timeout."""
         assert destination == LEADER and isinstance(message, PlaceRequest), message
         self.asked += 1
         self.last = message
@@ -57,8 +57,8 @@
     world.put_route(kind)
     context.leader = StandInLeader(world.clock)
     context.client = PlacementClient(context.leader, world.clock, NodeMetrics())
-    context.told_back = []
-    context.client.on_placed = lambda: context.told_back.append(context.client.seen)
+    context.reported_seen = []
+    context.client.on_placed = lambda: context.reported_seen.append(context.client.seen)
     context.client.set_leader(LEADER)
     world.context.place = context.client.place
     context.exchanges = []
@@ -145,7 +145,7 @@
 @then("the asked request went to runner {number:d}, and the leader hears that its word is known")
 def went_to_known(context, number):
     went_to(context, number)
-    assert context.told_back == [7], context.told_back
+    assert context.reported_seen == [7], context.reported_seen
 
 
 @then("the request is sent after {wait_ms:d} ms")
@@ -226,7 +226,7 @@
     context.items = {}
     context.outliers = OutlierDetector()
     context.compared = []
-    context.made_room = []
+    context.preempted_at = []
 
     def items_at(runner):
         context.compared.append(runner)
@@ -240,7 +240,7 @@
         WarmUpLimiter(WarmUpBound(), registry.warm_ups),
         RegionMap({"zone-1": "east", "zone-2": "west"}),
         random.Random(5),
-        context.made_room.append,
+        context.preempted_at.append,
     )
     context.now_s = 0.0
     context.placed = []
@@ -312,7 +312,7 @@
 
 @then("the item at runner {number:d} has to give way at once")
 def has_to_give_way(context, number):
-    assert context.made_room == [f"runner-{number}"], context.made_room
+    assert context.preempted_at == [f"runner-{number}"], context.preempted_at
 
 
 @when("that gateway reports {running:d} under way, knowing of the first {seen:d} placements")
--- a/src/rainsail/jobs/after_run.py
+++ b/src/rainsail/jobs/after_run.py
@@ -41,8 +41,8 @@
 ITEM_BACKOFF_MIN_S = 0.5
 """An item's first backoff after such runs; it doubles with each further one.
 
-With this and the two limits beside it, an item whose answer cannot be parsed runs 4 to 14 times in
-60 s; without a backoff it runs 38 times.
+With these limits (after 3 runs, from 0.5 s to 8 s) an item whose answer cannot be parsed runs 4 to
+14 times in 60 s; without a backoff it runs 38 times.
 """
 CONFIRMATION_PAUSE_S = 0.5
 """Wait of an item whose complete text is unconfirmed before it runs again.
@@ -124,8 +124,8 @@
 def item_backoff_s(runs_without_event: int) -> float:
     """Return an item's backoff after so many consecutive broken runs without a new event.
 
-    Without it an item whose answer cannot be parsed would occupy slots forever, and its failed runs
-    would pause each runner in turn for all other items.
+    Without a backoff, an item whose answer cannot be parsed would occupy slots forever, and its
+    failed runs would pause each runner in turn for all other items.
     """
     doublings = runs_without_event - RUNS_BEFORE_ITEM_BACKOFF
     if doublings < 0:
--- a/src/rainsail/jobs/feasibility.py
+++ b/src/rainsail/jobs/feasibility.py
@@ -1,4 +1,4 @@
-"""Computes which open items can meet their due times together, also under overload. Pure.
+"""Computes which open items can meet their due times together, by a pure function.
 
 Earliest due date first is the best order while all items fit, and the worst under overload: each
 item then ends just after its due time. The Moore-Hodgson algorithm minimises the number of late
--- a/src/rainsail/jobs/item_guard.py
+++ b/src/rainsail/jobs/item_guard.py
@@ -1,4 +1,4 @@
-"""Checks items against the quarantine, and reports to it how runners survive them."""
+"""Checks items against the quarantine, and reports to it whether runners survive their runs."""
 
 from rainsail.cluster.messages import RunnerRecord
 from rainsail.jobs.item_routes import ItemRoutes
--- a/src/rainsail/jobs/item_run.py
+++ b/src/rainsail/jobs/item_run.py
@@ -151,9 +151,9 @@
         source: StreamSource,
         beginnings: StreamBeginnings,
         ended: Callable[["ItemRun", RunEnd, str], None],
-        load_heard: Callable[[ServerLoad], None] = lambda load: None,
+        on_load: Callable[[ServerLoad], None] = lambda load: None,
     ) -> None:
-        """``load_heard`` is called with the load that the runner reports in the answer's head."""
+        """``on_load`` is called with the load that the runner reports in the answer's head."""
         self.item = item
         self.progress = progress
         self.verdict: AnswerVerdict | None = None
@@ -165,7 +165,7 @@
         self._source = source
         self._beginnings = beginnings
         self._ended = ended
-        self._load_heard = load_heard
+        self._on_load = on_load
         self._stream: EventStream | None = None
         self._status = 0
         self._framing = Framing.CLOSE
@@ -190,7 +190,7 @@
         self._framing = head.framing
         self._stream = EventStream(head.framing) if kind == HeadKind.EVENTS else None
         if verdict.load is not None:
-            self._load_heard(verdict.load)
+            self._on_load(verdict.load)
 
     @property
     def begun(self) -> bool:
--- a/src/rainsail/jobs/ledger_service.py
+++ b/src/rainsail/jobs/ledger_service.py
@@ -56,7 +56,7 @@
     def serve_group(self, group: GroupDriver) -> None:
         """Begin to serve a group whose storage is open."""
         self._group = group
-        group.on_applied(lambda index: self._held.release_where(self._has_news))
+        group.on_applied(lambda index: self._held.release_where(self._is_answerable))
 
     def _refusal(self, step: str) -> Fault | None:
         """Return the fault to answer with if this node does not lead, None if it leads."""
@@ -126,11 +126,11 @@
         refusal = self._refusal("jobs.read")
         if refusal is not None:
             return refusal
-        if message.wait_s <= 0 or self._has_news(message):
+        if message.wait_s <= 0 or self._is_answerable(message):
             return self._read_now(message)
         return self._held.hold(message)
 
-    def _has_news(self, message: ReadResults) -> bool:
+    def _is_answerable(self, message: ReadResults) -> bool:
         """Tell whether a read can be answered at once: it has a result, or none will follow."""
         job = self._state.jobs.get(message.job)
         return job is None or not job.is_open or len(job.listed) > message.after
--- a/src/rainsail/jobs/other_callers.py
+++ b/src/rainsail/jobs/other_callers.py
@@ -10,7 +10,9 @@
 from rainsail.routing.facts import ServerLoad
 
 REPORT_DECAY_S = 4.0
-"""Time in which a report decays to zero; items running at the report have probably ended by then.
+"""Time in which a report decays to zero.
+
+Items that ran at the time of the report have probably ended by then.
 """
 
 
--- a/src/rainsail/jobs/outcome_batcher.py
+++ b/src/rainsail/jobs/outcome_batcher.py
@@ -19,8 +19,8 @@
     def __init__(self, propose: Callable[[ListOutcomes], Any], clock: Clock) -> None:
         self._propose = propose
         self._clock = clock
-        self._gathered: dict[str, list[ItemOutcome]] = {}
-        self._planned = False
+        self._pending: dict[str, list[ItemOutcome]] = {}
+        self._flush_scheduled = False
         self._active = False
 
     def start(self) -> None:
@@ -30,24 +30,24 @@
     def stop(self) -> None:
         """Drop uncommitted outcomes; the next leader runs those items again."""
         self._active = False
-        self._gathered = {}
+        self._pending = {}
 
     def add(self, job: str, outcome: ItemOutcome) -> None:
         """Queue an outcome; it is committed within ``BATCHING_DELAY_S`` unless refused."""
-        self._gathered.setdefault(job, []).append(outcome)
-        self._plan(BATCHING_DELAY_S)
+        self._pending.setdefault(job, []).append(outcome)
+        self._schedule_flush(BATCHING_DELAY_S)
 
-    def _plan(self, delay_s: float) -> None:
-        if not self._planned:
-            self._planned = True
+    def _schedule_flush(self, delay_s: float) -> None:
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._clock.callLater(delay_s, self._flush)
 
     def _flush(self) -> None:
-        self._planned = False
-        gathered, self._gathered = self._gathered, {}
+        self._flush_scheduled = False
+        pending, self._pending = self._pending, {}
         if not self._active:
             return
-        for job, outcomes in gathered.items():
+        for job, outcomes in pending.items():
             command = ListOutcomes(job, tuple(outcomes))
             self._propose(command).addCallback(self._committed, job, outcomes)
 
@@ -55,5 +55,5 @@
         if result.is_ok() or not self._active:
             return
         logger.bind(job=job, fault=str(result.error)).warning("outcomes_not_committed")
-        self._gathered.setdefault(job, []).extend(outcomes)
-        self._plan(RETRY_S)
+        self._pending.setdefault(job, []).extend(outcomes)
+        self._schedule_flush(RETRY_S)
--- a/src/rainsail/jobs/progress_committer.py
+++ b/src/rainsail/jobs/progress_committer.py
@@ -39,8 +39,8 @@
     def _commit_progress(self) -> None:
         """Commit the progress since the last call.
 
-        While items only wait, the command carries no notes but the ledger time, from which the next
-        leader knows the age of the items.
+        While items only wait, the command carries just the ledger time, so that the next leader
+        knows the age of their jobs.
         """
         notes: list[ItemNote] = []
         committed_before: CommittedCounts = []
