--- a/src/rainsail/batch/dispatcher.py
+++ b/src/rainsail/batch/dispatcher.py
@@ -136,7 +136,7 @@
         for service, pool in self._pools.by_service():
             for held in pool.take_stale():
                 self.returns.add(held)
-            pool.want(self._wanted(service))
+            pool.set_target(self._target(service))
         self._schedule(self._settings.tick_s, self._tick)
 
     def _renew(self) -> None:
@@ -228,19 +228,19 @@
             if self._leases.valid(held.group):
                 self.counts.started += 1
                 self._runs.start(runner, spec, held, self._priority())
-        if taken and pool.low():
-            pool.want(self._wanted(spec.service))
+        if taken and pool.is_low():
+            pool.set_target(self._target(spec.service))
 
-    def _wanted(self, service: str) -> int:
+    def _target(self, service: str) -> int:
         """Return how many leased items to keep ready: the free places and a few per runner."""
-        wanted = 0
+        target = 0
         for runner, allowance in self._allowances.items():
             spec = self._spec(runner)
             if allowance == 0 or spec is None or spec.service != service:
                 continue
             spare = allowance - self._runs.count(runner)
-            wanted += max(0, spare) + self._settings.prefetch_items_per_runner
-        return wanted
+            target += max(0, spare) + self._settings.prefetch_items_per_runner
+        return target
 
     def _priority(self) -> Priority:
         return Priority.LOW if self._policy.low_priority else Priority.HIGH
@@ -281,7 +281,7 @@
     def _note_backlog(self, group: GroupId, backlog: dict[str, int]) -> None:
         for service, pool in self._pools.by_service():
             pool.note_backlog(group, backlog.get(service, 0))
-            pool.want(self._wanted(service))
+            pool.set_target(self._target(service))
 
     def _stop_revoked(self, group: GroupId, refs: tuple[ItemRef, ...]) -> None:
         """Cancel the items whose leases the ledger has revoked for this holder."""
--- a/src/rainsail/batch/lease_pool.py
+++ b/src/rainsail/batch/lease_pool.py
@@ -58,7 +58,7 @@
         self._groups = {group: _GroupLeasing() for group in settings.groups}
         self._items: deque[HeldItem] = deque()
         self._request_count = 0
-        self._wanted = 0
+        self._target = 0
         self._next_group = 0
         self._stopped = False
 
@@ -83,9 +83,9 @@
         """Put an unfinished item at the front of the queue."""
         self._items.appendleft(held)
 
-    def want(self, count: int) -> None:
+    def set_target(self, count: int) -> None:
         """Set the number of items to keep ready; lease more if at least half of it is missing."""
-        self._wanted = count
+        self._target = count
         missing = count - len(self._items) - self._requested()
         if self._stopped or missing <= 0 or 2 * missing < count:
             return
@@ -93,9 +93,9 @@
         if group is not None:
             self._request(group, missing)
 
-    def low(self) -> bool:
-        """Tell whether at most half of the wanted items are held or requested."""
-        return 2 * (len(self._items) + self._requested()) <= self._wanted
+    def is_low(self) -> bool:
+        """Tell whether at most half of the target is held or requested."""
+        return 2 * (len(self._items) + self._requested()) <= self._target
 
     def note_backlog(self, group: GroupId, backlog: int) -> None:
         """Record how many items of the service a group reports as waiting."""
