--- a/features/support/relayed_fleet.py
+++ b/features/support/relayed_fleet.py
@@ -30,7 +30,7 @@
 JOB_PATH = "/jobs/1"
 ZONES = {"zone-0": "east", "zone-1": "west", "zone-2": "west"}
 COMPLETION_S = 5.0
-"""Time within which the tests' jobs are due."""
+"""Due time of the tests' jobs after their acceptance."""
 
 
 def table_of(content: bytes) -> Any:
