--- a/features/steps/gateway_drain_steps.py
+++ b/features/steps/gateway_drain_steps.py
@@ -32,14 +32,14 @@
 
 @then("the planned stop is over and cut nothing")
 def cut_nothing(context):
-    assert [report.cut for report in context.reports] == [()], context.reports
+    assert [report.aborted for report in context.reports] == [()], context.reports
 
 
 @then("the planned stop is over and cut the request of gateway caller {index:d}")
 def cut_one(context, index):
     request = context.fleet.callers[index].request
     names = (RequestName(request.tenant, request.request_id),)
-    assert [report.cut for report in context.reports] == [names], context.reports
+    assert [report.aborted for report in context.reports] == [names], context.reports
 
 
 @given(
@@ -68,7 +68,7 @@
 @then('the planned stop is over and cut "{request_id}" of "{one}" and of "{other}" alone')
 def cut_both(context, request_id, one, other):
     names = (RequestName(one, request_id), RequestName(other, request_id))
-    assert [report.cut for report in context.reports] == [names], context.reports
+    assert [report.aborted for report in context.reports] == [names], context.reports
     for caller in context.fleet.callers:
         was_cut = caller.request.request_id == request_id
         assert bool(caller.faults) == was_cut, (caller.request, caller.faults)
@@ -81,5 +81,5 @@
         for record in context.log_records
         if record["level"].name == "WARNING" and "grace time" in record["message"]
     ]
-    cut = [(name.tenant, name.request_id) for name in context.reports[0].cut]
-    assert warned == cut, warned
+    aborted = [(name.tenant, name.request_id) for name in context.reports[0].aborted]
+    assert warned == aborted, warned
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -121,7 +121,7 @@
 def count_ejected(context, low, high):
     now_s = context.fleet.clock.seconds()
     states = context.fleet.gateways[0].fleet.runners_of(SERVICE)
-    out = [state.name for state in states if state.ejection.is_out(now_s)]
+    out = [state.name for state in states if state.ejection.is_ejected(now_s)]
     assert low <= len(out) <= high, out
     assert context.fleet.gateways[0].fleet.runners_out() == len(out)
 
--- a/features/steps/gateway_followed_runners_steps.py
+++ b/features/steps/gateway_followed_runners_steps.py
@@ -60,7 +60,7 @@
         node_name(number), size.zone(0), settings.other_zone_runners, settings.asked_runners
     )
     for runner in range(size.runners):
-        other.note(runner_name(runner), size.zone(runner))
+        other.add(runner_name(runner), size.zone(runner))
     chosen = [
         runner_name(n) for n in range(size.runners) if other.follows(runner_name(n), "-", False)
     ]
--- a/features/support/gateway_checks.py
+++ b/features/support/gateway_checks.py
@@ -25,7 +25,9 @@
     "refuse-after-send": Defect(request, "failure_outcome", lambda sent: Outcome.NOT_RUN),
     "retry-any": Defect(retry, "may_send_again", lambda repeatable, sent: True),
     "ignore-drain": Defect(runner_state, "is_leaving", lambda state, now_s: False),
-    "stop-at-once": Defect(drain, "requests_to_cut", lambda running, waited, grace: tuple(running)),
+    "stop-at-once": Defect(
+        drain, "requests_to_abort", lambda running, waited, grace: tuple(running)
+    ),
 }
 
 
--- a/src/rainsail/gateway/admission.py
+++ b/src/rainsail/gateway/admission.py
@@ -20,7 +20,7 @@
 from rainsail.runtime.clock import Clock
 
 STEP = "gateway.admission"
-SHORTEST_REFILL_S = 0.001
+MIN_REFILL_DELAY_S = 0.001
 """Least delay of the timer that waits for a bucket to fill."""
 TENANT_ACTIVE_S = 10.0
 """A tenant counts as active this long after its last request, for the slot limit."""
@@ -49,7 +49,7 @@
         """Return the wait to expect after ``ahead`` tokens, counting a share about to be lent."""
         ...
 
-    def ran_short(self, tenant: str, tokens: float) -> None:
+    def record_shortfall(self, tenant: str, tokens: float) -> None:
         """Count demand that could not be granted at once."""
         ...
 
@@ -94,7 +94,7 @@
         queues = self._services[ticket.service]
         queues.count(ticket, -1)
         hold_s = self._clock.seconds() - ticket.granted_s
-        queues.held_for(hold_s)
+        queues.record_hold_time(hold_s)
         self._quotas.give_back(ticket.tenant, ticket.cost_tokens - used_tokens)
         self.pump(ticket.service)
 
@@ -134,7 +134,7 @@
             ticket.tenant, ticket.cost_tokens, queue.queued_cost(ticket.tenant)
         )
         if quota_wait_s > 0.0:
-            self._quotas.ran_short(ticket.tenant, ticket.cost_tokens)
+            self._quotas.record_shortfall(ticket.tenant, ticket.cost_tokens)
         if quota_wait_s > limit_s:
             return self._fault(FaultCode.OVER_LIMIT, "the tenant's tokens are used", quota_wait_s)
         queue_wait_s = estimated_wait_s(
@@ -212,7 +212,7 @@
         ]
         waits = [wait_s for wait_s in waits if 0.0 < wait_s < float("inf")]
         if waits:
-            delay_s = max(min(waits), SHORTEST_REFILL_S)
+            delay_s = max(min(waits), MIN_REFILL_DELAY_S)
             queues.refill_timer = self._clock.callLater(delay_s, self._refilled, service)
 
     def _refilled(self, service: str) -> None:
--- a/src/rainsail/gateway/admission_queues.py
+++ b/src/rainsail/gateway/admission_queues.py
@@ -72,7 +72,7 @@
         """Return the slots left for online requests, none of them promised to anyone."""
         return slots.total - slots.others - self.online_running
 
-    def held_for(self, hold_s: float) -> None:
+    def record_hold_time(self, hold_s: float) -> None:
         """Take the time that a request held its slot into the running mean."""
         self.holds_seen += 1
         weight = max(HOLD_TIME_SMOOTHING, 1.0 / self.holds_seen)
--- a/src/rainsail/gateway/answer_delivery.py
+++ b/src/rainsail/gateway/answer_delivery.py
@@ -50,7 +50,7 @@
         if sink is not None:
             sink.on_fault(fault)
 
-    def drop_caller(self) -> None:
+    def detach_caller(self) -> None:
         """Tell the caller nothing more."""
         self._sink = None
 
--- a/src/rainsail/gateway/attempt_sender.py
+++ b/src/rainsail/gateway/attempt_sender.py
@@ -17,7 +17,7 @@
 
 Not measured; chosen so that the engine's refusal as not run comes before the caller's deadline.
 """
-LEAST_DEADLINE_S = 0.001
+MIN_ENGINE_DEADLINE_S = 0.001
 """Seconds that an engine is given at least, as 0 would mean no deadline. Not measured."""
 
 
@@ -79,7 +79,7 @@
             context.clock,
             context.random,
             context.settings.retry,
-            patient=self._class == RequestClass.NON_REPEATABLE,
+            retry_refused_resume=self._class == RequestClass.NON_REPEATABLE,
         )
         self.sent += 1
         context.fleet.attempt_started(runner, attempt.attempt_id, self._batch)
@@ -121,4 +121,4 @@
         if self._deadline_s == NEVER_S:
             return 0.0
         left_s = self._deadline_s - self._context.clock.seconds() - ENGINE_DEADLINE_MARGIN_S
-        return max(LEAST_DEADLINE_S, left_s)
+        return max(MIN_ENGINE_DEADLINE_S, left_s)
--- a/src/rainsail/gateway/attempts.py
+++ b/src/rainsail/gateway/attempts.py
@@ -25,7 +25,7 @@
 class AttemptResult(StrEnum):
     """How an attempt ended for its request."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     BROKEN = "broken"
 
@@ -82,8 +82,8 @@
 class EngineAttempt:
     """Sends one ``GenerateRequest`` and sees its stream through.
 
-    ``patient``: the work cannot go elsewhere, so a refusal to take the stream up (the engine may
-    be out of reach for the moment) is followed by another try.
+    ``retry_refused_resume`` is set for work that cannot run on another engine: a refused resume is
+    retried, because the engine may only be unreachable for a moment.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         clock: Clock,
         random: Random,
         settings: RetrySettings,
-        patient: bool = False,
+        retry_refused_resume: bool = False,
     ) -> None:
         self.runner = runner
         self.address = address
@@ -112,7 +112,7 @@
         self._clock = clock
         self._random = random
         self._settings = settings
-        self._patient = patient
+        self._retry_refused_resume = retry_refused_resume
         self._held_end: EngineAttemptEnd | None = None
         self._resumes = 0
         self._resumed_at = 0
@@ -176,14 +176,14 @@
             self.out_of_order = False
             self._stop_timer()
         elif end.chunk_count <= self.next_sequence:
-            self._finish(AttemptResult.WHOLE, end)
+            self._finish(AttemptResult.COMPLETE, end)
 
     def _wait_for_gap(self) -> None:
         self.out_of_order = True
         if self._timer is None:
-            self._timer = self._clock.callLater(self._settings.gap_wait_s, self._gap_passed)
+            self._timer = self._clock.callLater(self._settings.gap_wait_s, self._gap_timed_out)
 
-    def _gap_passed(self) -> None:
+    def _gap_timed_out(self) -> None:
         self._timer = None
         self._resume_or_break(self._lost_end("chunks are missing"))
 
@@ -194,19 +194,19 @@
         if self.link is not link or end.attempt_id != self.attempt_id:
             return
         if end.reason in (EndReason.STOP, EndReason.LENGTH):
-            self._take_whole_end(end)
+            self._take_complete_end(end)
         elif end.reason == EndReason.REFUSED and not link.resumed and not self.next_sequence:
             self._finish(AttemptResult.REFUSED, end)
         elif end.reason == EndReason.LOST or (
-            end.reason == EndReason.REFUSED and link.resumed and self._patient
+            end.reason == EndReason.REFUSED and link.resumed and self._retry_refused_resume
         ):
             self._resume_or_break(end)
         else:
             self._finish(AttemptResult.BROKEN, end)
 
-    def _take_whole_end(self, end: EngineAttemptEnd) -> None:
+    def _take_complete_end(self, end: EngineAttemptEnd) -> None:
         if end.chunk_count <= self.next_sequence:
-            self._finish(AttemptResult.WHOLE, end)
+            self._finish(AttemptResult.COMPLETE, end)
             return
         self._held_end = end
         self._wait_for_gap()
--- a/src/rainsail/gateway/cache_view.py
+++ b/src/rainsail/gateway/cache_view.py
@@ -23,7 +23,7 @@
     def __len__(self) -> int:
         return len(self.blocks)
 
-    def lost(self) -> None:
+    def subscription_lost(self) -> None:
         """Note that events may have been missed (the subscription broke)."""
         self.stale = True
         self._next_sequence = None
--- a/src/rainsail/gateway/claims.py
+++ b/src/rainsail/gateway/claims.py
@@ -29,7 +29,7 @@
     return digest.hexdigest()
 
 
-class ClaimKeeper:
+class ClaimClient:
     """Claims and finishes non-repeatable requests through control."""
 
     def __init__(self, control: ControlClient, settings: RetrySettings) -> None:
@@ -79,15 +79,15 @@
 class RequestClaim:
     """The claim of one request: taken at most once, ended at most once."""
 
-    def __init__(self, keeper: ClaimKeeper, request: CallerRequest, claimant: str) -> None:
-        self._keeper = keeper
+    def __init__(self, client: ClaimClient, request: CallerRequest, claimant: str) -> None:
+        self._client = client
         self._request = request
         self._claimant = claimant
         self._held = False
 
     def take(self) -> "Deferred[Result[ClaimResult, Fault]]":
         """Ask for the claim."""
-        return self._keeper.claim(self._request, self._claimant).addCallback(self._taken)
+        return self._client.claim(self._request, self._claimant).addCallback(self._taken)
 
     def _taken(self, reply: Result[ClaimResult, Fault]) -> Result[ClaimResult, Fault]:
         self._held = reply.is_ok() and reply.ok.granted
@@ -98,4 +98,4 @@
         if not self._held:
             return succeed(None)
         self._held = False
-        return self._keeper.finish(self._request, self._claimant, outcome, response)
+        return self._client.finish(self._request, self._claimant, outcome, response)
--- a/src/rainsail/gateway/core.py
+++ b/src/rainsail/gateway/core.py
@@ -12,14 +12,14 @@
 from rainsail.gateway.admission import Admission
 from rainsail.gateway.admission_queues import Slots
 from rainsail.gateway.cancellation import Canceller
-from rainsail.gateway.claims import ClaimKeeper
+from rainsail.gateway.claims import ClaimClient
 from rainsail.gateway.decision_ring import DecisionRing
 from rainsail.gateway.drain import DrainReport, RequestName
 from rainsail.gateway.eligibility import SlotCounts
 from rainsail.gateway.fleet import RunnerFleet
 from rainsail.gateway.interface import CallerRequest, RequestHandle, ResponseSink
 from rainsail.gateway.quota import TenantQuotas
-from rainsail.gateway.refusals import no_lease
+from rainsail.gateway.refusals import lease_expired
 from rainsail.gateway.request_run import RequestRun
 from rainsail.gateway.router import RouteDecision
 from rainsail.gateway.run_context import RunContext
@@ -79,7 +79,7 @@
             engine=engine,
             fleet=fleet,
             admission=Admission(self._quotas, self._slots, clock, settings.admission),
-            claims=ClaimKeeper(control, settings.retry),
+            claims=ClaimClient(control, settings.retry),
             sessions=SessionKeeper(
                 holder, zone, config, control, engine, fleet, clock, random, settings, decisions
             ),
@@ -152,7 +152,7 @@
         if self._drain_started_s is not None or self._drained_by_resource():
             return drain.stopping_fault(self._settings.drain.retry_after_s)
         if not self._config.ready() or not self._config.lease_valid():
-            return no_lease(STEP)
+            return lease_expired(STEP)
         if self._config.get(ResourceKey(Kind.SERVICE, request.model)) is None:
             return Fault(FaultCode.NOT_FOUND, STEP, f"no service {request.model}")
         if self._config.get(ResourceKey(Kind.TENANT, request.tenant)) is None:
@@ -229,14 +229,14 @@
             RequestName(run.caller.tenant, run.caller.request_id) for run in self._runs
         )
         grace_s = self._settings.drain.grace_s
-        cut = drain.requests_to_cut(running, waited_s, grace_s)
-        if running and not cut:
+        aborted = drain.requests_to_abort(running, waited_s, grace_s)
+        if running and not aborted:
             self._clock.callLater(DRAIN_CHECK_S, self._check_drained)
             return
         finished = self._finished_in_drain
         for run in list(self._runs):
-            run.cut(f"the gateway's grace time of {grace_s:g} s has passed")
-        for name in cut:
-            drain.report_cut(name, grace_s)
-        self._drain_result = DrainReport(finished, cut, waited_s)
+            run.abort(f"the gateway's grace time of {grace_s:g} s has passed")
+        for name in aborted:
+            drain.log_aborted(name, grace_s)
+        self._drain_result = DrainReport(finished, aborted, waited_s)
         self._drained.callback(self._drain_result)
--- a/src/rainsail/gateway/current_attempt.py
+++ b/src/rainsail/gateway/current_attempt.py
@@ -35,7 +35,7 @@
         self._attempt = None
         context = self._context
         context.fleet.attempt_ended(attempt.runner, attempt.attempt_id, end.reason)
-        if result == AttemptResult.WHOLE:
+        if result == AttemptResult.COMPLETE:
             return
         if result == AttemptResult.REFUSED:
             self.may_have_run -= 1
@@ -43,7 +43,7 @@
             context.canceller.cancel(attempt.address, attempt.attempt_id)
         self.failed_runners.append(attempt.runner)
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Cancel the attempt under way at its engine and take nothing more from it."""
         attempt, self._attempt = self._attempt, None
         if attempt is None:
--- a/src/rainsail/gateway/drain.py
+++ b/src/rainsail/gateway/drain.py
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainReport:
-    """How a planned stop ended; ``cut`` names each request that outlasted the grace time."""
+    """How a planned stop ended; ``aborted`` names each request that outlasted the grace time."""
 
     finished: int
-    cut: tuple[RequestName, ...]
+    aborted: tuple[RequestName, ...]
     took_s: float
 
 
@@ -32,14 +32,14 @@
     return Fault(FaultCode.UNAVAILABLE, STEP, detail, retry_after_s=retry_after_s)
 
 
-def requests_to_cut(
+def requests_to_abort(
     in_progress: Iterable[RequestName], waited_s: float, grace_s: float
 ) -> tuple[RequestName, ...]:
     """Return the requests that may not go on any longer (none within the grace)."""
     return tuple(in_progress) if waited_s >= grace_s else ()
 
 
-def report_cut(name: RequestName, grace_s: float) -> None:
+def log_aborted(name: RequestName, grace_s: float) -> None:
     """Tell the operator of a request that was cut, in a log record of its own."""
     bound = logger.bind(tenant=name.tenant, request_id=name.request_id)
     bound.warning(f"cut by the planned stop after its grace time of {grace_s:g} s")
--- a/src/rainsail/gateway/ejection.py
+++ b/src/rainsail/gateway/ejection.py
@@ -25,7 +25,7 @@
         self.times_out = 0
         self.out_until_s = 0.0
 
-    def is_out(self, now_s: float) -> bool:
+    def is_ejected(self, now_s: float) -> bool:
         """Tell whether the runner is out now."""
         return now_s < self.out_until_s
 
@@ -40,7 +40,7 @@
         self.failures += 1
         return self.failures >= settings.eject_after_failures
 
-    def put_out(self, now_s: float, random: Random, settings: FleetSettings) -> None:
+    def eject(self, now_s: float, random: Random, settings: FleetSettings) -> None:
         """Put the runner out, longer each time; one more failure afterwards repeats it."""
         length_s = min(settings.eject_limit_s, settings.eject_base_s * 2.0**self.times_out)
         length_s *= 1.0 + JITTER_FRACTION * random.random()
@@ -49,6 +49,6 @@
         self.failures = settings.eject_after_failures - 1
 
 
-def may_put_out(runners: int, out: int, max_fraction: float) -> bool:
+def may_eject(runners: int, out: int, max_fraction: float) -> bool:
     """Tell whether one more of ``runners`` may be put out when ``out`` already are."""
     return out + 1 <= int(runners * max_fraction)
--- a/src/rainsail/gateway/eligibility.py
+++ b/src/rainsail/gateway/eligibility.py
@@ -45,11 +45,11 @@
     states: Sequence[ObservedRunner], now_s: float, batch: bool, adapter: str = ""
 ) -> list[ObservedRunner]:
     """Return the runners that may get new work of this class and adapter. Pure."""
-    shunned = RunnerRole.ONLINE_ONLY if batch else RunnerRole.BATCH_ONLY
+    excluded_role = RunnerRole.ONLINE_ONLY if batch else RunnerRole.BATCH_ONLY
     return [
         state
         for state in states
-        if state.spec.role != shunned
+        if state.spec.role != excluded_role
         and runner_state.takes_new_work(state, now_s)
         and (not adapter or has_adapter(state, adapter))
     ]
@@ -87,7 +87,7 @@
         self._version = 0
         self._entries: dict[tuple[str, bool, str], _Entry] = {}
 
-    def changed(self) -> None:
+    def invalidate(self) -> None:
         """Note that some runner may have become usable or unusable."""
         self._version += 1
 
--- a/src/rainsail/gateway/engine_feeds.py
+++ b/src/rainsail/gateway/engine_feeds.py
@@ -54,7 +54,7 @@
             self._settings,
             on_load=lambda report: self._take_report(state, report),
             on_cache=state.cache.apply,
-            on_lost=state.cache.lost,
+            on_lost=state.cache.subscription_lost,
         )
         self._feeds[state.name] = feed
         self._at_address[state.spec.address] = state
@@ -82,10 +82,10 @@
         if not state.take_report(report, self._clock.seconds()):
             return
         if last is None or usability(last) != usability(report):
-            self._eligible.changed()
-        self._listeners.changed(state.name)
+            self._eligible.invalidate()
+        self._listeners.notify_changed(state.name)
         if last is not None and last.incarnation != report.incarnation:
-            self._listeners.restarted(state.name)
+            self._listeners.notify_restarted(state.name)
 
 
 def usability(report: LoadReport) -> tuple[str, bool, str, tuple[str, ...]]:
--- a/src/rainsail/gateway/fleet.py
+++ b/src/rainsail/gateway/fleet.py
@@ -1,7 +1,7 @@
 """A gateway's view of every runner: load, cache, own work, draining, ejection, ownership.
 
 What is known is kept in ``runner_state``; ``fleet_follower`` follows the resources,
-``engine_feeds`` the engines' own reports, and ``silence_watch`` finds runners without reports.
+``engine_feeds`` the engines' own reports, and ``liveness_monitor`` finds runners without reports.
 """
 
 from random import Random
@@ -12,15 +12,15 @@
 from rainsail.engine.prefix import BLOCK_TOKENS, block_hashes
 from rainsail.gateway import runner_state
 from rainsail.gateway.batch_view import batch_view
-from rainsail.gateway.ejection import may_put_out
+from rainsail.gateway.ejection import may_eject
 from rainsail.gateway.eligibility import EligibleCache, EligibleRunners
 from rainsail.gateway.engine_feeds import EngineFeeds
 from rainsail.gateway.fleet_follower import GatewayFleetFollower
 from rainsail.gateway.fleet_listeners import FleetListeners, RunnerListener
+from rainsail.gateway.liveness_monitor import LivenessMonitor
 from rainsail.gateway.runner_index import RunnerIndex
 from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import GatewaySettings
-from rainsail.gateway.silence_watch import SilenceWatch
 from rainsail.runtime.clock import Clock
 
 
@@ -59,7 +59,7 @@
             self._eligible,
             self._listeners,
         )
-        self._silence = SilenceWatch(
+        self._liveness = LivenessMonitor(
             settings.fleet, self._runners, self._feeds, self._eligible, self._listeners
         )
         self._stopped = False
@@ -67,7 +67,7 @@
     def start(self) -> None:
         """Read the resources, then follow them."""
         self._follower.start()
-        self._silence.start(self._clock.seconds())
+        self._liveness.start(self._clock.seconds())
         self._clock.callLater(self._settings.watch_period_s, self._watch)
 
     def stop(self) -> None:
@@ -80,9 +80,9 @@
         if self._stopped:
             return
         now_s = self._clock.seconds()
-        pause_s = self._silence.pause_since_last_check_s(now_s)
-        self._follower.choose_if_due()
-        self._silence.check(now_s, pause_s)
+        pause_s = self._liveness.pause_since_last_check_s(now_s)
+        self._follower.reselect_if_due()
+        self._liveness.check(now_s, pause_s)
         self._clock.callLater(self._settings.watch_period_s, self._watch)
 
     # --- reading ------------------------------------------------------------------------------
@@ -127,7 +127,7 @@
     def runners_out(self) -> int:
         """Return how many runners are out for failures."""
         now_s = self._clock.seconds()
-        return sum(state.ejection.is_out(now_s) for state in self.runners())
+        return sum(state.ejection.is_ejected(now_s) for state in self.runners())
 
     def leaving(self, runner: str) -> bool:
         """Tell whether a runner is draining, gone or silent."""
@@ -157,7 +157,7 @@
         if state is None:
             return
         state.attempt_started(attempt_id, batch, self._clock.seconds())
-        self._listeners.changed(runner)
+        self._listeners.notify_changed(runner)
 
     def attempt_ended(
         self,
@@ -176,13 +176,13 @@
             state.ejection.succeeded()
         elif reason == EndReason.LOST:
             self._failed(state, now_s)
-        self._listeners.changed(runner)
+        self._listeners.notify_changed(runner)
 
     def _failed(self, state: ObservedRunner, now_s: float) -> None:
         if not state.ejection.failed(self._settings):
             return
         peers = self.runners_of(state.spec.service)
-        out = sum(1 for each in peers if each is not state and each.ejection.is_out(now_s))
-        if may_put_out(len(peers), out, self._settings.max_ejected_fraction):
-            state.ejection.put_out(now_s, self._random, self._settings)
-            self._eligible.changed()
+        out = sum(1 for each in peers if each is not state and each.ejection.is_ejected(now_s))
+        if may_eject(len(peers), out, self._settings.max_ejected_fraction):
+            state.ejection.eject(now_s, self._random, self._settings)
+            self._eligible.invalidate()
--- a/src/rainsail/gateway/fleet_follower.py
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -49,7 +49,7 @@
         self._followed = FollowedRunners(
             gateway, zone, settings.other_zone_runners, settings.asked_runners
         )
-        self._choice_due = False
+        self._reselect_due = False
         self._stopped = False
 
     def start(self) -> None:
@@ -58,7 +58,7 @@
         self._ownership.take(self._config.list_resources(Kind.GATEWAY))
         for resource in self._config.list_resources(Kind.RUNNER):
             self._note(resource)
-        self._choose_followed()
+        self._reselect()
 
     def stop(self) -> None:
         """Add no runner from now on."""
@@ -69,17 +69,17 @@
         resource = self._config.get(ResourceKey(Kind.RUNNER, runner))
         if self._runners.get(runner) is not None or resource is None:
             return
-        if self._followed.ask(runner):
-            self._choice_due = True
+        if self._followed.follow_on_demand(runner):
+            self._reselect_due = True
         self._put(resource)
 
-    def choose_if_due(self) -> None:
+    def reselect_if_due(self) -> None:
         """Look at every runner again if the sample or the zones without gateways have changed."""
-        if self._choice_due:
-            self._choose_followed()
+        if self._reselect_due:
+            self._reselect()
 
-    def _choose_followed(self) -> None:
-        self._choice_due = False
+    def _reselect(self) -> None:
+        self._reselect_due = False
         for resource in self._config.list_resources(Kind.RUNNER):
             self._put(resource)
 
@@ -91,9 +91,9 @@
             self._gateways_changed()
 
     def _runner_changed(self, event: WatchEvent) -> None:
-        self._eligible.changed()
+        self._eligible.invalidate()
         if event.type == EventType.DELETED:
-            self._choice_due |= self._followed.forget(event.resource.key.name)
+            self._reselect_due |= self._followed.remove(event.resource.key.name)
             self._delete(event.resource.key.name)
         else:
             self._note(event.resource)
@@ -101,12 +101,12 @@
 
     def _note(self, resource: Resource) -> None:
         if isinstance(resource.spec, RunnerSpec):
-            self._choice_due |= self._followed.note(resource.key.name, resource.spec.zone)
+            self._reselect_due |= self._followed.add(resource.key.name, resource.spec.zone)
 
     def _gateways_changed(self) -> None:
         before = self._ownership.live
         after = self._ownership.take(self._config.list_resources(Kind.GATEWAY))
-        self._choice_due |= before.zones() != after.zones()
+        self._reselect_due |= before.zones() != after.zones()
         for state in self._runners.all():
             if before.of_zone(state.spec.zone) != after.of_zone(state.spec.zone):
                 self._assign_owner(state)
@@ -127,15 +127,15 @@
             self._runners.update(state, resource)
         self._feeds.open(state)
         self._assign_owner(state)
-        self._listeners.changed(name)
+        self._listeners.notify_changed(name)
 
     def _delete(self, name: str) -> None:
         self._runners.remove(name)
         self._feeds.close(name)
-        self._listeners.changed(name)
+        self._listeners.notify_changed(name)
 
     def _assign_owner(self, state: ObservedRunner) -> None:
         owned = self._ownership.owns(state.name, state.spec.zone)
         if owned != state.owned:
             state.owned = owned
-            self._listeners.changed(state.name)
+            self._listeners.notify_changed(state.name)
--- a/src/rainsail/gateway/fleet_listeners.py
+++ b/src/rainsail/gateway/fleet_listeners.py
@@ -21,12 +21,12 @@
         """Call ``listener`` when a runner's engine has restarted."""
         self._on_restart.append(listener)
 
-    def changed(self, runner: str) -> None:
+    def notify_changed(self, runner: str) -> None:
         """Report a change of a runner's view."""
         for listener in list(self._on_change):
             listener(runner)
 
-    def restarted(self, runner: str) -> None:
+    def notify_restarted(self, runner: str) -> None:
         """Report that a runner's engine has restarted."""
         for listener in list(self._on_restart):
             listener(runner)
--- a/src/rainsail/gateway/followed_runners.py
+++ b/src/rainsail/gateway/followed_runners.py
@@ -20,49 +20,49 @@
 class FollowedRunners:
     """Decides for one gateway; knows only the names of other zones' runners."""
 
-    def __init__(self, gateway: str, zone: str, sample_limit: int, asked_limit: int) -> None:
+    def __init__(self, gateway: str, zone: str, sample_limit: int, on_demand_limit: int) -> None:
         self._gateway = gateway
         self._zone = zone
         self._sample_limit = sample_limit
-        self._asked_limit = asked_limit
+        self._on_demand_limit = on_demand_limit
         self._others: dict[str, None] = {}
-        self._asked: dict[str, None] = {}
+        self._on_demand: dict[str, None] = {}
         self._mask = 0
 
-    def note(self, runner: str, zone: str) -> bool:
+    def add(self, runner: str, zone: str) -> bool:
         """Note that a runner exists; return whether the sample has to be drawn anew."""
         if zone == self._zone:
             self._others.pop(runner, None)
         else:
             self._others[runner] = None
-        return self._count_again()
+        return self._update_mask()
 
-    def forget(self, runner: str) -> bool:
+    def remove(self, runner: str) -> bool:
         """Note that a runner is gone; return whether the sample has to be drawn anew."""
         self._others.pop(runner, None)
-        self._asked.pop(runner, None)
-        return self._count_again()
+        self._on_demand.pop(runner, None)
+        return self._update_mask()
 
-    def ask(self, runner: str) -> str:
+    def follow_on_demand(self, runner: str) -> str:
         """Follow a runner on demand; return the one given up for it, or an empty string."""
-        self._asked.pop(runner, None)
-        self._asked[runner] = None
-        if len(self._asked) <= self._asked_limit:
+        self._on_demand.pop(runner, None)
+        self._on_demand[runner] = None
+        if len(self._on_demand) <= self._on_demand_limit:
             return ""
-        oldest = next(iter(self._asked))
-        del self._asked[oldest]
+        oldest = next(iter(self._on_demand))
+        del self._on_demand[oldest]
         return oldest
 
     def follows(self, runner: str, zone: str, owned: bool) -> bool:
         """Tell whether a runner is to be followed."""
-        if owned or zone == self._zone or runner in self._asked:
+        if owned or zone == self._zone or runner in self._on_demand:
             return True
         return self._hash(runner) & self._mask == 0
 
     def _hash(self, runner: str) -> int:
         return xxhash.xxh3_64_intdigest(f"sample/{self._gateway}/{runner}".encode())
 
-    def _count_again(self) -> bool:
+    def _update_mask(self) -> bool:
         mask = sample_mask(len(self._others), self._sample_limit)
         changed = mask != self._mask
         self._mask = mask
--- a/src/rainsail/gateway/silence_watch.py
+++ b/src/rainsail/gateway/liveness_monitor.py
@@ -9,14 +9,14 @@
 from rainsail.gateway.runner_index import RunnerIndex
 from rainsail.gateway.settings import FleetSettings
 
-LATE_PERIODS = 2.0
+PAUSE_AFTER_PERIODS = 2.0
 """A look that is this many periods after the one before was late: the process has paused.
 
 Not measured; chosen so that a look that is a little late does not count as a pause.
 """
 
 
-class SilenceWatch:
+class LivenessMonitor:
     """Marks runners as silent; a pause of this process is not counted as their silence."""
 
     def __init__(
@@ -40,7 +40,7 @@
 
     def pause_since_last_check_s(self, now_s: float) -> float:
         """Return for how many seconds the process has paused (0 or less: not at all)."""
-        pause_s = now_s - self._checked_s - LATE_PERIODS * self._settings.watch_period_s
+        pause_s = now_s - self._checked_s - PAUSE_AFTER_PERIODS * self._settings.watch_period_s
         self._checked_s = now_s
         return pause_s
 
@@ -48,11 +48,11 @@
         """Look at every runner; subscribe again to the engines of silent ones."""
         for state in self._runners.all():
             if pause_s > 0.0:
-                state.excuse_silence(pause_s, now_s)
+                state.discount_pause(pause_s, now_s)
             silent = state.is_silent(now_s)
             if silent != state.silent:
                 state.silent = silent
-                self._eligible.changed()
-                self._listeners.changed(state.name)
+                self._eligible.invalidate()
+                self._listeners.notify_changed(state.name)
             if silent:
                 self._feeds.renew_when_older(state.name, self._settings.report_timeout_s)
--- a/src/rainsail/gateway/metering.py
+++ b/src/rainsail/gateway/metering.py
@@ -32,15 +32,15 @@
             "answer_seconds", "Seconds to the end of a whole answer", _LABELS
         )
 
-    def ended(self, class_: str, outcome: Outcome, fault: str) -> None:
+    def count_end(self, class_: str, outcome: Outcome, fault: str) -> None:
         """Count the end of a request."""
         self._ends.labels(self._gateway, class_, outcome.value, fault).inc()
 
-    def began(self, class_: str, seconds: float) -> None:
+    def observe_first_part(self, class_: str, seconds: float) -> None:
         """Note how long the first part took."""
         self._first_part.labels(self._gateway, class_).observe(seconds)
 
-    def completed(self, class_: str, seconds: float) -> None:
+    def observe_answer(self, class_: str, seconds: float) -> None:
         """Note how long a whole answer took."""
         self._answer.labels(self._gateway, class_).observe(seconds)
 
@@ -70,27 +70,27 @@
         self._meter = meter
         self._clock = clock
         self._begun_s = clock.seconds()
-        self._waiting = True
+        self._awaiting_first_part = True
 
     def on_part(self, text: str, tokens: int) -> None:
         """Pass a part on."""
-        if self._waiting:
+        if self._awaiting_first_part:
             self._note_first_part()
         self._sink.on_part(text, tokens)
 
     def _note_first_part(self) -> None:
-        self._waiting = False
-        self._meter.began(self._class, self._clock.seconds() - self._begun_s)
+        self._awaiting_first_part = False
+        self._meter.observe_first_part(self._class, self._clock.seconds() - self._begun_s)
 
     def on_answer(self, answer: Answer) -> None:
         """Pass the answer on."""
-        if self._waiting:
+        if self._awaiting_first_part:
             self._note_first_part()
-        self._meter.completed(self._class, self._clock.seconds() - self._begun_s)
-        self._meter.ended(self._class, answer.outcome, NO_FAULT)
+        self._meter.observe_answer(self._class, self._clock.seconds() - self._begun_s)
+        self._meter.count_end(self._class, answer.outcome, NO_FAULT)
         self._sink.on_answer(answer)
 
     def on_fault(self, fault: Fault) -> None:
         """Pass the fault on."""
-        self._meter.ended(self._class, fault.outcome, fault.code.value)
+        self._meter.count_end(self._class, fault.outcome, fault.code.value)
         self._sink.on_fault(fault)
--- a/src/rainsail/gateway/openai/batch_routes.py
+++ b/src/rainsail/gateway/openai/batch_routes.py
@@ -26,7 +26,7 @@
 from rainsail.gateway.openai.slices import make_cooperator
 from rainsail.state.commands import JobView
 
-_FRESH_ID_BYTES = 16
+_RANDOM_ID_BYTES = 16
 _JOB_KEY = "job_key"
 
 
@@ -49,7 +49,7 @@
             settings.max_stored_file_bytes,
             settings.file_retention_s,
             wall_clock,
-            lambda: secrets.token_hex(_FRESH_ID_BYTES),
+            lambda: secrets.token_hex(_RANDOM_ID_BYTES),
         )
 
     def add_to(self, app: Any) -> None:
--- a/src/rainsail/gateway/openai/bodies.py
+++ b/src/rainsail/gateway/openai/bodies.py
@@ -20,7 +20,7 @@
 ModelName = Annotated[str, Field(min_length=1, max_length=253)]
 TokenBound = Annotated[int, Field(gt=0)]
 Seed = Annotated[int, Field(ge=-_MAX_SEED, le=_MAX_SEED)]
-Nothing = Literal[False, ""] | Annotated[list[Any], Field(max_length=0)] | None
+Unset = Literal[False, ""] | Annotated[list[Any], Field(max_length=0)] | None
 
 
 class StreamOptions(BaseModel):
@@ -39,7 +39,7 @@
     stream_options: StreamOptions | None = None
     seed: Seed | None = None
     n: Literal[1] | None = None
-    stop: Nothing = None
+    stop: Unset = None
 
     @property
     def includes_usage(self) -> bool:
@@ -95,7 +95,7 @@
     messages: Annotated[list[ChatMessage], Field(min_length=1)]
     max_tokens: TokenBound | None = None
     max_completion_tokens: TokenBound | None = None
-    tools: Nothing = None
+    tools: Unset = None
 
     def text(self) -> str:
         """Return the prompt: each message under its role, then the assistant's turn."""
--- a/src/rainsail/gateway/openai/downloads.py
+++ b/src/rainsail/gateway/openai/downloads.py
@@ -28,9 +28,9 @@
         self._open = True
         self._begun = False
         self._resumed: Deferred[None] | None = None
-        request.notifyFinish().addErrback(self._left)
+        request.notifyFinish().addErrback(self._disconnected)
 
-    def _left(self, _: Any) -> None:
+    def _disconnected(self, _: Any) -> None:
         self._open = False
         self.resumeProducing()
 
@@ -84,4 +84,4 @@
 
     def stopProducing(self) -> None:
         """The caller's connection is gone."""
-        self._left(None)
+        self._disconnected(None)
--- a/src/rainsail/gateway/openai/files.py
+++ b/src/rainsail/gateway/openai/files.py
@@ -91,12 +91,12 @@
         max_bytes: int,
         retention_s: float,
         wall_clock: Callable[[], float],
-        fresh_id: Callable[[], str],
+        new_id: Callable[[], str],
     ) -> None:
         self._max_bytes = max_bytes
         self._retention_s = retention_s
         self._wall_clock = wall_clock
-        self._fresh_id = fresh_id
+        self._new_id = new_id
         self._files: OrderedDict[str, StoredFile] = OrderedDict()
         self._bytes = 0
 
@@ -105,10 +105,10 @@
         if len(upload.content) > self._max_bytes:
             detail = f"the file is longer than {self._max_bytes} bytes"
             return Error(Fault(FaultCode.TOO_LARGE, _UPLOAD_STEP, detail))
-        self._forget_old()
+        self._evict_expired()
         while self._bytes + len(upload.content) > self._max_bytes:
-            self._drop(next(iter(self._files)))
-        file_id = f"file-{self._fresh_id()}"
+            self._remove(next(iter(self._files)))
+        file_id = f"file-{self._new_id()}"
         stored = StoredFile(file_id, tenant, upload.filename, self._wall_clock(), upload.content)
         self._files[file_id] = stored
         self._bytes += len(upload.content)
@@ -116,7 +116,7 @@
 
     def get(self, tenant: str, file_id: str) -> Result[StoredFile, Fault]:
         """Return a tenant's file."""
-        self._forget_old()
+        self._evict_expired()
         stored = self._files.get(file_id)
         if stored is None or stored.tenant != tenant:
             detail = f"no file {file_id!r} at this gateway"
@@ -125,23 +125,23 @@
 
     def list_files(self, tenant: str) -> list[StoredFile]:
         """Return a tenant's files, oldest first."""
-        self._forget_old()
+        self._evict_expired()
         return [stored for stored in self._files.values() if stored.tenant == tenant]
 
     def delete(self, tenant: str, file_id: str) -> Result[StoredFile, Fault]:
         """Forget a tenant's file."""
         found = self.get(tenant, file_id)
         if found.is_ok():
-            self._drop(file_id)
+            self._remove(file_id)
         return found
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest_s = self._wall_clock() - self._retention_s
         while self._files:
             first = next(iter(self._files.values()))
             if first.created_unix_s > oldest_s:
                 return
-            self._drop(first.file_id)
+            self._remove(first.file_id)
 
-    def _drop(self, file_id: str) -> None:
+    def _remove(self, file_id: str) -> None:
         self._bytes -= len(self._files.pop(file_id).content)
--- a/src/rainsail/gateway/openai/online_routes.py
+++ b/src/rainsail/gateway/openai/online_routes.py
@@ -26,7 +26,7 @@
 
 _COMPLETIONS_STEP = "caller_api.completions"
 _MODELS_STEP = "caller_api.models"
-_FRESH_ID_BYTES = 16
+_RANDOM_ID_BYTES = 16
 
 
 class OnlineRoutes:
@@ -121,7 +121,7 @@
         stated = headers.ok
         return Ok(
             CallerRequest(
-                request_id=stated.idempotency_key or secrets.token_hex(_FRESH_ID_BYTES),
+                request_id=stated.idempotency_key or secrets.token_hex(_RANDOM_ID_BYTES),
                 tenant=tenant,
                 model=body.model,
                 prompt=prompt,
--- a/src/rainsail/gateway/openai/responses.py
+++ b/src/rainsail/gateway/openai/responses.py
@@ -9,7 +9,7 @@
 DONE_FRAME = b"data: [DONE]\n\n"
 
 _encode_string = json.encoder.encode_basestring_ascii
-_TEXT_MARK = "\x00"
+_TEXT_PLACEHOLDER = "\x00"
 """Stands for the text of a part; its last place counts, as a model's name may hold it too."""
 
 
@@ -65,8 +65,8 @@
     def __init__(self, shape: AnswerShape, request_id: str, model: str, created: int) -> None:
         self._shape = shape
         self._head = {"id": f"{shape.id_prefix}{request_id}", "created": created, "model": model}
-        template = self._part_json([shape.part_choice(_TEXT_MARK, None)])
-        before, _, after = template.rpartition(_encode_string(_TEXT_MARK).encode())
+        template = self._part_json([shape.part_choice(_TEXT_PLACEHOLDER, None)])
+        before, _, after = template.rpartition(_encode_string(_TEXT_PLACEHOLDER).encode())
         self._before = b"data: " + before
         self._after = after + b"\n\n"
 
--- a/src/rainsail/gateway/openai/sinks.py
+++ b/src/rainsail/gateway/openai/sinks.py
@@ -43,7 +43,7 @@
 
     def start(self, gateway: Gateway, caller_request: CallerRequest) -> None:
         """Submit the request; the answer may come before this returns."""
-        self._request.notifyFinish().addErrback(self._left)
+        self._request.notifyFinish().addErrback(self._disconnected)
         handle = gateway.submit(caller_request, self)
         if not self._open:
             return
@@ -51,7 +51,7 @@
         if self._paused:
             handle.pause()
 
-    def _left(self, _: Any) -> None:
+    def _disconnected(self, _: Any) -> None:
         """The connection is gone before the answer's end."""
         handle, self._handle = self._handle, None
         was_open, self._open = self._open, False
--- a/src/rainsail/gateway/quota.py
+++ b/src/rainsail/gateway/quota.py
@@ -17,7 +17,7 @@
 from rainsail.state.commands import ROOT_GROUP
 from rainsail.tenancy.lender import minimum_share
 
-LEAST_WEIGHT = 1e-6
+MIN_WEIGHT = 1e-6
 """A tenant's weight in the fair queues is never below this."""
 
 
@@ -56,9 +56,9 @@
         self._buckets: dict[str, TokenBucket] = {}
         self._lent: dict[str, LentShare] = {}
         self._used: dict[str, float] = {}
-        self._short: dict[str, float] = {}
+        self._shortfall: dict[str, float] = {}
         self._last_report_s = clock.seconds()
-        self._answered_s = clock.seconds()
+        self._last_reply_s = clock.seconds()
         self._gateways = 1
         self._timer: Any = None
         self._stopped = False
@@ -90,7 +90,7 @@
     def weight(self, tenant: str) -> float:
         """Return a tenant's weight in the fair queues."""
         spec = self._spec(tenant)
-        return max(spec.weight, LEAST_WEIGHT) if spec else 1.0
+        return max(spec.weight, MIN_WEIGHT) if spec else 1.0
 
     def wait_s(self, tenant: str, tokens: float, ahead: float = 0.0) -> float:
         """Return the seconds until a tenant's bucket covers ``tokens`` after ``ahead`` others."""
@@ -102,7 +102,7 @@
         now_s = self._clock.seconds()
         if wait_s <= 0.0 or self._lent_share(tenant, now_s) is not None:
             return wait_s
-        if now_s - self._answered_s > 2.0 * self._settings.quota_report_period_s:
+        if now_s - self._last_reply_s > 2.0 * self._settings.quota_report_period_s:
             return wait_s
         return min(wait_s, 2.0 * self._settings.urgent_report_s)
 
@@ -118,9 +118,9 @@
         self._bucket(tenant).give_back(tokens)
         self._used[tenant] = max(0.0, self._used.get(tenant, 0.0) - tokens)
 
-    def ran_short(self, tenant: str, tokens: float) -> None:
+    def record_shortfall(self, tenant: str, tokens: float) -> None:
         """Count tokens that could not be granted at once as demand, and report soon."""
-        self._short[tenant] = self._short.get(tenant, 0.0) + tokens
+        self._shortfall[tenant] = self._shortfall.get(tenant, 0.0) + tokens
         due_s = self._last_report_s + self._settings.urgent_report_s
         self._schedule(max(0.0, due_s - self._clock.seconds()))
 
@@ -176,7 +176,7 @@
         period_s = sent_s - self._last_report_s
         self._last_report_s = sent_s
         used, self._used = self._used, {}
-        short, self._short = self._short, {}
+        short, self._shortfall = self._shortfall, {}
         demands = tuple(
             TenantDemand(tenant, used.get(tenant, 0.0), short.get(tenant, 0.0))
             for tenant in sorted({**used, **short})
@@ -193,7 +193,7 @@
         """Keep the shares lent; a reply that lends nothing leaves what is held to run out."""
         if reply.is_error() or not isinstance(reply.ok, QuotaShares):
             return
-        self._answered_s = self._clock.seconds()
+        self._last_reply_s = self._clock.seconds()
         until_s = sent_s + reply.ok.valid_s
         for share in reply.ok.shares:
             self._lent[share.tenant] = LentShare(
--- a/src/rainsail/gateway/request_attempts.py
+++ b/src/rainsail/gateway/request_attempts.py
@@ -15,7 +15,7 @@
 from rainsail.gateway.attempts import AttemptResult, EngineAttempt
 from rainsail.gateway.current_attempt import CurrentAttempt
 from rainsail.gateway.interface import CallerRequest
-from rainsail.gateway.refusals import no_lease
+from rainsail.gateway.refusals import lease_expired
 from rainsail.gateway.request_decisions import (
     STEP,
     Failure,
@@ -47,7 +47,7 @@
         """The session's last turn has this request's id: its answer, or a conflict."""
         ...
 
-    def on_whole_answer(self, runner: str, end: EngineAttemptEnd) -> None:
+    def on_complete_answer(self, runner: str, end: EngineAttemptEnd) -> None:
         """An attempt has brought the whole answer."""
         ...
 
@@ -79,7 +79,7 @@
         if self._owner.ended:
             return
         if not self._context.config.lease_valid():
-            refusal = no_lease(STEP)
+            refusal = lease_expired(STEP)
             failure = Failure(refusal.code, refusal.detail, retry_after_s=refusal.retry_after_s)
             self._owner.on_not_placed(failure)
         elif turn is not None:
@@ -132,7 +132,7 @@
         if not self.current.is_current(attempt):
             return
         self.current.end(attempt, result, end)
-        if result == AttemptResult.WHOLE:
-            self._owner.on_whole_answer(attempt.runner, end)
+        if result == AttemptResult.COMPLETE:
+            self._owner.on_complete_answer(attempt.runner, end)
         else:
             self._owner.on_failed_attempt(attempt.runner, end)
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -148,7 +148,7 @@
         """Fail: no attempt can be sent now."""
         self._give_up(failure)
 
-    def on_whole_answer(self, runner: str, end: EngineAttemptEnd) -> None:
+    def on_complete_answer(self, runner: str, end: EngineAttemptEnd) -> None:
         """Record the answer before the caller hears its end."""
         self._delivery.prompt_tokens = end.prompt_tokens or self._delivery.prompt_tokens
         self._lifecycle.record()
@@ -188,7 +188,7 @@
         if self.ended:
             return
         self._claim.end(fault.outcome)
-        self.attempt.give_up()
+        self.attempt.cancel()
         self._close()
         self._delivery.fail(fault)
 
@@ -215,7 +215,7 @@
             return
         self._give_up(Failure(FaultCode.TIMEOUT, detail))
 
-    def cut(self, detail: str) -> None:
+    def abort(self, detail: str) -> None:
         """End the request because the gateway stops and the grace time has passed."""
         self._give_up(Failure(FaultCode.UNAVAILABLE, detail))
 
@@ -228,7 +228,7 @@
         """Tell the sink nothing more, as the caller has left; cancel what need not be finished."""
         if self.ended:
             return
-        self._delivery.drop_caller()
+        self._delivery.detach_caller()
         next_step = decisions.decide_after_abandon(
             self.record.status, self.repeatable, self.attempt.may_have_run
         )
--- a/src/rainsail/gateway/router.py
+++ b/src/rainsail/gateway/router.py
@@ -18,7 +18,7 @@
 from rainsail.gateway.runner_state import ObservedRunner
 from rainsail.gateway.settings import RoutingSettings
 
-DRAWS_FOR_SECOND = 8
+MAX_SECOND_DRAWS = 8
 """Draws for a second, different candidate before any other is taken. Not measured."""
 
 
@@ -120,7 +120,7 @@
         return states
     extras = _extra_weights(states, blocks, settings)
     first = _draw(states, extras, random)
-    for _ in range(DRAWS_FOR_SECOND):
+    for _ in range(MAX_SECOND_DRAWS):
         second = _draw(states, extras, random)
         if second is not first:
             return (first, second)
--- a/src/rainsail/gateway/run_context.py
+++ b/src/rainsail/gateway/run_context.py
@@ -7,7 +7,7 @@
 from rainsail.engine.interface import EngineClient
 from rainsail.gateway.admission import Admission
 from rainsail.gateway.cancellation import Canceller
-from rainsail.gateway.claims import ClaimKeeper
+from rainsail.gateway.claims import ClaimClient
 from rainsail.gateway.decision_ring import DecisionRing
 from rainsail.gateway.fleet import RunnerFleet
 from rainsail.gateway.retry import RetryBudget
@@ -27,7 +27,7 @@
     engine: EngineClient
     fleet: RunnerFleet
     admission: Admission
-    claims: ClaimKeeper
+    claims: ClaimClient
     sessions: SessionKeeper
     canceller: Canceller
     decisions: DecisionRing
--- a/src/rainsail/gateway/runner_reconciler.py
+++ b/src/rainsail/gateway/runner_reconciler.py
@@ -25,7 +25,7 @@
 FOREVER_S = float("inf")
 
 
-def wanted_orders(
+def required_orders(
     status: RunnerStatus,
     loaded_version: str,
     loading_version: str,
@@ -66,7 +66,7 @@
     return replace(state.status, loaded_version=report.loaded_version, ready=ready, reachable=True)
 
 
-def wanted_role(state: ObservedRunner) -> EngineOrder:
+def role_order(state: ObservedRunner) -> EngineOrder:
     """Return the order that sets the role which the spec asks for."""
     return EngineOrder(state.status.fence, OrderKind.SET_ROLE, state.spec.role.value)
 
@@ -101,30 +101,30 @@
         self._sent: dict[tuple[str, str], _SentOrder] = {}
         self._writing: dict[str, int] = {}
         self._stopped = False
-        fleet.on_change(self._look_soon)
+        fleet.on_change(self._on_runner_changed)
 
     def start(self) -> None:
         """Begin to look at owned runners."""
-        self._tick()
+        self._reconcile_all()
 
     def stop(self) -> None:
         """Send nothing more."""
         self._stopped = True
 
-    def _tick(self) -> None:
+    def _reconcile_all(self) -> None:
         if self._stopped:
             return
         for state in self._fleet.owned_runners():
-            self._look(state)
+            self._reconcile(state)
         delay_s = self._settings.check_period_s * (0.9 + 0.2 * self._random.random())
-        self._clock.callLater(delay_s, self._tick)
+        self._clock.callLater(delay_s, self._reconcile_all)
 
-    def _look_soon(self, runner: str) -> None:
+    def _on_runner_changed(self, runner: str) -> None:
         state = self._fleet.runner(runner)
         if state is not None and state.owned and not self._stopped:
-            self._look(state)
+            self._reconcile(state)
 
-    def _look(self, state: ObservedRunner) -> None:
+    def _reconcile(self, state: ObservedRunner) -> None:
         now_s = self._clock.seconds()
         silent = state.is_silent(now_s)
         if state.report is not None and not silent:
@@ -137,7 +137,7 @@
         report = state.report
         if report is None:
             return
-        orders = wanted_orders(
+        orders = required_orders(
             state.status,
             report.loaded_version,
             report.loading_version,
@@ -153,7 +153,7 @@
         key = (state.name, OrderKind.SET_ROLE.value)
         if state.spec.role == RunnerRole.MIXED and key not in self._sent:
             return
-        self._send_once(state, wanted_role(state), incarnation, now_s, FOREVER_S)
+        self._send_once(state, role_order(state), incarnation, now_s, FOREVER_S)
 
     def _send_once(
         self,
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -35,7 +35,7 @@
     started_s: float
 
 
-def is_listed_as_leaving(resource: Resource) -> bool:
+def is_marked_draining(resource: Resource) -> bool:
     """Tell whether control marked the runner as draining (its machine is leaving)."""
     return any(each.type == DRAINING and each.value for each in resource.conditions)
 
@@ -79,7 +79,7 @@
             self.leaving = None
         if resource.spec.drain:
             self.leaving = self.leaving or LeavingReason.RESOURCE
-        elif is_listed_as_leaving(resource):
+        elif is_marked_draining(resource):
             self.leaving = self.leaving or LeavingReason.MACHINE_LIST
 
     # --- what the engine tells -------------------------------------------------------------
@@ -149,7 +149,7 @@
 
     # --- whether it takes new work -----------------------------------------------------------
 
-    def excuse_silence(self, pause_s: float, now_s: float) -> None:
+    def discount_pause(self, pause_s: float, now_s: float) -> None:
         """Do not count a pause of this process as the runner's silence."""
         self.report_received_s = min(now_s, self.report_received_s + pause_s)
 
@@ -169,6 +169,6 @@
 
 def takes_new_work(state: ObservedRunner, now_s: float) -> bool:
     """Tell whether new work may be sent to a runner."""
-    if is_leaving(state, now_s) or state.ejection.is_out(now_s):
+    if is_leaving(state, now_s) or state.ejection.is_ejected(now_s):
         return False
     return bool(state.loaded_version())
--- a/src/rainsail/gateway/session_placement.py
+++ b/src/rainsail/gateway/session_placement.py
@@ -16,7 +16,7 @@
 from rainsail.gateway.router import choose_runner
 from rainsail.gateway.session_order import LiveSession
 from rainsail.gateway.settings import GatewaySettings
-from rainsail.gateway.waiting import bounded
+from rainsail.gateway.timeouts import with_timeout
 from rainsail.resources.specs import RunnerRole
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import ROOT_GROUP, AttachSession, SessionView, Turn
@@ -78,7 +78,7 @@
     ) -> Result[SessionPlace, Fault]:
         """Return where the session's next turn runs, attaching it anew when it must move."""
         fault = Fault(FaultCode.CONFLICT, STEP, "others keep taking the session")
-        if failed and await self._was_taken(session):
+        if failed and await self._was_taken_over(session):
             failed = ()
         for _ in range(self._settings.session.attach_attempts):
             read = await self._current_view(session)
@@ -117,7 +117,7 @@
             return view.runner
         return self.choose(session, view, failed)
 
-    async def _was_taken(self, session: LiveSession) -> bool:
+    async def _was_taken_over(self, session: LiveSession) -> bool:
         """After a failed attempt: tell whether it failed since another gateway has the session."""
         used = session.view
         session.view = None
@@ -192,7 +192,9 @@
         address = runner.spec.address
         waited = self._engine.export_kv(address, view.session, view.fence)
         limit_s = self._settings.session.kv_timeout_s
-        reply = await bounded(waited, self._clock, limit_s, "gateway.session.export", view.runner)
+        reply = await with_timeout(
+            waited, self._clock, limit_s, "gateway.session.export", view.runner
+        )
         return reply.ok if reply.is_ok() else None
 
     async def _import(self, view: SessionView, state: KvState) -> None:
@@ -201,4 +203,4 @@
             return
         waited = self._engine.import_kv(runner.spec.address, replace(state, fence=view.fence))
         limit_s = self._settings.session.kv_timeout_s
-        await bounded(waited, self._clock, limit_s, "gateway.session.import", view.runner)
+        await with_timeout(waited, self._clock, limit_s, "gateway.session.import", view.runner)
--- a/src/rainsail/gateway/settings.py
+++ b/src/rainsail/gateway/settings.py
@@ -209,7 +209,7 @@
     )
 
 
-class KeeperSettings(BaseModel):
+class RunnerReconcilerSettings(BaseModel):
     """How owned runners are ordered and reported."""
 
     model_config = ConfigDict(frozen=True)
@@ -250,5 +250,7 @@
     )
     retry: RetrySettings = Field(default=RetrySettings(), description="Attempts after the first.")
     session: SessionSettings = Field(default=SessionSettings(), description="Sessions.")
-    keeper: KeeperSettings = Field(default=KeeperSettings(), description="Owned runners.")
+    keeper: RunnerReconcilerSettings = Field(
+        default=RunnerReconcilerSettings(), description="Owned runners."
+    )
     drain: DrainSettings = Field(default=DrainSettings(), description="Planned stop.")
--- a/src/rainsail/gateway/waiting.py
+++ b/src/rainsail/gateway/timeouts.py
@@ -11,7 +11,7 @@
 Value = TypeVar("Value")
 
 
-def bounded(
+def with_timeout(
     waited: "Deferred[Result[Value, Fault]]", clock: Clock, limit_s: float, step: str, peer: str
 ) -> "Deferred[Result[Value, Fault]]":
     """Return a Deferred that fires like ``waited``, or with a TIMEOUT fault after ``limit_s``.
