--- a/src/rainsail/gateway/admission.py
+++ b/src/rainsail/gateway/admission.py
@@ -1,8 +1,9 @@
-"""Admission: who may start now, who waits, and who is told at once to come back later.
+"""Admission control: starts, queues or refuses requests.
 
-Per service there is one fair queue of online requests and one of batch requests; the second
-is looked at only when the first is empty. A request that cannot start in time is refused when
-that is known, not when the time has passed. Every refusal is NOT_RUN with a time to come back.
+Each service has a fair queue of online requests and one of batch requests; the batch queue is
+served only while the online queue is empty. A request whose estimated wait exceeds its limit is
+refused on arrival instead of after a timeout. Every refusal has the outcome NOT_RUN and a
+retry-after time.
 """
 
 from collections.abc import Callable
@@ -21,16 +22,16 @@
 
 STEP = "gateway.admission"
 MIN_REFILL_DELAY_S = 0.001
-"""Least delay of the timer that waits for a bucket to fill."""
+"""Minimum delay of the timer that waits for a token bucket to refill."""
 TENANT_ACTIVE_S = 10.0
-"""A tenant counts as active this long after its last request, for the slot limit."""
+"""Seconds after its last request for which a tenant counts as active in the slot limit."""
 
 
 class Quotas(Protocol):
-    """The tenants' buckets (``rainsail.gateway.quota.TenantQuotas``)."""
+    """The token buckets of the tenants; implemented by ``rainsail.gateway.quota.TenantQuotas``."""
 
     def weight(self, tenant: str) -> float:
-        """Return the tenant's weight."""
+        """Return the tenant's weight in the fair queues."""
         ...
 
     def wait_s(self, tenant: str, tokens: float) -> float:
@@ -38,24 +39,27 @@
         ...
 
     def take(self, tenant: str, tokens: float) -> None:
-        """Charge the tenant."""
+        """Take ``tokens`` from the tenant's bucket."""
         ...
 
     def give_back(self, tenant: str, tokens: float) -> None:
-        """Return unused tokens."""
+        """Refund unused tokens to the tenant's bucket."""
         ...
 
     def expected_wait_s(self, tenant: str, tokens: float, ahead: float) -> float:
-        """Return the wait to expect after ``ahead`` tokens, counting a share about to be lent."""
+        """Return the expected wait in seconds behind ``ahead`` queued tokens.
+
+        It takes into account a quota share that control is about to lend.
+        """
         ...
 
     def record_shortfall(self, tenant: str, tokens: float) -> None:
-        """Count demand that could not be granted at once."""
+        """Count tokens that could not be granted at once as demand."""
         ...
 
 
 class Admission:
-    """Grants, queues and refuses requests of every service at one gateway."""
+    """Admission control of one gateway, for all services."""
 
     def __init__(
         self,
@@ -71,7 +75,7 @@
         self._services: dict[str, ServiceQueues] = {}
 
     def offer(self, ticket: Ticket) -> None:
-        """Grant, queue or refuse a request; callbacks may come before this returns."""
+        """Grant, queue or refuse a request; callbacks may be called before this returns."""
         queues = self._services.setdefault(ticket.service, ServiceQueues())
         now_s = self._clock.seconds()
         queues.activity.seen(ticket.tenant, now_s)
@@ -87,7 +91,7 @@
             ticket.timer = self._clock.callLater(max(0.0, limit_s), self._expire, ticket)
 
     def release(self, ticket: Ticket, used_tokens: float) -> None:
-        """Take a granted request's slot back and return the tokens that it did not use."""
+        """Free a granted request's slot and refund the tokens that it did not use."""
         if ticket.status != TicketStatus.GRANTED:
             return
         ticket.status = TicketStatus.OVER
@@ -99,7 +103,7 @@
         self.pump(ticket.service)
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting request out of its queue (its caller has left)."""
+        """Remove a waiting request from its queue, for example when its caller disconnects."""
         queues = self._services.get(ticket.service)
         if queues is None or ticket.status != TicketStatus.WAITING:
             return
@@ -108,17 +112,17 @@
         self._stop_timer(ticket)
 
     def pump_all(self) -> None:
-        """Start what can start in every service (the tenants' shares have changed)."""
+        """Start waiting requests of all services; called when the tenants' shares have changed."""
         for service in list(self._services):
             self.pump(service)
 
     def waiting(self, service: str) -> int:
-        """Return how many requests of a service wait."""
+        """Return the number of waiting requests of a service."""
         queues = self._services.get(service)
         return len(queues.online) + len(queues.batch) if queues else 0
 
     def waiting_everywhere(self) -> int:
-        """Return how many requests of all services wait."""
+        """Return the number of waiting requests of all services."""
         return sum(self.waiting(service) for service in self._services)
 
     # --- decisions ----------------------------------------------------------------------------
@@ -126,7 +130,7 @@
     def _refusal(self, ticket: Ticket, queues: ServiceQueues, now_s: float) -> Fault | None:
         slots = self._slots(ticket.service)
         if slots.total <= 0:
-            detail = f"no runner of {ticket.service} takes work now"
+            detail = f"no runner of {ticket.service} accepts work now"
             return self._fault(FaultCode.UNAVAILABLE, detail, self._settings.max_queue_s)
         queue = queues.queue_of(ticket)
         limit_s = min(self._settings.max_queue_s, ticket.latest_start_s - now_s)
@@ -136,22 +140,29 @@
         if quota_wait_s > 0.0:
             self._quotas.record_shortfall(ticket.tenant, ticket.cost_tokens)
         if quota_wait_s > limit_s:
-            return self._fault(FaultCode.OVER_LIMIT, "the tenant's tokens are used", quota_wait_s)
+            return self._fault(
+                FaultCode.OVER_LIMIT, "the tenant's token quota is used up", quota_wait_s
+            )
         queue_wait_s = estimated_wait_s(
             ticket, queues, slots, self._tenant_limit(ticket.tenant, queues, slots)
         )
         if queue_wait_s > limit_s:
-            return self._fault(FaultCode.OVERLOADED, "the queue is too long", queue_wait_s)
+            return self._fault(
+                FaultCode.OVERLOADED, "the estimated wait exceeds the limit", queue_wait_s
+            )
         if queue.queued(ticket.tenant) >= self._settings.max_queued_per_tenant:
-            return self._fault(FaultCode.OVER_LIMIT, "too many waiting", queue_wait_s)
+            return self._fault(
+                FaultCode.OVER_LIMIT, "too many requests of this tenant are waiting", queue_wait_s
+            )
         if len(queue) >= self._settings.max_queued:
             return self._fault(FaultCode.OVERLOADED, "the queue is full", queue_wait_s)
         return None
 
     def _tenant_limit(self, tenant: str, queues: ServiceQueues, slots: Slots) -> float:
-        """Return the slots that a tenant may hold: all of them while no other is active.
+        """Return how many slots a tenant may hold.
 
-        Otherwise the fraction of the settings, or more when the tenants' weights say so.
+        All of them while no other tenant is active. Otherwise the fraction
+        ``tenant_slot_fraction``, or the tenant's weighted share when that is larger.
         """
         other = queues.activity.other_than(tenant, self._clock.seconds() - TENANT_ACTIVE_S)
         if not other:
@@ -162,7 +173,7 @@
         return max(1.0, slots.total * fraction)
 
     def pump(self, service: str) -> None:
-        """Start waiting requests while there are slots."""
+        """Start waiting requests of a service while slots are free."""
         queues = self._services.get(service)
         if queues is None or queues.pumping or not (queues.online or queues.batch):
             return
@@ -225,7 +236,10 @@
         queues = self._services[ticket.service]
         retry_s = max(queues.mean_hold_s, self._settings.min_retry_after_s)
         self._refuse(
-            ticket, self._fault(FaultCode.OVERLOADED, "waited as long as allowed", retry_s)
+            ticket,
+            self._fault(
+                FaultCode.OVERLOADED, "no slot became free within the allowed wait", retry_s
+            ),
         )
 
     def _refuse(self, ticket: Ticket, fault: Fault) -> None:
--- a/src/rainsail/gateway/admission_queues.py
+++ b/src/rainsail/gateway/admission_queues.py
@@ -1,4 +1,4 @@
-"""What admission keeps per service: tickets that wait, counts of those that run."""
+"""Admission state per service: queues of waiting requests, counts of running ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,19 +10,19 @@
 from rainsail.tenancy.tenant_activity import TenantActivity
 
 HOLD_TIME_SMOOTHING = 0.1
-"""Weight of the newest request in the running mean of the time a slot is held."""
+"""Weight of the newest sample in the moving average of how long a slot is held."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slots:
-    """A service's online slots: how many there are, and how many others seem to hold."""
+    """Online slots of a service: the total, and the estimate held by other gateways."""
 
     total: float
     others: float
 
 
 class TicketStatus(StrEnum):
-    """Where a request stands in admission."""
+    """Status of a request in admission."""
 
     WAITING = "waiting"
     GRANTED = "granted"
@@ -31,10 +31,10 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One request in admission. Exactly one of the two callbacks is called, at most once.
+    """One request in admission. At most one of the two callbacks is called, and only once.
 
-    ``cost_tokens`` is the prompt plus the most that may be generated; ``latest_start_s`` the
-    clock time after which starting is of no use.
+    ``cost_tokens`` is the prompt plus the maximum that may be generated. ``latest_start_s`` is the
+    clock time after which the request must not be started.
     """
 
     service: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class ServiceQueues:
-    """The requests of one service that wait, and counts of those that run."""
+    """Queues of the waiting requests of one service, and counts of its running requests."""
 
     online: FairQueue[Ticket] = field(default_factory=FairQueue)
     batch: FairQueue[Ticket] = field(default_factory=FairQueue)
@@ -65,25 +65,25 @@
     pumping: bool = False
 
     def queue_of(self, ticket: Ticket) -> FairQueue[Ticket]:
-        """Return the queue of the ticket's class."""
+        """Return the queue for the ticket's class, online or batch."""
         return self.batch if ticket.batch else self.online
 
     def free(self, slots: Slots) -> float:
-        """Return the slots left for online requests, none of them promised to anyone."""
+        """Return the number of free online slots; negative when they are overcommitted."""
         return slots.total - slots.others - self.online_running
 
     def record_hold_time(self, hold_s: float) -> None:
-        """Take the time that a request held its slot into the running mean."""
+        """Update the moving average with the time that a request held its slot."""
         self.holds_seen += 1
         weight = max(HOLD_TIME_SMOOTHING, 1.0 / self.holds_seen)
         self.mean_hold_s += (hold_s - self.mean_hold_s) * weight
 
     def running_of(self, ticket: Ticket) -> int:
-        """Return how many requests of the ticket's tenant and class run."""
+        """Return the number of running requests of the ticket's tenant and class."""
         return self.running.get((ticket.tenant, ticket.batch), 0)
 
     def count(self, ticket: Ticket, change: int) -> None:
-        """Count a started or ended request."""
+        """Update the counts of running requests; ``change`` is 1 for a start, -1 for an end."""
         if ticket.batch:
             self.batch_running += change
         else:
@@ -98,11 +98,11 @@
 def estimated_wait_s(
     ticket: Ticket, queues: ServiceQueues, slots: Slots, tenant_limit: float
 ) -> float:
-    """Estimate a request's wait: what goes before it, at the rate at which slots come free.
+    """Estimate a request's wait in seconds from the requests ahead and the rate of freed slots.
 
-    With fair queues about as many requests of each other waiting tenant go before it as of its
-    own; its own have no more than ``tenant_limit`` slots to pass through; batch requests wait
-    for all online ones. Pure.
+    With fair queueing, about as many requests of each other waiting tenant are served first as of
+    the request's own tenant. The tenant's own requests share at most ``tenant_limit`` slots. Batch
+    requests wait for all online requests. Pure.
     """
     queue = queues.queue_of(ticket)
     own = queue.queued(ticket.tenant)
--- a/src/rainsail/gateway/answer_delivery.py
+++ b/src/rainsail/gateway/answer_delivery.py
@@ -1,4 +1,4 @@
-"""What a caller has been given of its answer, and what becomes of the rest."""
+"""Delivers an answer to its caller and collects its text."""
 
 from rainsail.engine.prefix import count_tokens
 from rainsail.errors import Fault, Outcome
@@ -6,7 +6,7 @@
 
 
 class AnswerDelivery:
-    """Passes parts and exactly one end on to the caller; keeps the text for recording."""
+    """Passes parts and one end to the caller's sink; collects the text for recording."""
 
     def __init__(self, caller: CallerRequest, sink: ResponseSink) -> None:
         self.prompt_tokens = count_tokens(caller.prompt)
@@ -21,14 +21,14 @@
         return "".join(self._parts)
 
     def add(self, text: str, tokens: int) -> None:
-        """Pass the next part on (called for every chunk)."""
+        """Deliver the next part. On the hot path: called for every chunk."""
         self._parts.append(text)
         self.tokens += tokens
         if self._sink is not None:
             self._sink.on_part(text, tokens)
 
     def answer(self, finish_reason: str, runner: str) -> None:
-        """Tell the caller that its answer is whole."""
+        """Deliver the end of a complete answer."""
         sink = self._take_sink()
         if sink is None:
             return
@@ -45,13 +45,13 @@
         )
 
     def fail(self, fault: Fault) -> None:
-        """Tell the caller why there is no whole answer."""
+        """Deliver a fault as the end."""
         sink = self._take_sink()
         if sink is not None:
             sink.on_fault(fault)
 
     def detach_caller(self) -> None:
-        """Tell the caller nothing more."""
+        """Deliver nothing more, because the caller has disconnected."""
         self._sink = None
 
     def _take_sink(self) -> ResponseSink | None:
--- a/src/rainsail/gateway/answer_recorder.py
+++ b/src/rainsail/gateway/answer_recorder.py
@@ -1,4 +1,4 @@
-"""Recording a whole answer before its caller hears the end: the session's turn, then the claim."""
+"""Records a complete answer before its caller gets the end: session turn first, then claim."""
 
 from expression import Ok, Result
 from twisted.internet.defer import Deferred, succeed
@@ -12,7 +12,7 @@
 
 
 class AnswerRecorder:
-    """Records one request's answer; most requests have nothing to record."""
+    """Records the answer of one request. Requests without session and claim record nothing."""
 
     def __init__(self, sessions: SessionKeeper, claim: RequestClaim, caller: CallerRequest) -> None:
         self._sessions = sessions
@@ -20,7 +20,11 @@
         self._caller = caller
 
     def record(self, turn: SessionTurn | None, text: str) -> "Deferred[Result[None, Fault]]":
-        """Record; a fault says that the session's turn could not be (whatever the claim)."""
+        """Record the answer.
+
+        A fault means that the session's turn was not recorded; a failure to finish the claim is
+        ignored.
+        """
         if turn is None:
             return self._record_claim(Ok(None), text)
         exchange = Turn(self._caller.prompt, text, self._caller.request_id)
--- a/src/rainsail/gateway/attempt_sender.py
+++ b/src/rainsail/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Chooses runners for one request's attempts and sends them."""
+"""Chooses runners for the attempts of one request and prepares the attempts."""
 
 from collections.abc import Sequence
 
@@ -13,16 +13,16 @@
 
 NEVER_S = float("inf")
 ENGINE_DEADLINE_MARGIN_S = 0.02
-"""Seconds less than the caller's deadline that an engine is given.
+"""Seconds by which an engine's deadline is earlier than the caller's.
 
-Not measured; chosen so that the engine's refusal as not run comes before the caller's deadline.
+An engine's refusal as not run then arrives before the caller's deadline.
 """
 MIN_ENGINE_DEADLINE_S = 0.001
-"""Seconds that an engine is given at least, as 0 would mean no deadline. Not measured."""
+"""Minimum deadline passed to an engine, because 0 means no deadline."""
 
 
 class AttemptSender:
-    """Sends the attempts of one request, each under its own attempt id."""
+    """Prepares the attempts of one request, each with its own attempt id."""
 
     def __init__(
         self,
@@ -44,7 +44,10 @@
         return self._class == RequestClass.BATCH
 
     def route(self, failed: Sequence[str]) -> RouteDecision:
-        """Choose a runner, rather not one of ``failed``, and keep the decision."""
+        """Choose a runner and store the decision.
+
+        Runners in ``failed`` are used only when no other is eligible.
+        """
         context = self._context
         caller = self._caller
         now_s = context.clock.seconds()
@@ -65,7 +68,7 @@
     def prepare(
         self, owner: EngineAttemptOwner, runner: str, prompt: str, fence: int, forced_prefix: str
     ) -> EngineAttempt | None:
-        """Make the next attempt and count it; None when the runner is gone."""
+        """Create the next attempt and count it; None when the runner no longer exists."""
         context = self._context
         state = context.fleet.runner(runner)
         if state is None:
@@ -86,7 +89,7 @@
         return attempt
 
     def decide_retry(self, repeatable: bool) -> RetryDecision:
-        """Decide whether another attempt follows the last one, which failed."""
+        """Decide whether to retry after the last attempt, which failed."""
         context = self._context
         failed = FailedAttempt(
             repeatable=repeatable,
@@ -117,7 +120,7 @@
         )
 
     def _time_left_s(self) -> float:
-        """Return what an engine is told as the time left (0: no deadline)."""
+        """Return the remaining time passed to an engine in seconds; 0 means no deadline."""
         if self._deadline_s == NEVER_S:
             return 0.0
         left_s = self._deadline_s - self._context.clock.seconds() - ENGINE_DEADLINE_MARGIN_S
--- a/src/rainsail/gateway/attempts.py
+++ b/src/rainsail/gateway/attempts.py
@@ -1,8 +1,8 @@
-"""One attempt on one engine: whole, in order, without duplicates, across lost links.
+"""One attempt on one engine: delivers its chunks in order, without gaps or duplicates.
 
-An attempt may live on several links, one after the other: when chunks are missing or the link
-is lost, the stream is taken up at the same engine from the next chunk. What comes from a link
-that was given up, or from an attempt that was superseded, is dropped.
+An attempt may use several connections to the engine ("links"), one after the other. When chunks
+are missing or the link is lost, the stream is resumed at the same engine from the next chunk.
+Chunks from an earlier link or from a superseded attempt are dropped.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class AttemptResult(StrEnum):
-    """How an attempt ended for its request."""
+    """Result of an attempt."""
 
     COMPLETE = "whole"
     REFUSED = "refused"
@@ -34,18 +34,18 @@
     """The request that an attempt belongs to."""
 
     def on_part(self, text: str, tokens: int) -> None:
-        """Take the next part, in order and without gaps."""
+        """Receive the next part, in order and without gaps."""
         ...
 
     def on_attempt_ended(
         self, attempt: "EngineAttempt", result: AttemptResult, end: EngineAttemptEnd
     ) -> None:
-        """Take the end: whole, refused by the engine as not run, or broken off for good."""
+        """Receive the end: complete, refused by the engine as not run, or broken for good."""
         ...
 
 
 class AttemptLink:
-    """Listens to one link of an attempt; every chunk passes here, so it does little."""
+    """Listener for one link of an attempt. On the hot path: it is called for every chunk."""
 
     __slots__ = ("attempt", "resumed")
 
@@ -54,7 +54,7 @@
         self.resumed = resumed
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Pass on the chunk whose turn it is; all others are looked at apart."""
+        """Deliver the chunk that is next in order; handle all others separately."""
         if not is_expected(self, chunk):
             self.attempt.take_unexpected(self, chunk)
             return
@@ -65,12 +65,12 @@
             attempt.release_held()
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Take the end of this link."""
+        """Pass the end of this link to the attempt."""
         self.attempt.take_end(self, end)
 
 
 def is_expected(link: AttemptLink, chunk: Chunk) -> bool:
-    """Tell whether a chunk is the next of the attempt's present link."""
+    """Return whether a chunk is the next one and came over the attempt's current link."""
     attempt = link.attempt
     return (
         chunk.sequence == attempt.next_sequence
@@ -80,7 +80,7 @@
 
 
 class EngineAttempt:
-    """Sends one ``GenerateRequest`` and sees its stream through.
+    """Sends one ``GenerateRequest`` and follows its stream to the end.
 
     ``retry_refused_resume`` is set for work that cannot run on another engine: a refused resume is
     retried, because the engine may only be unreachable for a moment.
@@ -129,28 +129,28 @@
             self._engine.pause(self.attempt_id)
 
     def pause(self) -> None:
-        """Stop reading from the engine."""
+        """Stop reading from the engine, as back-pressure."""
         self._paused = True
         if self.link is not None:
             self._engine.pause(self.attempt_id)
 
     def unpause(self) -> None:
-        """Read from the engine again."""
+        """Resume reading from the engine."""
         self._paused = False
         self._checked_s = self._clock.seconds()
         if self.link is not None:
             self._engine.unpause(self.attempt_id)
 
     def supersede(self) -> None:
-        """Take nothing more from any link of this attempt."""
+        """Ignore everything further from all links of this attempt."""
         self.link = None
         self._held.clear()
         self._stop_timer()
 
-    # --- chunks out of turn -------------------------------------------------------------------
+    # --- chunks out of order ------------------------------------------------------------------
 
     def take_unexpected(self, link: AttemptLink, chunk: Chunk) -> None:
-        """Drop duplicates and late chunks; hold early ones for a short while."""
+        """Drop duplicates and late chunks; buffer early chunks for a limited time."""
         if self.link is not link or chunk.attempt_id != self.attempt_id:
             return
         if chunk.sequence < self.next_sequence:
@@ -160,7 +160,7 @@
         self._wait_for_gap()
 
     def release_held(self) -> None:
-        """Deliver held chunks whose turn has come."""
+        """Deliver the buffered chunks that are next in order."""
         while self.link is not None:
             chunk = self._held.pop(self.next_sequence, None)
             if chunk is None:
@@ -190,7 +190,7 @@
     # --- ends ---------------------------------------------------------------------------------
 
     def take_end(self, link: AttemptLink, end: EngineAttemptEnd) -> None:
-        """Take the end of a link."""
+        """Handle the end of a link: finish the attempt or resume the stream."""
         if self.link is not link or end.attempt_id != self.attempt_id:
             return
         if end.reason in (EndReason.STOP, EndReason.LENGTH):
@@ -212,7 +212,7 @@
         self._wait_for_gap()
 
     def check_stalled(self, now_s: float) -> None:
-        """Take the link as lost when no chunk came for too long (called now and then)."""
+        """Treat the link as lost when no chunk came within the stall timeout."""
         if self._paused or self.next_sequence != self._checked_sequence:
             self._checked_sequence = self.next_sequence
             self._checked_s = now_s
@@ -223,7 +223,7 @@
         self._resume_or_break(self._lost_end("the stream stalled"))
 
     def engine_restarted(self) -> None:
-        """The engine has restarted: its streams are gone, taking up is of no use."""
+        """End the attempt as broken: a restarted engine has no stream to resume."""
         if self.link is not None:
             self._finish(AttemptResult.BROKEN, self._lost_end("the engine restarted"))
 
--- a/src/rainsail/gateway/batch_view.py
+++ b/src/rainsail/gateway/batch_view.py
@@ -1,11 +1,11 @@
-"""What the batch policies see of a runner."""
+"""The view of a runner for the batch policies."""
 
 from rainsail.batch.interface import BatchRunnerView
 from rainsail.gateway.runner_state import ObservedRunner
 
 
 def batch_view(state: ObservedRunner) -> BatchRunnerView:
-    """Return a runner as the batch policies see it. Pure."""
+    """Return the view of a runner for the batch policies. Pure."""
     report = state.report
     return BatchRunnerView(
         slots=state.spec.batch_slots,
--- a/src/rainsail/gateway/cache_view.py
+++ b/src/rainsail/gateway/cache_view.py
@@ -1,4 +1,4 @@
-"""What a runner has in its prefix cache, as told by events that come late and with gaps."""
+"""View of a runner's prefix cache, built from cache events that may be late or missing."""
 
 from rainsail.engine.interface import CacheEvent, CacheEventKind
 
@@ -6,9 +6,9 @@
 class CacheView:
     """Known prefix blocks of one runner.
 
-    A hole in the event sequence makes the view stale: it stays a hint, worth less, until the
-    engine clears its cache (a full listing begins with CLEARED) or restarts. ``blocks`` are in
-    the order of their last storing.
+    A gap in the event sequence makes the view stale: routing then gives its matches less weight.
+    It is complete again after a CLEARED event, with which a full listing begins. ``blocks`` are
+    ordered by when they were last stored.
     """
 
     __slots__ = ("_incarnation", "_limit", "_next_sequence", "blocks", "stale")
@@ -24,12 +24,12 @@
         return len(self.blocks)
 
     def subscription_lost(self) -> None:
-        """Note that events may have been missed (the subscription broke)."""
+        """Mark the view as stale, because events may be missing after a lost subscription."""
         self.stale = True
         self._next_sequence = None
 
     def restarted(self, incarnation: str) -> None:
-        """Forget everything when the engine's incarnation is a new one."""
+        """Clear the view if ``incarnation`` is a new one of the engine."""
         if incarnation == self._incarnation:
             return
         self._incarnation = incarnation
@@ -38,7 +38,7 @@
         self.stale = True
 
     def apply(self, event: CacheEvent) -> None:
-        """Take an event; late ones (a sequence already passed) are dropped."""
+        """Apply an event; drop it when a later one has already been applied."""
         self.restarted(event.incarnation)
         expected = self._next_sequence
         if expected is not None and event.sequence < expected:
@@ -63,7 +63,7 @@
             self.blocks.pop(next(iter(self.blocks)))
 
     def matched_blocks(self, blocks: tuple[int, ...]) -> int:
-        """Return how many leading blocks of a prompt are cached."""
+        """Return the number of leading blocks of a prompt that are cached."""
         known = self.blocks
         for count, block in enumerate(blocks):
             if block not in known:
--- a/src/rainsail/gateway/cancellation.py
+++ b/src/rainsail/gateway/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancelling attempts at engines, sent again when the cancel itself was lost."""
+"""Cancels attempts at engines; a cancel that fails is retried."""
 
 from expression import Result
 from twisted.internet.defer import Deferred
@@ -9,18 +9,18 @@
 
 CANCEL_TRIES = 4
 CANCEL_RETRY_S = 0.2
-"""Seconds before a lost cancel is sent again; doubles each time."""
+"""Seconds before the first retry of a failed cancel; doubles each time."""
 
 
 class Canceller:
-    """Sends cancels until an engine has answered, a bounded number of times."""
+    """Sends a cancel until the engine has answered, at most ``CANCEL_TRIES`` times."""
 
     def __init__(self, engine: EngineClient, clock: Clock) -> None:
         self._engine = engine
         self._clock = clock
 
     def cancel(self, address: str, attempt_id: str, tries: int = CANCEL_TRIES) -> None:
-        """Cancel an attempt; nothing is reported back."""
+        """Cancel an attempt; the result is not reported to the caller."""
         done: Deferred[Result[bool, Fault]] = self._engine.cancel(address, attempt_id)
         done.addCallback(self._answered, address, attempt_id, tries)
 
--- a/src/rainsail/gateway/claims.py
+++ b/src/rainsail/gateway/claims.py
@@ -1,8 +1,8 @@
 """Claims of non-repeatable requests: committed before anything is sent, finished after the end.
 
-The claimant's name is unique for each submission, so that a claim command that control sends
-again gets its first answer, while a second submission of the same id, here or at another
-gateway, is told what is known of the first.
+The claimant's name is unique for each submission. A retried claim command therefore gets the
+result of the first one, whereas a second submission of the same request id, at any gateway, gets
+what is recorded for the first submission.
 """
 
 import hashlib
@@ -21,7 +21,7 @@
 
 
 def content_digest(request: CallerRequest) -> str:
-    """Return the hex SHA-256 of what a request asks for."""
+    """Return the hex SHA-256 of the content of a request."""
     digest = hashlib.sha256()
     for part in (request.model, request.adapter, str(request.max_tokens), request.prompt):
         digest.update(part.encode())
@@ -39,7 +39,7 @@
     def claim(
         self, request: CallerRequest, claimant: str
     ) -> "Deferred[Result[ClaimResult, Fault]]":
-        """Claim a request's id; a fault is NOT_RUN, for nothing has been sent."""
+        """Claim a request's id. A fault has the outcome NOT_RUN, because nothing has been sent."""
         command = ClaimRequest(
             request.tenant, request.request_id, content_digest(request), claimant
         )
@@ -71,13 +71,13 @@
     def finish(
         self, request: CallerRequest, claimant: str, outcome: Outcome, response: str = ""
     ) -> "Deferred[Result[CommandOutcome, Fault]]":
-        """Record how a claimed request ended; NOT_RUN releases the claim."""
+        """Record the outcome of a claimed request; NOT_RUN releases the claim."""
         command = FinishRequest(request.tenant, request.request_id, claimant, outcome, response)
         return self._control.propose(command, self._settings.claim_timeout_s)
 
 
 class RequestClaim:
-    """The claim of one request: taken at most once, ended at most once."""
+    """The claim of one request; it is claimed and finished at most once."""
 
     def __init__(self, client: ClaimClient, request: CallerRequest, claimant: str) -> None:
         self._client = client
@@ -86,7 +86,7 @@
         self._held = False
 
     def take(self) -> "Deferred[Result[ClaimResult, Fault]]":
-        """Ask for the claim."""
+        """Claim the request's id."""
         return self._client.claim(self._request, self._claimant).addCallback(self._taken)
 
     def _taken(self, reply: Result[ClaimResult, Fault]) -> Result[ClaimResult, Fault]:
@@ -94,7 +94,7 @@
         return reply
 
     def end(self, outcome: Outcome, response: str = "") -> "Deferred[Any]":
-        """Record the end of a claim that is held; fires when that is done or given up."""
+        """Finish the claim if it is held; fires when that has succeeded or failed."""
         if not self._held:
             return succeed(None)
         self._held = False
--- a/src/rainsail/gateway/core.py
+++ b/src/rainsail/gateway/core.py
@@ -1,4 +1,4 @@
-"""The gateway's core: takes typed requests, answers through sinks, stops in order."""
+"""The gateway's core: accepts typed requests, answers through sinks, and drains."""
 
 from random import Random
 from typing import Any
@@ -30,13 +30,13 @@
 
 STEP = "gateway.core"
 SWEEP_PERIOD_S = 1.0
-"""Seconds between looks for stalled streams. Not measured; short against the stall timeout."""
+"""Interval of checks for stalled streams; short compared with the stall timeout."""
 DRAIN_CHECK_S = 0.05
-"""Seconds between looks whether a stopping gateway is done. Not measured."""
+"""Interval of checks whether a draining gateway has finished."""
 
 
 class RefusedHandle:
-    """The handle of a request that was refused at once: there is nothing to control."""
+    """The handle of a request that was refused on submission; its methods do nothing."""
 
     def abandon(self) -> None:
         """Do nothing."""
@@ -100,20 +100,20 @@
         fleet.on_restart(self._engine_restarted)
 
     def start(self) -> None:
-        """Start reporting demand and looking for stalled streams."""
+        """Start reporting demand and checking for stalled streams."""
         self._quotas.start(self._context.admission.pump_all)
         self._context.sessions.start()
         self._clock.callLater(SWEEP_PERIOD_S, self._sweep)
 
     def stop(self) -> None:
-        """Stop at once; a planned stop goes through ``drain`` first."""
+        """Stop at once; for a graceful stop call ``drain`` first."""
         self._stopped = True
         self._quotas.stop()
 
     # --- requests -------------------------------------------------------------------------------
 
     def submit(self, request: CallerRequest, sink: ResponseSink) -> RequestHandle:
-        """Start a request."""
+        """Start a request; it may be answered before this returns."""
         fault = self._refusal(request)
         if fault is not None:
             sink.on_fault(fault)
@@ -124,27 +124,27 @@
         return run
 
     def explain(self, request_id: str, tenant: str = "") -> tuple[RouteDecision, ...]:
-        """Return the routing decisions kept for a request (of ``tenant``, when given)."""
+        """Return the stored routing decisions for a request (of ``tenant``, when given)."""
         return self._context.decisions.explain(request_id, tenant)
 
     @property
     def in_progress(self) -> int:
-        """How many requests have not had their final answer."""
+        """Number of requests without their final answer or fault."""
         return len(self._runs)
 
     @property
     def requests_waiting(self) -> int:
-        """How many requests wait for a slot or for their tenant's tokens."""
+        """Number of requests waiting for a slot or for their tenant's quota."""
         return self._context.admission.waiting_everywhere()
 
     @property
     def sessions_held(self) -> int:
-        """How many sessions this gateway holds by their highest fence."""
+        """Number of sessions whose highest fence this gateway holds."""
         return len(self._context.sessions.held())
 
     @property
     def retries_left(self) -> float:
-        """How many retries the service with the smallest budget may still send."""
+        """Remaining retries of the service with the smallest retry budget."""
         budgets = [budget.saved for budget in self._context.budgets.values()]
         return min(budgets, default=self._settings.retry.budget_burst)
 
@@ -183,7 +183,7 @@
         if self._drain_started_s is not None:
             self._finished_in_drain += 1
 
-    # --- what others tell -----------------------------------------------------------------------
+    # --- events ---------------------------------------------------------------------------------
 
     def _runner_changed(self, runner: str) -> None:
         state = self._fleet.runner(runner)
@@ -202,10 +202,10 @@
             run.attempt.check_stalled(now_s)
         self._clock.callLater(SWEEP_PERIOD_S, self._sweep)
 
-    # --- planned stop ---------------------------------------------------------------------------
+    # --- drain ----------------------------------------------------------------------------------
 
     def drain(self) -> "Deferred[DrainReport]":
-        """Take no new work and fire when the last request has ended or the grace is over."""
+        """Refuse new work; fire when the last request has ended or the grace time is over."""
         if self._drain_result is not None:
             return succeed(self._drain_result)
         done: Deferred[DrainReport] = Deferred()
--- a/src/rainsail/gateway/current_attempt.py
+++ b/src/rainsail/gateway/current_attempt.py
@@ -1,4 +1,4 @@
-"""The attempt of a request that is under way, and what became of those before it."""
+"""The running attempt of a request, and the results of its earlier attempts."""
 
 from rainsail.engine.interface import EngineAttemptEnd
 from rainsail.gateway.attempts import AttemptResult, EngineAttempt
@@ -6,9 +6,10 @@
 
 
 class CurrentAttempt:
-    """Starts, pauses and gives up attempts, one at a time.
+    """Starts, pauses and cancels attempts, one at a time.
 
-    ``may_have_run`` counts the attempts that were sent and not refused as not run.
+    ``may_have_run`` is the number of attempts that were sent and not refused by the engine as not
+    run.
     """
 
     def __init__(self, context: RunContext) -> None:
@@ -19,11 +20,11 @@
         self._paused = False
 
     def is_current(self, attempt: EngineAttempt) -> bool:
-        """Tell whether this is the attempt under way."""
+        """Return whether ``attempt`` is the running one."""
         return attempt is self._attempt
 
     def start(self, attempt: EngineAttempt) -> None:
-        """Send an attempt; from now on it may have run."""
+        """Send an attempt and count it as one that may have run."""
         self._attempt = attempt
         self.may_have_run += 1
         if self._paused:
@@ -31,7 +32,7 @@
         attempt.start()
 
     def end(self, attempt: EngineAttempt, result: AttemptResult, end: EngineAttemptEnd) -> None:
-        """Note the end; what broke off is cancelled at its engine."""
+        """Record the end of an attempt; cancel a broken one at its engine."""
         self._attempt = None
         context = self._context
         context.fleet.attempt_ended(attempt.runner, attempt.attempt_id, end.reason)
@@ -44,7 +45,7 @@
         self.failed_runners.append(attempt.runner)
 
     def cancel(self) -> None:
-        """Cancel the attempt under way at its engine and take nothing more from it."""
+        """Cancel the running attempt at its engine and ignore everything further from it."""
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
@@ -53,23 +54,23 @@
         self._context.fleet.attempt_ended(attempt.runner, attempt.attempt_id)
 
     def pause(self) -> None:
-        """Stop reading from the engine, also from a later one."""
+        """Stop reading from the engine; this applies to later attempts as well."""
         self._paused = True
         if self._attempt is not None:
             self._attempt.pause()
 
     def unpause(self) -> None:
-        """Read from the engine again."""
+        """Resume reading from the engine."""
         self._paused = False
         if self._attempt is not None:
             self._attempt.unpause()
 
     def check_stalled(self, now_s: float) -> None:
-        """Look whether the stream has stalled."""
+        """Treat the stream as lost if it has stalled."""
         if self._attempt is not None:
             self._attempt.check_stalled(now_s)
 
     def engine_restarted(self, runner: str) -> None:
-        """Take the attempt as broken when it ran on this runner."""
+        """End the attempt as broken if it runs on this runner."""
         if self._attempt is not None and self._attempt.runner == runner:
             self._attempt.engine_restarted()
--- a/src/rainsail/gateway/decision_ring.py
+++ b/src/rainsail/gateway/decision_ring.py
@@ -1,4 +1,4 @@
-"""The last routing decisions, so that each can be explained afterwards."""
+"""Ring buffer of the latest routing decisions, for the explain route."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -8,26 +8,26 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptDecision:
-    """A decision and the tenant whose request it was about."""
+    """A routing decision and the tenant of its request."""
 
     tenant: str
     decision: RouteDecision
 
 
 class DecisionRing:
-    """Keeps a bounded number of decisions, the oldest leave first."""
+    """Keeps up to ``limit`` decisions; the oldest are dropped first."""
 
     def __init__(self, limit: int) -> None:
         self._ring: deque[KeptDecision] = deque(maxlen=limit)
 
     def add(self, tenant: str, decision: RouteDecision) -> None:
-        """Keep a decision about a tenant's request."""
+        """Store a decision for a tenant's request."""
         self._ring.append(KeptDecision(tenant, decision))
 
     def explain(self, request_id: str, tenant: str = "") -> tuple[RouteDecision, ...]:
-        """Return the decisions kept for a request, oldest first (empty: none kept).
+        """Return the stored decisions for a request, oldest first.
 
-        With ``tenant`` only those about that tenant's request.
+        If ``tenant`` is given, only those for that tenant's requests.
         """
         return tuple(
             kept.decision
--- a/src/rainsail/gateway/drain.py
+++ b/src/rainsail/gateway/drain.py
@@ -1,4 +1,4 @@
-"""A planned stop of a gateway: no new work, what is in progress finishes, then the end."""
+"""Graceful stop of a gateway: refuse new work, let requests in progress finish, then stop."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class RequestName:
-    """What tells a request from all others in progress: two tenants may choose the same id."""
+    """Identifies a request in progress; request ids are unique only within a tenant."""
 
     tenant: str
     request_id: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainReport:
-    """How a planned stop ended; ``aborted`` names each request that outlasted the grace time."""
+    """Result of a drain; ``aborted`` lists the requests that outlasted the grace time."""
 
     finished: int
     aborted: tuple[RequestName, ...]
@@ -27,19 +27,19 @@
 
 
 def stopping_fault(retry_after_s: float) -> Fault:
-    """Return the refusal of new work at a stopping gateway."""
-    detail = "this gateway is stopping; another takes the request"
+    """Return the fault with which a stopping gateway refuses new work."""
+    detail = "this gateway is stopping; send the request to another gateway"
     return Fault(FaultCode.UNAVAILABLE, STEP, detail, retry_after_s=retry_after_s)
 
 
 def requests_to_abort(
     in_progress: Iterable[RequestName], waited_s: float, grace_s: float
 ) -> tuple[RequestName, ...]:
-    """Return the requests that may not go on any longer (none within the grace)."""
+    """Return the requests to abort: none within the grace time, then all in progress."""
     return tuple(in_progress) if waited_s >= grace_s else ()
 
 
 def log_aborted(name: RequestName, grace_s: float) -> None:
-    """Tell the operator of a request that was cut, in a log record of its own."""
+    """Log an aborted request, one record per request."""
     bound = logger.bind(tenant=name.tenant, request_id=name.request_id)
-    bound.warning(f"cut by the planned stop after its grace time of {grace_s:g} s")
+    bound.warning(f"aborted by the planned stop after the grace time of {grace_s:g} s")
--- a/src/rainsail/gateway/ejection.py
+++ b/src/rainsail/gateway/ejection.py
@@ -1,7 +1,8 @@
-"""Ejecting a runner that fails time after time, with a limit on how many may be out.
+"""Outlier ejection: takes a runner out of routing after consecutive failures.
 
-It goes by this gateway's own failures in a row, as native gateways report no outcomes to control.
-``routing.soundness`` goes by those that all gateways report, as each sees only few of them.
+It counts the failures that this gateway has seen, because native gateways do not report outcomes
+to control. ``routing.soundness`` uses the outcomes that all relay gateways report, because each of
+those sees only a few.
 """
 
 from random import Random
@@ -9,14 +10,14 @@
 from rainsail.gateway.settings import FleetSettings
 
 JITTER_FRACTION = 0.2
-"""Random part of the time out.
+"""Maximum random extension of an ejection, as a fraction of its length.
 
-Not measured; chosen so that gateways do not all try again at once.
+It keeps gateways from retrying a runner all at the same time.
 """
 
 
 class EjectionState:
-    """Consecutive failures of one runner and until when it is out (gateway clock)."""
+    """Consecutive failures of one runner, and the end of its ejection on the gateway's clock."""
 
     __slots__ = ("failures", "out_until_s", "times_out")
 
@@ -26,22 +27,25 @@
         self.out_until_s = 0.0
 
     def is_ejected(self, now_s: float) -> bool:
-        """Tell whether the runner is out now."""
+        """Return whether the runner is ejected now."""
         return now_s < self.out_until_s
 
     def succeeded(self) -> None:
-        """Forget the failures after a success."""
+        """Reset the failure count and the ejection after a success."""
         self.failures = 0
         self.times_out = 0
         self.out_until_s = 0.0
 
     def failed(self, settings: FleetSettings) -> bool:
-        """Count a failure; return whether the runner should be put out."""
+        """Count a failure; return whether the runner should be ejected."""
         self.failures += 1
         return self.failures >= settings.eject_after_failures
 
     def eject(self, now_s: float, random: Random, settings: FleetSettings) -> None:
-        """Put the runner out, longer each time; one more failure afterwards repeats it."""
+        """Eject the runner for exponentially longer each time.
+
+        The failure count is set so that a single failure after the ejection ejects it again.
+        """
         length_s = min(settings.eject_limit_s, settings.eject_base_s * 2.0**self.times_out)
         length_s *= 1.0 + JITTER_FRACTION * random.random()
         self.times_out += 1
@@ -50,5 +54,5 @@
 
 
 def may_eject(runners: int, out: int, max_fraction: float) -> bool:
-    """Tell whether one more of ``runners`` may be put out when ``out`` already are."""
+    """Return whether one more of ``runners`` runners may be ejected when ``out`` already are."""
     return out + 1 <= int(runners * max_fraction)
--- a/src/rainsail/gateway/eligibility.py
+++ b/src/rainsail/gateway/eligibility.py
@@ -1,4 +1,4 @@
-"""Which runners may get a request: usable, of the right role, with the adapter loaded."""
+"""Selects the runners that may get a request: usable, with the right role and adapter."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,20 +9,21 @@
 from rainsail.resources.specs import RunnerRole
 
 CACHE_PERIOD_S = 0.05
-"""Seconds that a list of eligible runners is used when nothing is known to have changed.
+"""Seconds for which a cached list of eligible runners is valid unless it is invalidated.
 
-Not measured; it bounds how late the end of an ejection or a beginning silence is seen.
+It bounds the delay until the end of an ejection or a missing load report takes effect, because
+neither invalidates the cache.
 """
 SLOTS_PERIOD_S = 0.01
-"""Seconds that a count of slots is used.
+"""Seconds for which a cached slot count is valid.
 
-Not measured; only the estimate of others' load moves in that time.
+Within this time only the estimate of other gateways' load changes.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class EligibleRunners:
-    """Runners that may get a request: those of the own zone, and those of all others."""
+    """Runners that may get a request, split into the gateway's own zone and all other zones."""
 
     local: tuple[ObservedRunner, ...]
     remote: tuple[ObservedRunner, ...]
@@ -31,7 +32,7 @@
         return len(self.local) + len(self.remote)
 
     def without(self, excluded: Sequence[str]) -> "EligibleRunners":
-        """Return the runners that have not failed yet; all of them when none is left."""
+        """Return the runners that are not in ``excluded``; all of them when none is left."""
         if not excluded:
             return self
         fresh = EligibleRunners(
@@ -44,7 +45,7 @@
 def eligible_runners(
     states: Sequence[ObservedRunner], now_s: float, batch: bool, adapter: str = ""
 ) -> list[ObservedRunner]:
-    """Return the runners that may get new work of this class and adapter. Pure."""
+    """Return the runners that may get new work of a class and adapter. Pure."""
     excluded_role = RunnerRole.ONLINE_ONLY if batch else RunnerRole.BATCH_ONLY
     return [
         state
@@ -56,13 +57,13 @@
 
 
 def has_adapter(state: ObservedRunner, adapter: str) -> bool:
-    """Tell whether a runner has an adapter loaded, by its last report or else its status."""
+    """Return whether a runner has an adapter loaded, by its last report or else its status."""
     adapters = state.report.adapters if state.report else state.status.adapters
     return adapter in adapters
 
 
 def by_zone(states: Sequence[ObservedRunner], zone: str) -> EligibleRunners:
-    """Split runners by whether they are in ``zone``."""
+    """Split runners into those in ``zone`` and all others."""
     return EligibleRunners(
         tuple(state for state in states if state.spec.zone == zone),
         tuple(state for state in states if state.spec.zone != zone),
@@ -77,10 +78,7 @@
 
 
 class EligibleCache:
-    """Keeps lists of eligible runners until something changed or a short time has passed.
-
-    ``CACHE_PERIOD_S`` bounds how late the end of an ejection or a beginning silence is seen.
-    """
+    """Caches lists of eligible runners until they are invalidated or ``CACHE_PERIOD_S`` old."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -88,7 +86,7 @@
         self._entries: dict[tuple[str, bool, str], _Entry] = {}
 
     def invalidate(self) -> None:
-        """Note that some runner may have become usable or unusable."""
+        """Drop all cached lists, because some runner may have become usable or unusable."""
         self._version += 1
 
     def get(
@@ -99,7 +97,7 @@
         batch: bool,
         adapter: str,
     ) -> EligibleRunners:
-        """Return ``eligible_runners`` of a service, from the cache when that is fresh."""
+        """Return the eligible runners of a service, from the cache when it is still valid."""
         key = (service, batch, adapter)
         entry = self._entries.get(key)
         if (
@@ -114,7 +112,7 @@
 
 
 def online_slots(runners: EligibleRunners, now_s: float, slots_per_runner: float) -> Slots:
-    """Return the online slots of these runners, and how many others seem to hold. Pure."""
+    """Return the online slots of these runners and the estimate held by other gateways. Pure."""
     total = 0.0
     others = 0.0
     for state in (*runners.local, *runners.remote):
@@ -125,14 +123,14 @@
 
 
 class SlotCounts:
-    """Online slots per service, counted anew when the runners changed or time has passed."""
+    """Caches the online slots per service for ``SLOTS_PERIOD_S`` or until the runners change."""
 
     def __init__(self, slots_per_runner: float) -> None:
         self._slots_per_runner = slots_per_runner
         self._counts: dict[str, tuple[EligibleRunners, float, Slots]] = {}
 
     def get(self, service: str, runners: EligibleRunners, now_s: float) -> Slots:
-        """Return the slots of these runners, counted anew when they are others than before."""
+        """Return the slots of these runners, from the cache when the runners are the same."""
         counted = self._counts.get(service)
         if counted is not None and counted[0] is runners and now_s - counted[1] < SLOTS_PERIOD_S:
             return counted[2]
--- a/src/rainsail/gateway/engine_feed.py
+++ b/src/rainsail/gateway/engine_feed.py
@@ -1,4 +1,4 @@
-"""Keeps one subscription to an engine's load reports and cache events open."""
+"""Maintains one subscription to an engine's load reports and cache events."""
 
 from collections.abc import Callable
 from random import Random
@@ -11,7 +11,7 @@
 
 
 class EngineFeed:
-    """Subscribes, and subscribes again with jittered back-off when the subscription is lost."""
+    """Subscribes, and subscribes again with jittered backoff when the subscription is lost."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self._timer = self._clock.callLater(delay_s, self.start)
 
     def renew_when_older(self, age_s: float) -> None:
-        """Open a new subscription in place of one that has been open for ``age_s`` in silence."""
+        """Replace the subscription if it has been open for at least ``age_s`` seconds."""
         if self._cancel is None or self._clock.seconds() - self._opened_s < age_s:
             return
         self._subscription += 1
--- a/src/rainsail/gateway/engine_feeds.py
+++ b/src/rainsail/gateway/engine_feeds.py
@@ -1,7 +1,7 @@
-"""The subscriptions to the load reports and cache events of the engines that a gateway follows.
+"""Subscriptions to load reports and cache events of the engines that a gateway follows.
 
-One feed for each runner; when a runner moves to another address its old feed is closed. Reports
-and events go into the runner's state.
+There is one feed for each runner; it is replaced when the runner's address changes. Reports and
+events update the runner's state.
 """
 
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class EngineFeeds:
-    """Feeds by runner, and runners by their engine's address."""
+    """The feeds by runner name, and the runners by engine address."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._at_address: dict[str, ObservedRunner] = {}
 
     def runner_at(self, address: str) -> ObservedRunner | None:
-        """Return the runner whose engine is followed at an address."""
+        """Return the followed runner whose engine has an address, or None."""
         return self._at_address.get(address)
 
     def open(self, state: ObservedRunner) -> None:
-        """Follow a runner's engine at its present address, unless that is done already."""
+        """Subscribe to a runner's engine at its current address unless already subscribed."""
         feed = self._feeds.get(state.name)
         if feed is not None and feed.address == state.spec.address:
             return
@@ -61,20 +61,20 @@
         feed.start()
 
     def close(self, runner: str) -> None:
-        """Stop following a runner's engine, if it is followed."""
+        """Close the subscription to a runner's engine, if there is one."""
         feed = self._feeds.pop(runner, None)
         if feed is not None:
             feed.stop()
             self._at_address.pop(feed.address, None)
 
     def close_all(self) -> None:
-        """Stop following every engine."""
+        """Close all subscriptions."""
         for feed in self._feeds.values():
             feed.stop()
         self._feeds.clear()
 
     def renew_when_older(self, runner: str, age_s: float) -> None:
-        """Subscribe again to a followed engine whose subscription is older than ``age_s``."""
+        """Renew the subscription to a runner's engine if it is at least ``age_s`` seconds old."""
         self._feeds[runner].renew_when_older(age_s)
 
     def _take_report(self, state: ObservedRunner, report: LoadReport) -> None:
@@ -89,5 +89,5 @@
 
 
 def usability(report: LoadReport) -> tuple[str, bool, str, tuple[str, ...]]:
-    """Return the part of a report that decides whether a runner may get work."""
+    """Return the fields of a report that determine whether a runner may get work."""
     return report.incarnation, report.draining, report.loaded_version, report.adapters
--- a/src/rainsail/gateway/fleet.py
+++ b/src/rainsail/gateway/fleet.py
@@ -1,7 +1,8 @@
-"""A gateway's view of every runner: load, cache, own work, draining, ejection, ownership.
+"""A gateway's view of the runners: load, cache, own requests, draining, ejection, ownership.
 
-What is known is kept in ``runner_state``; ``fleet_follower`` follows the resources,
-``engine_feeds`` the engines' own reports, and ``liveness_monitor`` finds runners without reports.
+``runner_state`` holds the state of a runner. ``fleet_follower`` watches the resources,
+``engine_feeds`` receives the engines' reports, and ``liveness_monitor`` detects runners without
+reports.
 """
 
 from random import Random
@@ -25,7 +26,7 @@
 
 
 class RunnerFleet:
-    """What the gateway's other parts read of the runners, and where they count their work."""
+    """State of the runners for the other components, which also count their attempts here."""
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Read the resources, then follow them."""
+        """Read the resources, then watch them and the engines."""
         self._follower.start()
         self._liveness.start(self._clock.seconds())
         self._clock.callLater(self._settings.watch_period_s, self._watch)
@@ -85,14 +86,14 @@
         self._liveness.check(now_s, pause_s)
         self._clock.callLater(self._settings.watch_period_s, self._watch)
 
-    # --- reading ------------------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------
 
     def runner(self, name: str) -> ObservedRunner | None:
-        """Return what is known of a runner."""
+        """Return the state of a runner, or None when it is not followed."""
         return self._runners.get(name)
 
     def runners(self) -> list[ObservedRunner]:
-        """Return every runner in name order."""
+        """Return all followed runners in name order."""
         return self._runners.all()
 
     def runners_of(self, service: str) -> list[ObservedRunner]:
@@ -105,7 +106,7 @@
         return self._eligible.get(self.runners_of(service), service, now_s, batch, adapter)
 
     def cached_tokens(self, address: str, prompt: str) -> int:
-        """Return how many leading tokens of a prompt the engine at an address likely has cached."""
+        """Return the estimated number of leading tokens of a prompt cached at an engine."""
         state = self._feeds.runner_at(address)
         if state is None:
             return 0
@@ -116,40 +117,40 @@
         return [state for state in self.runners() if state.owned]
 
     def usable(self, runner: str) -> bool:
-        """Tell whether new work may be sent to a runner now."""
+        """Return whether new work may be sent to a runner now."""
         state = self._runners.get(runner)
         return state is not None and runner_state.takes_new_work(state, self._clock.seconds())
 
     def follow(self, runner: str) -> None:
-        """Follow a runner also when it is not of the zone or the sample: a session is there."""
+        """Follow a runner on demand, because a session is pinned to it."""
         self._follower.follow(runner)
 
     def runners_out(self) -> int:
-        """Return how many runners are out for failures."""
+        """Return the number of ejected runners."""
         now_s = self._clock.seconds()
         return sum(state.ejection.is_ejected(now_s) for state in self.runners())
 
     def leaving(self, runner: str) -> bool:
-        """Tell whether a runner is draining, gone or silent."""
+        """Return whether a runner is draining, silent or not followed."""
         state = self._runners.get(runner)
         return state is None or runner_state.is_leaving(state, self._clock.seconds())
 
     def view(self, runner: str) -> BatchRunnerView:
-        """Return what the batch policies see of a runner; KeyError when it does not exist."""
+        """Return the view of a runner for the batch policies; KeyError when it is unknown."""
         state = self._runners.get(runner)
         if state is None:
             raise KeyError(runner)
         return batch_view(state)
 
     def on_change(self, listener: RunnerListener) -> None:
-        """Call ``listener`` with a runner's name at each change of its view."""
+        """Call ``listener`` with a runner's name at each change of its state."""
         self._listeners.add_on_change(listener)
 
     def on_restart(self, listener: RunnerListener) -> None:
         """Call ``listener`` with a runner's name when its engine has restarted."""
         self._listeners.add_on_restart(listener)
 
-    # --- own work -----------------------------------------------------------------------------
+    # --- own attempts -------------------------------------------------------------------------
 
     def attempt_started(self, runner: str, attempt_id: str, batch: bool) -> None:
         """Count an attempt that is sent to a runner."""
@@ -165,7 +166,10 @@
         attempt_id: str,
         reason: EndReason | None = None,
     ) -> None:
-        """Count an attempt's end; LOST counts against the runner, STOP and LENGTH for it."""
+        """Count an attempt's end.
+
+        LOST counts as a failure of the runner; STOP and LENGTH reset its failures.
+        """
         state = self._runners.get(runner)
         if state is None:
             return
--- a/src/rainsail/gateway/fleet_follower.py
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -1,4 +1,4 @@
-"""Follows the Runner and Gateway resources: which runners a gateway follows and which it owns.
+"""Watches Runner and Gateway resources and updates which runners a gateway follows and owns.
 
 It adds runners to the index and removes them, and opens and closes the feeds of their engines.
 """
@@ -24,7 +24,7 @@
 
 
 class GatewayFleetFollower:
-    """Keeps the index of runners as the configuration says."""
+    """Keeps the index of followed runners in line with the configuration."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Read the resources, then follow them."""
+        """Read the resources, then watch them."""
         self._config.on_event(self._on_event)
         self._ownership.take(self._config.list_resources(Kind.GATEWAY))
         for resource in self._config.list_resources(Kind.RUNNER):
@@ -61,11 +61,11 @@
         self._reselect()
 
     def stop(self) -> None:
-        """Add no runner from now on."""
+        """Stop adding runners."""
         self._stopped = True
 
     def follow(self, runner: str) -> None:
-        """Follow a runner also when it is not of the zone or the sample: a session is there."""
+        """Follow a runner on demand, because a session is pinned to it."""
         resource = self._config.get(ResourceKey(Kind.RUNNER, runner))
         if self._runners.get(runner) is not None or resource is None:
             return
@@ -74,7 +74,7 @@
         self._put(resource)
 
     def reselect_if_due(self) -> None:
-        """Look at every runner again if the sample or the zones without gateways have changed."""
+        """Reselect the followed runners if the sample or the zones with gateways have changed."""
         if self._reselect_due:
             self._reselect()
 
--- a/src/rainsail/gateway/fleet_listeners.py
+++ b/src/rainsail/gateway/fleet_listeners.py
@@ -1,4 +1,4 @@
-"""Who is called when a gateway's view of a runner changes."""
+"""Listeners for changes in a gateway's view of a runner."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 
 
 class FleetListeners:
-    """Passes changes and engine restarts on, in the order in which listeners were added."""
+    """Notifies listeners of changes and engine restarts, in the order they were added."""
 
     def __init__(self) -> None:
         self._on_change: list[RunnerListener] = []
         self._on_restart: list[RunnerListener] = []
 
     def add_on_change(self, listener: RunnerListener) -> None:
-        """Call ``listener`` at each change of a runner's view."""
+        """Call ``listener`` at each change of a runner."""
         self._on_change.append(listener)
 
     def add_on_restart(self, listener: RunnerListener) -> None:
@@ -22,11 +22,11 @@
         self._on_restart.append(listener)
 
     def notify_changed(self, runner: str) -> None:
-        """Report a change of a runner's view."""
+        """Notify listeners of a change of a runner."""
         for listener in list(self._on_change):
             listener(runner)
 
     def notify_restarted(self, runner: str) -> None:
-        """Report that a runner's engine has restarted."""
+        """Notify listeners that a runner's engine has restarted."""
         for listener in list(self._on_restart):
             listener(runner)
--- a/src/rainsail/gateway/followed_runners.py
+++ b/src/rainsail/gateway/followed_runners.py
@@ -1,16 +1,17 @@
-"""Which runners a gateway follows: those of its zone, those it owns, a sample of the others.
+"""Selects the runners a gateway follows: its zone's, those it owns, a sample of the others.
 
-Following every runner of a large fleet from every gateway would cost runners times gateways
-subscriptions. A sample of other zones' runners is enough to move work there when it pays: two
-random choices of a sample do as well as of the whole. The sample is drawn by hash, so it differs
-between gateways, survives restarts and changes little as runners come and go.
+To follow a runner means to subscribe to its engine's load reports and cache events. If every
+gateway followed every runner, the number of subscriptions would be runners times gateways. A
+sample of other zones' runners is enough for routing, because two random choices from a sample
+perform like two from the whole fleet. The sample is selected by hash: it differs between gateways,
+survives restarts and changes little when runners are added or removed.
 """
 
 import xxhash
 
 
 def sample_mask(runners: int, limit: int) -> int:
-    """Return the mask that lets at most about ``limit`` of ``runners`` through. Pure."""
+    """Return a hash mask that selects at most about ``limit`` of ``runners`` runners. Pure."""
     bits = 0
     while runners >> bits > limit:
         bits += 1
@@ -18,7 +19,7 @@
 
 
 class FollowedRunners:
-    """Decides for one gateway; knows only the names of other zones' runners."""
+    """Selection of one gateway; stores only the names of other zones' runners."""
 
     def __init__(self, gateway: str, zone: str, sample_limit: int, on_demand_limit: int) -> None:
         self._gateway = gateway
@@ -30,7 +31,7 @@
         self._mask = 0
 
     def add(self, runner: str, zone: str) -> bool:
-        """Note that a runner exists; return whether the sample has to be drawn anew."""
+        """Add a runner; return whether the sample has changed and must be selected again."""
         if zone == self._zone:
             self._others.pop(runner, None)
         else:
@@ -38,13 +39,13 @@
         return self._update_mask()
 
     def remove(self, runner: str) -> bool:
-        """Note that a runner is gone; return whether the sample has to be drawn anew."""
+        """Remove a runner; return whether the sample has changed and must be selected again."""
         self._others.pop(runner, None)
         self._on_demand.pop(runner, None)
         return self._update_mask()
 
     def follow_on_demand(self, runner: str) -> str:
-        """Follow a runner on demand; return the one given up for it, or an empty string."""
+        """Follow a runner on demand; return the runner evicted for it, or an empty string."""
         self._on_demand.pop(runner, None)
         self._on_demand[runner] = None
         if len(self._on_demand) <= self._on_demand_limit:
@@ -54,7 +55,7 @@
         return oldest
 
     def follows(self, runner: str, zone: str, owned: bool) -> bool:
-        """Tell whether a runner is to be followed."""
+        """Return whether a runner is to be followed."""
         if owned or zone == self._zone or runner in self._on_demand:
             return True
         return self._hash(runner) & self._mask == 0
--- a/src/rainsail/gateway/http_api.py
+++ b/src/rainsail/gateway/http_api.py
@@ -1,4 +1,4 @@
-"""The caller API: OpenAI-compatible HTTP above the gateway's core and the job intake."""
+"""The caller API: an OpenAI-compatible HTTP API on the gateway's core and the job intake."""
 
 from collections.abc import Callable
 from typing import Any
@@ -24,7 +24,7 @@
 
 _STEP = "caller_api.route"
 _FORM_ENVELOPE_BYTES = 64 * 1024
-"""Room for the boundaries and headers of a form around an uploaded file."""
+"""Allowance for the multipart boundaries and headers around an uploaded file."""
 
 _STATUS_CODES = {
     404: FaultCode.NOT_FOUND,
@@ -33,7 +33,7 @@
 
 
 class CallerApi:
-    """Serves callers; ``site()`` is what a port listens with, as it bounds the bodies."""
+    """The caller API. Listen with ``site()``, which limits the size of request bodies."""
 
     def __init__(
         self,
@@ -54,22 +54,22 @@
     def add_explain_routes(
         self, gateway: str, decisions: DecisionReader, operator_key_hashes: tuple[str, ...]
     ) -> None:
-        """Serve explanations of routing decisions as well."""
+        """Add the route that explains routing decisions."""
         routes = ExplainRoutes(gateway, decisions, self.authenticator, operator_key_hashes)
         routes.add_to(self.app)
 
     def site(self) -> Site:
-        """Return the web site of the API."""
+        """Return the Twisted site of the API."""
         max_body_bytes = self._settings.max_file_bytes + _FORM_ENVELOPE_BYTES
         return make_site(self.app.resource(), max_body_bytes)
 
     def listen(self, reactor: Any, host: str, port: int) -> Any:
-        """Listen on an address; return Twisted's port."""
+        """Listen on an address; return Twisted's listening port."""
         return reactor.listenTCP(port, self.site(), interface=host)
 
 
 def _no_route(request: Any, failure: Failure) -> bytes:
-    """Answer a path or method that is not served; klein finishes such a request itself."""
+    """Answer an unknown path or method; klein finishes such a request itself."""
     error: Any = failure.value
     code = _STATUS_CODES.get(error.code, FaultCode.INVALID)
     fault = Fault(code, _STEP, f"{error.code} {error.name}")
@@ -81,7 +81,7 @@
 
 
 def _failed(request: Any, failure: Failure) -> None:
-    """Answer an error that nobody expected; whether something ran is not known."""
+    """Answer an unexpected error; for an untyped one the outcome is UNKNOWN."""
     if isinstance(failure.value, RainsailError):
         write_fault(request, failure.value.fault)
         return
--- a/src/rainsail/gateway/liveness_monitor.py
+++ b/src/rainsail/gateway/liveness_monitor.py
@@ -1,6 +1,7 @@
-"""Looks for runners that send no load reports any more.
+"""Detects runners whose load reports have stopped.
 
-It marks them in the index; what follows is decided in ``runner_state`` and ``eligibility``.
+It marks them as silent in the index; ``runner_state`` and ``eligibility`` exclude them from new
+work.
 """
 
 from rainsail.gateway.eligibility import EligibleCache
@@ -10,14 +11,14 @@
 from rainsail.gateway.settings import FleetSettings
 
 PAUSE_AFTER_PERIODS = 2.0
-"""A look that is this many periods after the one before was late: the process has paused.
+"""Watch periods between two checks above which the process counts as having been paused.
 
-Not measured; chosen so that a look that is a little late does not count as a pause.
+A check that is only slightly late does not count as a pause.
 """
 
 
 class LivenessMonitor:
-    """Marks runners as silent; a pause of this process is not counted as their silence."""
+    """Marks runners as silent; a pause of this process does not count as their silence."""
 
     def __init__(
         self,
@@ -35,17 +36,17 @@
         self._checked_s = 0.0
 
     def start(self, now_s: float) -> None:
-        """Count pauses of this process from now on."""
+        """Begin to measure pauses of this process."""
         self._checked_s = now_s
 
     def pause_since_last_check_s(self, now_s: float) -> float:
-        """Return for how many seconds the process has paused (0 or less: not at all)."""
+        """Return the seconds for which the process was paused; 0 or less means not at all."""
         pause_s = now_s - self._checked_s - PAUSE_AFTER_PERIODS * self._settings.watch_period_s
         self._checked_s = now_s
         return pause_s
 
     def check(self, now_s: float, pause_s: float) -> None:
-        """Look at every runner; subscribe again to the engines of silent ones."""
+        """Check every runner; renew the subscriptions to the engines of silent ones."""
         for state in self._runners.all():
             if pause_s > 0.0:
                 state.discount_pause(pause_s, now_s)
--- a/src/rainsail/gateway/metering.py
+++ b/src/rainsail/gateway/metering.py
@@ -1,4 +1,4 @@
-"""Counts and times the requests of a gateway for its metrics, without changing them."""
+"""Request metrics of a gateway: counts and latencies."""
 
 from prometheus_client import Counter, Histogram
 
@@ -18,7 +18,7 @@
 
 
 class RequestMeter:
-    """The metrics of one gateway's requests."""
+    """Records the request metrics of one gateway."""
 
     def __init__(self, gateway: str, metrics: Metrics) -> None:
         self._gateway = gateway
@@ -37,16 +37,16 @@
         self._ends.labels(self._gateway, class_, outcome.value, fault).inc()
 
     def observe_first_part(self, class_: str, seconds: float) -> None:
-        """Note how long the first part took."""
+        """Observe the seconds to the first part of an answer."""
         self._first_part.labels(self._gateway, class_).observe(seconds)
 
     def observe_answer(self, class_: str, seconds: float) -> None:
-        """Note how long a whole answer took."""
+        """Observe the seconds to the end of a complete answer."""
         self._answer.labels(self._gateway, class_).observe(seconds)
 
 
 class MeteredGateway:
-    """Hands requests on and meters their answers once a meter is set; a ``Gateway``."""
+    """A ``Gateway`` that wraps another one and records metrics once ``meter`` is set."""
 
     def __init__(self, core: Gateway, clock: Clock) -> None:
         self._core = core
@@ -54,7 +54,7 @@
         self.meter: RequestMeter | None = None
 
     def submit(self, request: CallerRequest, sink: ResponseSink) -> RequestHandle:
-        """Start a request."""
+        """Start a request at the wrapped gateway."""
         if self.meter is None:
             return self._core.submit(request, sink)
         class_ = "default" if request.class_ is None else request.class_.value
@@ -62,7 +62,7 @@
 
 
 class _MeteredSink:
-    """A ``ResponseSink`` that notes times on the way."""
+    """A ``ResponseSink`` that records metrics and passes everything on."""
 
     def __init__(self, sink: ResponseSink, class_: str, meter: RequestMeter, clock: Clock) -> None:
         self._sink = sink
--- a/src/rainsail/gateway/ownership.py
+++ b/src/rainsail/gateway/ownership.py
@@ -1,7 +1,7 @@
-"""Which gateway owns a runner: rendezvous hashing over the live gateways.
+"""Assigns runners to gateways by rendezvous hashing over the live gateways.
 
-Every gateway computes the same owner from the same configuration; when a gateway comes or
-goes, only its own runners change hands.
+Every gateway computes the same owner from the same configuration. When a gateway is added or
+removed, only the runners that it gains or loses change their owner.
 """
 
 from collections.abc import Iterable
@@ -26,21 +26,21 @@
     def of_zone(self, zone: str) -> list[str]:
         """Return the gateways that may own runners of ``zone``.
 
-        Gateways of the zone that are not draining; when there are none, those of all zones.
+        These are the zone's gateways that are not draining, or those of all zones if it has none.
         """
         return self._by_zone.get(zone) or self._all
 
     def serves(self, zone: str) -> bool:
-        """Tell whether a zone has gateways of its own."""
+        """Return whether a zone has live gateways of its own."""
         return zone in self._by_zone
 
     def zones(self) -> list[str]:
-        """Return the zones that have gateways, sorted."""
+        """Return the zones with live gateways, sorted."""
         return sorted(self._by_zone)
 
 
 def rendezvous_owner(item: str, candidates: Iterable[str]) -> str:
-    """Return the candidate with the highest hash for ``item`` (empty when there is none)."""
+    """Return the candidate with the highest hash for ``item``, or an empty string."""
     best = ""
     best_weight = -1
     for candidate in candidates:
@@ -51,21 +51,21 @@
 
 
 class Ownership:
-    """Which runners one gateway owns."""
+    """The runners that one gateway owns."""
 
     def __init__(self, gateway: str) -> None:
         self._gateway = gateway
         self.live = LiveGateways()
 
     def take(self, resources: Iterable[Resource]) -> LiveGateways:
-        """Take the Gateway resources as they are now; return the live ones."""
+        """Replace the known gateways by ``resources``; return the live ones."""
         self.live = LiveGateways(resources)
         return self.live
 
     def owns(self, runner: str, zone: str) -> bool:
-        """Tell whether the gateway owns a runner."""
+        """Return whether this gateway owns a runner."""
         return rendezvous_owner(runner, self.live.of_zone(zone)) == self._gateway
 
     def owns_elsewhere(self, runner: str, zone: str) -> bool:
-        """Tell whether it owns a runner because the runner's zone has no gateway."""
+        """Return whether it owns a runner because the runner's zone has no live gateway."""
         return not self.live.serves(zone) and self.owns(runner, zone)
--- a/src/rainsail/gateway/quota.py
+++ b/src/rainsail/gateway/quota.py
@@ -1,4 +1,4 @@
-"""The gateway's shares of the tenants' quotas, and the demand it reports for them."""
+"""Token buckets for the gateway's shares of the tenants' quotas, and demand reports."""
 
 from dataclasses import dataclass
 from random import Random
@@ -18,12 +18,12 @@
 from rainsail.tenancy.lender import minimum_share
 
 MIN_WEIGHT = 1e-6
-"""A tenant's weight in the fair queues is never below this."""
+"""Minimum weight of a tenant in the fair queues."""
 
 
 @dataclass(frozen=True, slots=True)
 class LentShare:
-    """Tokens per second and burst lent until ``valid_until_s`` (gateway clock)."""
+    """A quota share lent until ``valid_until_s`` (gateway clock); ``rate`` is in tokens/s."""
 
     rate: float
     burst: float
@@ -33,9 +33,9 @@
 class TenantQuotas:
     """One token bucket per tenant.
 
-    A gateway may always use its minimum share of each quota, and besides what control lends it
-    by demand. While control is away, lent shares run out and the minimum share is what is left;
-    minimum and lent shares of all gateways together never pass the quota.
+    A gateway may always use its minimum share of each quota, plus the share that control lends it
+    for its reported demand. While control is unreachable, lent shares expire and only the minimum
+    share remains. The minimum and lent shares of all gateways together never exceed the quota.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._on_shares: Any = None
 
     def start(self, on_shares: Any) -> None:
-        """Begin to report demand; ``on_shares`` is called when shares were lent."""
+        """Begin to report demand; ``on_shares`` is called when control has lent shares."""
         self._on_shares = on_shares
         self._config.on_event(self._on_event)
         self._count_gateways()
@@ -79,7 +79,7 @@
         self._gateways = len(self._config.list_resources(Kind.GATEWAY))
 
     def stop(self) -> None:
-        """Report no more."""
+        """Stop reporting demand."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -93,11 +93,15 @@
         return max(spec.weight, MIN_WEIGHT) if spec else 1.0
 
     def wait_s(self, tenant: str, tokens: float, ahead: float = 0.0) -> float:
-        """Return the seconds until a tenant's bucket covers ``tokens`` after ``ahead`` others."""
+        """Return the seconds until a tenant's bucket covers ``ahead`` plus ``tokens`` tokens."""
         return self._bucket(tenant).wait_s(tokens, self._clock.seconds(), ahead)
 
     def expected_wait_s(self, tenant: str, tokens: float, ahead: float) -> float:
-        """Return the wait to expect: a tenant without a lent share gets one with its demand."""
+        """Return the expected wait in seconds.
+
+        A tenant without a lent share gets one after the next demand report, so its wait is at most
+        two periods of urgent reports, unless control has not replied recently.
+        """
         wait_s = self.wait_s(tenant, tokens, ahead)
         now_s = self._clock.seconds()
         if wait_s <= 0.0 or self._lent_share(tenant, now_s) is not None:
@@ -107,19 +111,19 @@
         return min(wait_s, 2.0 * self._settings.urgent_report_s)
 
     def take(self, tenant: str, tokens: float) -> None:
-        """Charge a tenant."""
+        """Take ``tokens`` from a tenant's bucket."""
         self._bucket(tenant).take(tokens, self._clock.seconds())
         self._used[tenant] = self._used.get(tenant, 0.0) + tokens
 
     def give_back(self, tenant: str, tokens: float) -> None:
-        """Return tokens charged and not used."""
+        """Refund tokens that were taken and not used."""
         if tokens <= 0.0:
             return
         self._bucket(tenant).give_back(tokens)
         self._used[tenant] = max(0.0, self._used.get(tenant, 0.0) - tokens)
 
     def record_shortfall(self, tenant: str, tokens: float) -> None:
-        """Count tokens that could not be granted at once as demand, and report soon."""
+        """Count tokens that could not be granted at once as demand; schedule an urgent report."""
         self._shortfall[tenant] = self._shortfall.get(tenant, 0.0) + tokens
         due_s = self._last_report_s + self._settings.urgent_report_s
         self._schedule(max(0.0, due_s - self._clock.seconds()))
@@ -160,7 +164,7 @@
     # --- reports to control -------------------------------------------------------------------
 
     def _schedule(self, delay_s: float) -> None:
-        """Report after ``delay_s``, or earlier when that is due anyway."""
+        """Schedule a report after ``delay_s`` seconds; keep an earlier scheduled one."""
         if self._stopped or self._on_shares is None:
             return
         due_s = self._clock.seconds() + delay_s
@@ -190,7 +194,7 @@
         done.addCallback(self._take_shares, sent_s)
 
     def _take_shares(self, reply: Result[object, Fault], sent_s: float) -> None:
-        """Keep the shares lent; a reply that lends nothing leaves what is held to run out."""
+        """Store the lent shares. Without new shares, the present ones expire."""
         if reply.is_error() or not isinstance(reply.ok, QuotaShares):
             return
         self._last_reply_s = self._clock.seconds()
--- a/src/rainsail/gateway/refusals.py
+++ b/src/rainsail/gateway/refusals.py
@@ -1,12 +1,12 @@
-"""Refusals that several parts of a gateway give."""
+"""Faults with which several components of a gateway refuse a request."""
 
 from rainsail.errors import Fault, FaultCode
 
 NO_LEASE_RETRY_S = 1.0
-"""Seconds after which a refused caller may come back. Not measured."""
+"""Retry-after time of the refusal."""
 
 
 def lease_expired(step: str) -> Fault:
-    """Return the refusal of a gateway whose configuration lease has run out."""
-    detail = "this gateway is cut off from control; its configuration may be old"
+    """Return the fault for a request at a gateway whose configuration lease has expired."""
+    detail = "this gateway has lost contact with control; its configuration may be out of date"
     return Fault(FaultCode.UNAVAILABLE, step, detail, retry_after_s=NO_LEASE_RETRY_S)
--- a/src/rainsail/gateway/request.py
+++ b/src/rainsail/gateway/request.py
@@ -1,4 +1,4 @@
-"""The life of one caller's request as a state machine, and the truth of its outcome."""
+"""State machine of one caller's request, and the outcome of a failed request."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 
 class RequestStatus(StrEnum):
-    """Where a request stands."""
+    """Status of a request."""
 
     QUEUED = "queued"
     CLAIMING = "claiming"
@@ -20,7 +20,7 @@
 
 
 class RequestRecord:
-    """The status that the machine keeps; ``history`` is what it went through, for logs."""
+    """Current status of a request; ``history`` lists all statuses so far, for logs."""
 
     __slots__ = ("history", "status")
 
@@ -34,28 +34,28 @@
         return self.status is RequestStatus.ENDED
 
     def enter(self, status: RequestStatus) -> None:
-        """Note the new status."""
+        """Set the status and append it to the history."""
         self.status = status
         self.history.append(status)
 
 
 class RequestLifecycle(Protocol):
-    """The inputs of a request's machine; one that has no place in a state raises."""
+    """Inputs of the state machine; an input that is not allowed in the current state raises."""
 
     def claim(self) -> None:
-        """Admitted, non-repeatable: claim its id before anything is sent."""
+        """A non-repeatable request was admitted: claim its id before anything is sent."""
 
     def place(self) -> None:
-        """Look for a runner (the first, or the next after a failed attempt)."""
+        """Select a runner for the first attempt, or for the next one after a failure."""
 
     def run(self) -> None:
         """An attempt was sent."""
 
     def record(self) -> None:
-        """The answer is whole: record it before the caller hears the end."""
+        """The answer is complete: record it before the caller gets the end of it."""
 
     def end(self) -> None:
-        """The caller got its one final answer, or has left."""
+        """The caller got its final answer or fault, or has disconnected."""
 
 
 _builder = TypeMachineBuilder(RequestLifecycle, RequestRecord)
@@ -67,7 +67,7 @@
 _ended = _builder.state("ended")
 
 
-# Automat looks transitions up in the order of their declaration: the common path comes first.
+# Automat searches transitions in declaration order, so the most frequent ones come first.
 
 
 @_queued.upon(RequestLifecycle.place).to(_placing)
@@ -104,13 +104,13 @@
 
 
 new_lifecycle = _builder.build()
-"""Makes a request's machine over a ``RequestRecord``."""
+"""Creates the state machine of a request for a ``RequestRecord``."""
 
 
 def failure_outcome(attempts_that_may_have_run: int) -> Outcome:
-    """Return the truth about a request that ends without an answer.
+    """Return the outcome of a request that ends without an answer.
 
-    NOT_RUN only when no attempt was sent, or every engine that got one said that it did not
-    run it.
+    It is NOT_RUN only when no attempt was sent, or when every engine that received one refused it
+    as not run.
     """
     return Outcome.UNKNOWN if attempts_that_may_have_run else Outcome.NOT_RUN
--- a/src/rainsail/gateway/request_attempts.py
+++ b/src/rainsail/gateway/request_attempts.py
@@ -1,7 +1,7 @@
 """Places and sends the attempts of one caller's request, one at a time.
 
-It finds the runner (by routing, or the session's), and owns the attempt under way and the list of
-runners that have failed. ``RequestRun``, its owner, decides what follows an attempt.
+It selects the runner by routing, or by the session's placement. It owns the running attempt and
+the list of runners that have failed. Its owner, ``RequestRun``, decides what follows an attempt.
 """
 
 from typing import Protocol
@@ -28,31 +28,31 @@
 
 
 class RequestAttemptsOwner(Protocol):
-    """The request whose attempts these are."""
+    """The request that the attempts belong to."""
 
     @property
     def ended(self) -> bool:
-        """Whether the request has ended, so that nothing more is sent."""
+        """Whether the request has ended; no attempt is sent after that."""
         ...
 
     def on_sending(self) -> None:
-        """An attempt is about to be sent."""
+        """Called before an attempt is sent."""
         ...
 
     def on_not_placed(self, failure: Failure) -> None:
-        """No attempt can be sent now."""
+        """Called when no attempt can be sent now."""
         ...
 
     def on_answered_before(self, found: RecordedAnswer | Fault) -> None:
-        """The session's last turn has this request's id: its answer, or a conflict."""
+        """Called with the answer or a conflict when the last turn has this request's id."""
         ...
 
     def on_complete_answer(self, runner: str, end: EngineAttemptEnd) -> None:
-        """An attempt has brought the whole answer."""
+        """Called when an attempt has delivered the complete answer."""
         ...
 
     def on_failed_attempt(self, runner: str, end: EngineAttemptEnd) -> None:
-        """An attempt has ended without the whole answer."""
+        """Called when an attempt has ended without the complete answer."""
         ...
 
 
@@ -75,7 +75,7 @@
         self.current = CurrentAttempt(context)
 
     def place(self, turn: SessionTurn | None) -> None:
-        """Find a runner and send the next attempt to it; ``turn`` is None outside sessions."""
+        """Select a runner and send the next attempt to it; ``turn`` is None outside sessions."""
         if self._owner.ended:
             return
         if not self._context.config.lease_valid():
@@ -93,7 +93,7 @@
         if decision.runner:
             self._send(decision.runner, self._caller.prompt, 0)
             return
-        detail = "no runner takes this request now"
+        detail = "no runner accepts this request now"
         self._owner.on_not_placed(Failure(FaultCode.UNAVAILABLE, detail))
 
     def _session_placed(self, reply: Result[SessionPlace, Fault]) -> None:
@@ -115,20 +115,20 @@
     def _send(self, runner: str, prompt: str, fence: int) -> None:
         attempt = self._sender.prepare(self, runner, prompt, fence, self._delivery.text)
         if attempt is None:
-            failure = Failure(FaultCode.UNAVAILABLE, "the runner is gone", runner)
+            failure = Failure(FaultCode.UNAVAILABLE, "the runner no longer exists", runner)
             self._owner.on_not_placed(failure)
             return
         self._owner.on_sending()
         self.current.start(attempt)
 
     def on_part(self, text: str, tokens: int) -> None:
-        """Pass the next part on to the caller (called for every chunk)."""
+        """Deliver the next part to the caller. On the hot path: called for every chunk."""
         self._delivery.add(text, tokens)
 
     def on_attempt_ended(
         self, attempt: EngineAttempt, result: AttemptResult, end: EngineAttemptEnd
     ) -> None:
-        """Count the attempt's end and pass it on, unless another attempt has replaced it."""
+        """Record the attempt's end and report it, unless the attempt was replaced."""
         if not self.current.is_current(attempt):
             return
         self.current.end(attempt, result, end)
--- a/src/rainsail/gateway/request_decisions.py
+++ b/src/rainsail/gateway/request_decisions.py
@@ -1,7 +1,6 @@
-"""What follows each event of one caller's request. Pure.
+"""Decisions about one caller's request, as pure functions.
 
-``RequestRun`` asks and acts; whether a failed attempt is followed by another is decided in
-``gateway.retry``.
+``RequestRun`` calls them and acts on the results. Retries are decided in ``gateway.retry``.
 """
 
 from dataclasses import dataclass
@@ -19,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """An earlier send of the same request has recorded this whole answer."""
+    """The complete answer that an earlier submission of the same request has recorded."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request can't be answered; ``retry_after_s`` is in seconds, None: not known."""
+    """Why a request can't be answered; ``retry_after_s`` is None when it is unknown."""
 
     code: FaultCode
     detail: str
@@ -35,44 +34,45 @@
 
 
 class AfterAbandon(StrEnum):
-    """What becomes of a request whose caller has left."""
+    """What to do with a request whose caller has disconnected."""
 
-    FINISH_RECORDING = "the whole answer is recorded to its end"
-    FINISH_ATTEMPT = "the attempt runs on, so that its answer is recorded"
+    FINISH_RECORDING = "the recording of the complete answer finishes"
+    FINISH_ATTEMPT = "the attempt continues, so that its answer is recorded"
     CANCEL = "the attempt is cancelled at its engine"
 
 
 def decide_after_claim(claim: ClaimResult) -> RecordedAnswer | Fault | None:
-    """Decide what the reply to a claim means; None: the claim is granted, the request goes on."""
+    """Interpret the reply to a claim; None means that it is granted and the request continues."""
     if claim.granted:
         return None
     if claim.outcome == Outcome.COMPLETED:
         return RecordedAnswer(claim.response)
-    detail = f"an earlier request with this id went through {claim.gateway}"
+    detail = f"this request id was already claimed by {claim.gateway}"
     return Fault(FaultCode.CONFLICT, STEP, detail, outcome=Outcome.UNKNOWN)
 
 
 def decide_after_last_turn(
     last_turn: Turn | None, caller: CallerRequest
 ) -> RecordedAnswer | Fault | None:
-    """Compare a session's last turn with the request; None: the request is a new turn.
+    """Compare a session's last turn with the request; None means that the request is a new turn.
 
-    A turn that was recorded and is sent again gets its answer; other content is a conflict.
+    A recorded turn that is sent again gets its recorded answer. A different prompt under the same
+    request id is a conflict.
     """
     if last_turn is None or last_turn.request_id != caller.request_id:
         return None
     if last_turn.prompt == caller.prompt:
         return RecordedAnswer(last_turn.answer)
-    return Fault(FaultCode.CONFLICT, STEP, "the session has another turn under this request id")
+    return Fault(FaultCode.CONFLICT, STEP, "the session has a different turn with this request id")
 
 
 def decide_after_abandon(
     status: request_machine.RequestStatus, repeatable: bool, attempts_that_may_have_run: int
 ) -> AfterAbandon:
-    """Decide what becomes of a request whose caller has left.
+    """Decide what to do with a request whose caller has disconnected.
 
-    A non-repeatable request that was sent runs on, so that the caller's next question with the
-    same id gets the recorded answer; so does the recording of a whole answer.
+    A non-repeatable request that was sent continues, so that the caller gets the recorded answer
+    when it submits the same id again. For the same reason a recording in progress finishes.
     """
     if status is request_machine.RequestStatus.RECORDING:
         return AfterAbandon.FINISH_RECORDING
@@ -82,7 +82,7 @@
 
 
 def last_attempt_failure(end: EngineAttemptEnd, runner: str, reason: RetryReason) -> Failure:
-    """Return why a request fails whose last attempt failed and is not followed by another."""
+    """Return the failure of a request whose last attempt failed and is not retried."""
     late = reason == RetryReason.DEADLINE
     code = FaultCode.TIMEOUT if late else FaultCode.UNAVAILABLE
     detail = f"{end.reason}: {end.detail}; {reason}"
@@ -92,12 +92,12 @@
 def failure_fault(
     failure: Failure, attempts_that_may_have_run: int, default_retry_s: float
 ) -> Fault:
-    """Return the fault for the caller: whether anything may have run, and when to come back."""
+    """Return the fault for the caller, with the outcome and the time to retry after."""
     outcome = request_machine.failure_outcome(attempts_that_may_have_run)
     retry_s = failure.retry_after_s or default_retry_s
     return Fault(failure.code, STEP, failure.detail, failure.peer, outcome, retry_s)
 
 
 def recording_fault(cause: Fault) -> Fault:
-    """Return the fault for a caller whose whole answer could not be recorded."""
+    """Return the fault for a caller whose complete answer could not be recorded."""
     return Fault(cause.code, STEP, cause.detail, cause.peer, Outcome.UNKNOWN)
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -1,8 +1,8 @@
-"""One caller's request from admission to its one final answer.
+"""One caller's request from admission to its final answer or fault.
 
-``RequestRun`` drives the request's state machine. What to do is decided in ``request_decisions``
-and ``retry``; ``request_attempts`` places and sends, ``answer_recorder`` records, and
-``answer_delivery`` passes the answer on.
+``RequestRun`` drives the request's state machine. Its decisions are functions of
+``request_decisions`` and ``retry``. ``request_attempts`` places and sends attempts,
+``answer_recorder`` records the answer, and ``answer_delivery`` passes it to the caller.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class RequestRun:
-    """Runs one request: ``RequestHandle`` for its caller, ``RequestAttemptsOwner``."""
+    """Runs one request; implements ``RequestHandle`` and ``RequestAttemptsOwner``."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the caller has its final answer, or has left."""
+        """Whether the caller has its final answer or fault, or has disconnected."""
         return self.record.ended
 
     def _make_ticket(self) -> Ticket:
@@ -80,10 +80,10 @@
             on_refused=self._fail,
         )
 
-    # --- the way to the first attempt -----------------------------------------------------------
+    # --- admission and claim --------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start: a session's turn waits for the one before, then admission decides."""
+        """Start the request: a session's turn waits for earlier turns, then admission decides."""
         self._context.budget(self.caller.model).request_started()
         if self.caller.deadline_s > 0:
             self._later(self.caller.deadline_s, self._deadline_passed)
@@ -128,10 +128,10 @@
     def _place(self) -> None:
         self._attempts.place(self._turn)
 
-    # --- what comes of the attempts ---------------------------------------------------------------
+    # --- results of attempts ----------------------------------------------------------------------
 
     def on_answered_before(self, found: RecordedAnswer | Fault) -> None:
-        """Answer with what an earlier send of this request has recorded, or with the conflict."""
+        """Answer with the recorded answer of an earlier submission, or fail with a conflict."""
         if isinstance(found, Fault):
             self._fail(found)
             return
@@ -141,22 +141,22 @@
         self._answer("stop", "")
 
     def on_sending(self) -> None:
-        """Note that an attempt is sent."""
+        """Enter the running state: an attempt is sent."""
         self._lifecycle.run()
 
     def on_not_placed(self, failure: Failure) -> None:
-        """Fail: no attempt can be sent now."""
+        """Fail the request because no attempt can be sent now."""
         self._give_up(failure)
 
     def on_complete_answer(self, runner: str, end: EngineAttemptEnd) -> None:
-        """Record the answer before the caller hears its end."""
+        """Record the answer before the caller gets the end of it."""
         self._delivery.prompt_tokens = end.prompt_tokens or self._delivery.prompt_tokens
         self._lifecycle.record()
         done = self._recorder.record(self._turn, self._delivery.text)
         done.addCallback(self._recorded, end.reason.value, runner)
 
     def on_failed_attempt(self, runner: str, end: EngineAttemptEnd) -> None:
-        """Send another attempt after a delay, or fail."""
+        """Retry after a delay, or fail the request."""
         retry = self._sender.decide_retry(self.repeatable)
         if not retry.again:
             self._give_up(decisions.last_attempt_failure(end, runner, retry.reason))
@@ -179,7 +179,7 @@
         self._delivery.answer(finish_reason, runner)
 
     def _give_up(self, failure: Failure) -> None:
-        """End at once; the fault says whether anything may have run and when to come back."""
+        """Fail at once; the fault states whether anything may have run and when to retry."""
         default_retry_s = self._context.settings.retry.max_delay_s
         fault = decisions.failure_fault(failure, self.attempt.may_have_run, default_retry_s)
         self._fail(fault)
@@ -207,7 +207,7 @@
         self._on_ended(self)
 
     def _deadline_passed(self) -> None:
-        """Answer at once; an answer that is being recorded is recorded to its end all the same."""
+        """Fail the request at once; recording that is in progress still finishes."""
         detail = "the deadline has passed"
         if self.record.status is request_machine.RequestStatus.RECORDING:
             fault = Fault(FaultCode.TIMEOUT, STEP, detail, outcome=Outcome.UNKNOWN)
@@ -216,7 +216,7 @@
         self._give_up(Failure(FaultCode.TIMEOUT, detail))
 
     def abort(self, detail: str) -> None:
-        """End the request because the gateway stops and the grace time has passed."""
+        """Fail the request because the gateway is stopping and the grace time has passed."""
         self._give_up(Failure(FaultCode.UNAVAILABLE, detail))
 
     def _later(self, delay_s: float, call: Callable[[], None]) -> None:
@@ -225,7 +225,7 @@
     # --- the caller's handle ----------------------------------------------------------------------
 
     def abandon(self) -> None:
-        """Tell the sink nothing more, as the caller has left; cancel what need not be finished."""
+        """Stop delivering to the disconnected caller; cancel the request unless it must finish."""
         if self.ended:
             return
         self._delivery.detach_caller()
@@ -235,12 +235,12 @@
         if next_step is AfterAbandon.FINISH_ATTEMPT:
             self.unpause()
         elif next_step is AfterAbandon.CANCEL:
-            self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller has left"))
+            self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller disconnected"))
 
     def pause(self) -> None:
-        """Stop reading from the engine."""
+        """Stop reading from the engine, as back-pressure."""
         self.attempt.pause()
 
     def unpause(self) -> None:
-        """Read from the engine again."""
+        """Resume reading from the engine."""
         self.attempt.unpause()
--- a/src/rainsail/gateway/retry.py
+++ b/src/rainsail/gateway/retry.py
@@ -1,11 +1,11 @@
-"""Whether a failed attempt is followed by another: pure decisions and the retry budget.
+"""Retry decisions and the retry budget.
 
-Only the gateway retries, never a second layer. Work is sent again when it is repeatable, or
-when it is certain that nothing of it was ever sent; a budget per destination (a service's
-runners) keeps retries from multiplying an overload; the caller's deadline is carried along.
+The gateway is the only layer that retries. It retries a request that is repeatable, or one of
+which certainly nothing was sent. A retry budget per service keeps retries from amplifying an
+overload. A retry never starts after the caller's deadline.
 
-``relay.continuation`` decides for relayed requests: their runners answer in HTTP statuses and can't
-say for certain what they did not run, so the route says what may be repeated.
+``relay.continuation`` decides for relayed requests: their runners answer with HTTP statuses, which
+can't prove that a request did not run, so the route configuration says what may be repeated.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,10 @@
 
 
 class RetryBudget:
-    """Each request pays in a fraction of a retry; a trickle is allowed at all times."""
+    """Token bucket of retries.
+
+    Each request adds ``budget_ratio`` of a retry; ``budget_min_per_s`` is added at all times.
+    """
 
     def __init__(self, settings: RetrySettings, now_s: float) -> None:
         self._settings = settings
@@ -25,15 +28,15 @@
 
     @property
     def saved(self) -> float:
-        """Retries saved up when the budget was last used."""
+        """Retries available when the budget was last updated."""
         return self._saved
 
     def request_started(self) -> None:
-        """Pay in for one request."""
+        """Add the share of one request to the budget."""
         self._add(self._settings.budget_ratio)
 
     def take(self, now_s: float) -> bool:
-        """Take one retry; False when the budget is used up."""
+        """Take one retry from the budget; return False when the budget is used up."""
         self._add(max(0.0, now_s - self._updated_s) * self._settings.budget_min_per_s)
         self._updated_s = now_s
         if self._saved < 1.0:
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """What a retry decision looks at. ``sent`` is whether a byte may have reached an engine."""
+    """Input of a retry decision. ``sent``: whether any byte may have reached an engine."""
 
     repeatable: bool
     sent: bool
@@ -57,18 +60,18 @@
 
 
 class RetryReason(StrEnum):
-    """Why another attempt follows or not."""
+    """Reason of a retry decision; part of the fault's detail."""
 
-    AGAIN = "another attempt follows"
-    NOT_REPEATABLE = "the request may not be repeated"
-    ATTEMPTS = "as many attempts failed as are allowed"
-    DEADLINE = "the deadline leaves no time for another attempt"
+    AGAIN = "the request is retried"
+    NOT_REPEATABLE = "the request is not repeatable"
+    ATTEMPTS = "the maximum number of attempts has failed"
+    DEADLINE = "the deadline leaves no time for a retry"
     BUDGET = "the retry budget is used up"
 
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Whether to try again after ``delay_s``, and why."""
+    """Whether to retry after ``delay_s`` seconds, and why."""
 
     again: bool
     delay_s: float
@@ -76,12 +79,12 @@
 
 
 def may_send_again(repeatable: bool, sent: bool) -> bool:
-    """Tell whether work may be sent (again) without the risk of running it twice."""
+    """Return whether a request may be sent again without violating at-most-once execution."""
     return repeatable or not sent
 
 
 def backoff_s(attempts: int, random: Random, settings: RetrySettings) -> float:
-    """Return a jittered delay before the attempt that follows ``attempts`` others."""
+    """Return the jittered exponential backoff in seconds after ``attempts`` attempts."""
     mean_s = settings.base_delay_s * 2.0 ** max(0, attempts - 1)
     return min(mean_s, settings.max_delay_s) * (0.5 + random.random())
 
@@ -89,7 +92,7 @@
 def decide_retry(
     failed: FailedAttempt, budget: RetryBudget, random: Random, settings: RetrySettings
 ) -> RetryDecision:
-    """Decide whether another attempt follows a failed one."""
+    """Decide whether to retry after a failed attempt."""
     if not may_send_again(failed.repeatable, failed.sent):
         return RetryDecision(False, 0.0, RetryReason.NOT_REPEATABLE)
     if failed.attempts >= settings.max_attempts:
--- a/src/rainsail/gateway/router.py
+++ b/src/rainsail/gateway/router.py
@@ -1,11 +1,14 @@
-"""Choosing a runner: two random choices weighed by prefix-cache match, then by load.
+"""Runner selection by weighted power of two choices.
 
-Pure: states, time and generator are handed in. Runners of the own zone come first; a runner of
-another zone is taken when its score is lower by more than the price of crossing zones. Scores
-are in prompt tokens to prefill; lower is better.
+Draws two candidates per zone group at random, favouring runners that have a prefix of the prompt
+cached, and takes the one with the lowest score. A score is a cost in prompt tokens to prefill; it
+combines load, KV memory use and the cached prefix. Runners of other zones get a surcharge, so one
+of them is chosen only when it is cheaper by more than the cost of crossing zones.
 
-``routing.choice`` chooses for relayed requests by other costs: relayed runners report neither their
-cache nor their memory, so there both are guessed.
+The functions are pure: runner states, the time and the random generator are parameters.
+
+``routing.choice`` selects runners for relayed requests by other costs, because relayed runners do
+not report their cache and memory; both are estimated there.
 """
 
 from collections.abc import Sequence
@@ -19,12 +22,12 @@
 from rainsail.gateway.settings import RoutingSettings
 
 MAX_SECOND_DRAWS = 8
-"""Draws for a second, different candidate before any other is taken. Not measured."""
+"""Weighted draws for a second, different candidate before one is drawn uniformly."""
 
 
 @dataclass(frozen=True, slots=True)
 class CandidateScore:
-    """One runner that was weighed; ``score`` is in tokens, lower is better."""
+    """A candidate runner and its score; ``score`` is a cost in tokens, lower is better."""
 
     runner: str
     zone: str
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteDecision:
-    """What was decided for one attempt and why; ``runner`` empty means that none was usable."""
+    """The routing decision for one attempt; ``runner`` is empty when no runner was usable."""
 
     request_id: str
     attempt: int
@@ -56,7 +59,7 @@
     now_s: float,
     settings: RoutingSettings,
 ) -> CandidateScore:
-    """Return a runner's score for a prompt with these prefix blocks."""
+    """Return a runner's score for a prompt with the given prefix blocks."""
     matched = state.cache.matched_blocks(blocks) * BLOCK_TOKENS
     worth = settings.stale_cache_weight if state.cache.stale else 1.0
     foreign = state.foreign_online(now_s)
@@ -84,12 +87,12 @@
 
 
 def estimated_load(state: ObservedRunner, now_s: float) -> float:
-    """Return the online requests on a runner: own ones and the guess of others'."""
+    """Return the estimated online requests on a runner: own ones plus those of other gateways."""
     return online_load(state.online_running, state.foreign_online(now_s))
 
 
 def is_full(state: ObservedRunner, now_s: float, settings: RoutingSettings) -> bool:
-    """Tell whether one more request would wait at this runner."""
+    """Return whether one more request would have to queue at this runner."""
     slots = state.spec.batch_slots * settings.slots_per_runner
     return estimated_load(state, now_s) + 1.0 > slots
 
@@ -101,7 +104,7 @@
     random: Random,
     settings: RoutingSettings,
 ) -> Sequence[ObservedRunner]:
-    """Draw two runners; when both are full, the least loaded of all joins them."""
+    """Draw two runners; when both are full, add the least loaded of all runners."""
     drawn = draw_two(states, blocks, random, settings)
     if len(drawn) == len(states) or not all(is_full(each, now_s, settings) for each in drawn):
         return drawn
@@ -115,7 +118,7 @@
     random: Random,
     settings: RoutingSettings,
 ) -> Sequence[ObservedRunner]:
-    """Draw up to two different runners, those with cached prefix blocks more often."""
+    """Draw up to two different runners, weighted towards those with cached prefix blocks."""
     if len(states) <= 2:
         return states
     extras = _extra_weights(states, blocks, settings)
@@ -131,7 +134,7 @@
 def _extra_weights(
     states: Sequence[ObservedRunner], blocks: tuple[int, ...], settings: RoutingSettings
 ) -> list[tuple[ObservedRunner, float]]:
-    """Return the runners that have some of the blocks, with their weight beyond 1."""
+    """Return the runners that cache the first block, each with its weight above the base of 1."""
     if not blocks:
         return []
     first = blocks[0]
@@ -150,7 +153,7 @@
 def _draw(
     states: Sequence[ObservedRunner], extras: Sequence[tuple[ObservedRunner, float]], random: Random
 ) -> ObservedRunner:
-    """Draw one runner: each has weight 1, those in ``extras`` as much more."""
+    """Draw one runner; each has weight 1 plus its weight in ``extras``, if any."""
     total = len(states) + sum(weight for _, weight in extras)
     drawn = random.random() * total
     if drawn < len(states):
@@ -173,7 +176,7 @@
     random: Random,
     settings: RoutingSettings,
 ) -> RouteDecision:
-    """Choose among eligible runners and return the decision with its candidates."""
+    """Choose one of the eligible runners; the decision lists the scored candidates."""
     drawn = [
         *draw_candidates(runners.local, blocks, now_s, random, settings),
         *draw_candidates(runners.remote, blocks, now_s, random, settings),
--- a/src/rainsail/gateway/run_context.py
+++ b/src/rainsail/gateway/run_context.py
@@ -1,4 +1,4 @@
-"""What every request of a gateway works with."""
+"""Shared components of a gateway that each of its requests uses."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class RunContext:
-    """The gateway's parts as its requests see them, and the count of attempts."""
+    """The gateway's components as its requests see them, and the counter for run ids."""
 
     gateway: str
     incarnation: str
@@ -38,7 +38,7 @@
     counter: int = 0
 
     def next_id(self) -> str:
-        """Return an id unique over all gateways and their restarts."""
+        """Return an id that is unique across all gateways and their restarts."""
         self.counter += 1
         return f"{self.gateway}/{self.incarnation}/{self.counter}"
 
--- a/src/rainsail/gateway/runner_index.py
+++ b/src/rainsail/gateway/runner_index.py
@@ -1,4 +1,4 @@
-"""The runners that a gateway follows, by name and by service."""
+"""Index of the runners that a gateway follows, by name and by service."""
 
 from bisect import insort
 
@@ -7,18 +7,18 @@
 
 
 class RunnerIndex:
-    """Keeps states in name order per service."""
+    """Runner states by name, and per service in name order."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, ObservedRunner] = {}
         self._by_service: dict[str, list[ObservedRunner]] = {}
 
     def get(self, name: str) -> ObservedRunner | None:
-        """Return a runner's state."""
+        """Return a runner's state, or None."""
         return self._by_name.get(name)
 
     def all(self) -> list[ObservedRunner]:
-        """Return every state in name order."""
+        """Return all states in name order."""
         return [self._by_name[name] for name in sorted(self._by_name)]
 
     def of_service(self, service: str) -> list[ObservedRunner]:
@@ -31,7 +31,7 @@
         insort(self._by_service.setdefault(state.spec.service, []), state, key=_name)
 
     def update(self, state: ObservedRunner, resource: Resource) -> None:
-        """Give a state its resource's new version, also one that names another service."""
+        """Apply a new version of a runner's resource; its service may have changed."""
         service = state.spec.service
         state.update_resource(resource)
         if state.spec.service != service:
@@ -39,7 +39,7 @@
             insort(self._by_service.setdefault(state.spec.service, []), state, key=_name)
 
     def remove(self, name: str) -> None:
-        """Forget a state, if there is one."""
+        """Remove a state if it exists."""
         state = self._by_name.pop(name, None)
         if state is not None:
             self._by_service[state.spec.service].remove(state)
--- a/src/rainsail/gateway/runner_reconciler.py
+++ b/src/rainsail/gateway/runner_reconciler.py
@@ -1,4 +1,7 @@
-"""Sends fenced orders to the runners that this gateway owns and reports their status."""
+"""Reconciles the runners that this gateway owns.
+
+Sends fenced orders that bring an engine to its wanted state, and writes the observed status.
+"""
 
 from dataclasses import dataclass, replace
 from random import Random
@@ -32,9 +35,9 @@
     adapters: tuple[str, ...],
     weight_bytes: dict[str, int],
 ) -> tuple[EngineOrder, ...]:
-    """Return the orders that bring an engine to what its status wants. Pure.
+    """Return the orders that bring an engine to the state wanted by its runner's status. Pure.
 
-    Nothing is unloaded here: a version is replaced by the engine when the next has loaded.
+    There is no order to unload a version: the engine replaces it when the next one is loaded.
     """
     fence = status.fence
     wanted = status.loading_version
@@ -53,9 +56,10 @@
 
 
 def observed_status(state: ObservedRunner, silent: bool) -> RunnerStatus:
-    """Return the status that an owner reports for a runner, from the engine's own report.
+    """Return the status that an owner writes for a runner, from the engine's load report.
 
-    What is wanted (``loading_version``, ``adapters``, ``fence``) is the placement's and stays.
+    The wanted fields (``loading_version``, ``adapters``, ``fence``) belong to the placement
+    controller and are unchanged.
     """
     report = state.report
     if silent:
@@ -67,7 +71,7 @@
 
 
 def role_order(state: ObservedRunner) -> EngineOrder:
-    """Return the order that sets the role which the spec asks for."""
+    """Return the order that sets the role of the runner's spec."""
     return EngineOrder(state.status.fence, OrderKind.SET_ROLE, state.spec.role.value)
 
 
@@ -79,7 +83,7 @@
 
 
 class RunnerReconciler:
-    """Looks at each owned runner now and then, and when it changes."""
+    """Reconciles each owned runner periodically and when it changes."""
 
     def __init__(
         self,
@@ -104,11 +108,11 @@
         fleet.on_change(self._on_runner_changed)
 
     def start(self) -> None:
-        """Begin to look at owned runners."""
+        """Begin to reconcile owned runners."""
         self._reconcile_all()
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending orders and writing statuses."""
         self._stopped = True
 
     def _reconcile_all(self) -> None:
@@ -149,7 +153,7 @@
         self._send_role(state, report.incarnation, now_s)
 
     def _send_role(self, state: ObservedRunner, incarnation: str, now_s: float) -> None:
-        """Order the role again only to a restarted engine: load reports do not name it."""
+        """Send an unchanged role again only to a restarted engine; load reports do not name it."""
         key = (state.name, OrderKind.SET_ROLE.value)
         if state.spec.role == RunnerRole.MIXED and key not in self._sent:
             return
@@ -178,7 +182,7 @@
         done.addCallback(self._ordered, key)
 
     def _ordered(self, reply: Result[OrderReply, Fault], key: tuple[str, str]) -> None:
-        """Leave the effect to the next load report; an order that was lost is sent again."""
+        """Forget a failed order so that it is sent again; the next load report shows the effect."""
         if reply.is_error() and reply.error.code != FaultCode.FENCED:
             self._sent.pop(key, None)
 
@@ -211,6 +215,6 @@
         done.addCallback(self._written, state.name)
 
     def _written(self, reply: Result[CommandOutcome, Fault], runner: str) -> None:
-        """After a fault the next look writes again, with the revision read by then."""
+        """After a fault, let the next reconciliation write again with the revision read by then."""
         if reply.is_error():
             self._writing.pop(runner, None)
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -1,4 +1,4 @@
-"""All that a gateway knows of one runner, and whether it takes new work."""
+"""State of one runner as a gateway sees it, and whether it accepts new work."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 from rainsail.resources.specs import Resource, RunnerSpec, RunnerStatus
 
 ENDED_HISTORY_S = 5.0
-"""Seconds that ended attempts are remembered, to compare a lagged report with.
+"""Seconds for which ended attempts are remembered to interpret lagged load reports.
 
-Not measured; longer than ``report_timeout_s``, after which a runner counts as silent anyway.
+Longer than ``report_timeout_s``, after which a runner counts as silent.
 """
 
 
 class LeavingReason(StrEnum):
-    """Why a runner gets no new work for good (until its resource or engine says otherwise)."""
+    """Why a runner gets no new work until its resource or engine takes that back."""
 
     RESOURCE = "resource"
     ENGINE = "engine"
@@ -29,19 +29,19 @@
 
 @dataclass(slots=True)
 class OwnAttempt:
-    """One attempt of this gateway on a runner."""
+    """A running attempt of this gateway on a runner."""
 
     batch: bool
     started_s: float
 
 
 def is_marked_draining(resource: Resource) -> bool:
-    """Tell whether control marked the runner as draining (its machine is leaving)."""
+    """Return whether control marked the runner as draining, because its machine is leaving."""
     return any(each.type == DRAINING and each.value for each in resource.conditions)
 
 
 class ObservedRunner:
-    """One runner as this gateway sees it; only ``RunnerFleet`` and its parts change it."""
+    """One runner as this gateway sees it. Modified only by ``RunnerFleet`` and its components."""
 
     def __init__(self, resource: Resource, now_s: float, settings: FleetSettings) -> None:
         self.name = resource.key.name
@@ -64,10 +64,10 @@
         self._ended: deque[tuple[float, float]] = deque()
         self.update_resource(resource)
 
-    # --- what the runner is told to be -----------------------------------------------------
+    # --- the runner's resource -------------------------------------------------------------
 
     def update_resource(self, resource: Resource) -> None:
-        """Take a new version of the resource; a changed spec has the last word on leaving."""
+        """Apply a new version of the resource; a changed spec overrides earlier leaving reasons."""
         assert isinstance(resource.spec, RunnerSpec)
         spec_changed = resource.generation != self.generation
         self.spec = resource.spec
@@ -82,10 +82,10 @@
         elif is_marked_draining(resource):
             self.leaving = self.leaving or LeavingReason.MACHINE_LIST
 
-    # --- what the engine tells -------------------------------------------------------------
+    # --- load reports ----------------------------------------------------------------------
 
     def take_report(self, report: LoadReport, now_s: float) -> bool:
-        """Take a load report; return False for one that is older than the last."""
+        """Apply a load report; return False if it is older than the last one."""
         last = self.report
         same_engine = last is not None and last.incarnation == report.incarnation
         if last is not None and same_engine and report.sequence <= last.sequence:
@@ -114,14 +114,14 @@
         return running + ended
 
     def report_age_s(self, now_s: float) -> float:
-        """Return the age of what the last report measured, seconds."""
+        """Return the age in seconds of the measurements in the last report."""
         lag_s = self.report.age_s if self.report is not None else 0.0
         return now_s - self.report_received_s + max(0.0, lag_s)
 
     # --- own work --------------------------------------------------------------------------
 
     def attempt_started(self, attempt_id: str, batch: bool, now_s: float) -> None:
-        """Count an attempt that is sent."""
+        """Count a sent attempt."""
         self.attempts[attempt_id] = OwnAttempt(batch, now_s)
         if batch:
             self.batch_running += 1
@@ -143,32 +143,32 @@
         return attempt
 
     def foreign_online(self, now_s: float) -> float:
-        """Return the estimated online requests of others on this runner."""
+        """Return the estimated online requests of other gateways on this runner."""
         age_s = now_s - self.report_received_s
         return decayed(self._foreign, age_s, self._settings.report_half_life_s)
 
-    # --- whether it takes new work -----------------------------------------------------------
+    # --- availability ------------------------------------------------------------------------
 
     def discount_pause(self, pause_s: float, now_s: float) -> None:
-        """Do not count a pause of this process as the runner's silence."""
+        """Discount a pause of this process from the time without a load report."""
         self.report_received_s = min(now_s, self.report_received_s + pause_s)
 
     def is_silent(self, now_s: float) -> bool:
-        """Tell whether load reports have failed to come for too long."""
+        """Return whether no load report came within the report timeout."""
         return now_s - self.report_received_s > self._settings.report_timeout_s
 
     def loaded_version(self) -> str:
-        """Return the version that the engine last said it has (else the status's)."""
+        """Return the loaded version of the last load report, or else of the status."""
         return self.report.loaded_version if self.report else self.status.loaded_version
 
 
 def is_leaving(state: ObservedRunner, now_s: float) -> bool:
-    """Tell whether a runner is draining by any account: resource, engine, list or silence."""
+    """Return whether a runner is leaving, by its resource, engine, machine list or silence."""
     return state.leaving is not None or state.is_silent(now_s)
 
 
 def takes_new_work(state: ObservedRunner, now_s: float) -> bool:
-    """Tell whether new work may be sent to a runner."""
+    """Return whether new work may be sent to a runner."""
     if is_leaving(state, now_s) or state.ejection.is_ejected(now_s):
         return False
     return bool(state.loaded_version())
--- a/src/rainsail/gateway/session_order.py
+++ b/src/rainsail/gateway/session_order.py
@@ -1,4 +1,4 @@
-"""The order of a session's turns: one at a time, none while the session moves."""
+"""Serialises the turns of a session: one at a time, none while the session is moving."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, eq=False)
 class LiveSession:
-    """A session that this gateway has turns of, or holds; ``view`` is what it last read."""
+    """A session with turns at this gateway or held by it; ``view`` is the last record read."""
 
     name: str
     spec: SessionSpec
@@ -20,14 +20,14 @@
     moving: bool = False
 
     def advance(self) -> None:
-        """Begin the next turn when none runs and the session is not being moved."""
+        """Start the next turn when none is running and the session is not moving."""
         if self.active is not None or self.moving or not self.waiting:
             return
         self.active = self.waiting.popleft()
         self.active.begins()
 
     def leave(self, turn: "SessionTurn") -> bool:
-        """Take a turn out; return whether it was the running one."""
+        """Remove a turn; return whether it was the running one."""
         if self.active is turn:
             self.active = None
             return True
@@ -37,12 +37,12 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no turn runs or waits and nothing is being moved."""
+        """Whether no turn is running or waiting and the session is not moving."""
         return self.active is None and not self.waiting and not self.moving
 
 
 class SessionTurn:
-    """One turn's place in its session's order."""
+    """One turn of a session; ``begins`` is called when it may run."""
 
     __slots__ = ("begins", "session")
 
@@ -51,6 +51,6 @@
         self.begins = begins
 
     def enter(self) -> None:
-        """Queue behind the session's earlier turns; ``begins`` is called when they are over."""
+        """Enqueue the turn; ``begins`` is called when all earlier turns have ended."""
         self.session.waiting.append(self)
         self.session.advance()
--- a/src/rainsail/gateway/session_placement.py
+++ b/src/rainsail/gateway/session_placement.py
@@ -1,4 +1,4 @@
-"""Pinning a session to a runner: choose, raise the fence, take the KV cache along."""
+"""Pins a session to a runner: chooses it, raises the fence, transfers the KV cache."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -26,9 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionPlace:
-    """Where a turn runs: ``transcript`` is the text of all turns before it.
+    """The runner and fence for a turn; ``transcript`` is the text of all earlier turns.
 
-    ``last_turn`` is the newest of them: a turn that was recorded and is sent again.
+    ``last_turn`` is the latest recorded turn. It lets the gateway recognise a turn that is sent
+    again after it was recorded.
     """
 
     runner: str
@@ -38,18 +39,18 @@
 
 
 def transcript_text(turns: Sequence[Turn]) -> str:
-    """Return the prompt prefix that a transcript makes."""
+    """Return the text of all turns, which is the prompt prefix of the next turn."""
     return "".join(turn.prompt + turn.answer for turn in turns)
 
 
 def place_of(view: SessionView) -> SessionPlace:
-    """Return where the next turn of a session runs."""
+    """Return the runner and fence for the next turn of a session."""
     last = view.turns[-1] if view.turns else None
     return SessionPlace(view.runner, view.fence, transcript_text(view.turns), last)
 
 
 class SessionPlacement:
-    """Reads, chooses and attaches on behalf of one gateway incarnation, the ``holder``."""
+    """Reads and attaches sessions for one gateway incarnation, the ``holder``."""
 
     def __init__(
         self,
@@ -76,8 +77,12 @@
     async def place(
         self, session: LiveSession, failed: tuple[str, ...]
     ) -> Result[SessionPlace, Fault]:
-        """Return where the session's next turn runs, attaching it anew when it must move."""
-        fault = Fault(FaultCode.CONFLICT, STEP, "others keep taking the session")
+        """Return the place of the session's next turn; move the session first if necessary."""
+        fault = Fault(
+            FaultCode.CONFLICT,
+            STEP,
+            "lost the race for the session to other gateways in every attempt",
+        )
         if failed and await self._was_taken_over(session):
             failed = ()
         for _ in range(self._settings.session.attach_attempts):
@@ -87,7 +92,9 @@
             view = read.ok
             target = self._target(session, view, failed)
             if not target:
-                return Error(Fault(FaultCode.UNAVAILABLE, STEP, "no runner for the session"))
+                return Error(
+                    Fault(FaultCode.UNAVAILABLE, STEP, "no runner is available for the session")
+                )
             if target == view.runner and view.gateway == self.holder and not failed:
                 return Ok(place_of(view))
             attached = await self._attach(session, view, target, view.runner not in failed)
@@ -99,10 +106,10 @@
         return Error(fault)
 
     async def move_away(self, session: LiveSession) -> None:
-        """Attach a session that this gateway holds to another runner, taking its cache along.
+        """Attach a session that this gateway holds to another runner and transfer its KV cache.
 
-        When another gateway has taken the session meanwhile, it is that one's to move: the view
-        of it is given up.
+        If another gateway has taken the session over, only that gateway may move it. The attach
+        command then fails and the view is dropped.
         """
         view = session.view
         if view is None or view.gateway != self.holder:
@@ -118,7 +125,7 @@
         return self.choose(session, view, failed)
 
     async def _was_taken_over(self, session: LiveSession) -> bool:
-        """After a failed attempt: tell whether it failed since another gateway has the session."""
+        """Return whether an attempt failed because another gateway has taken the session over."""
         used = session.view
         session.view = None
         read = await self._current_view(session)
@@ -139,7 +146,7 @@
         return Ok(reply.ok)
 
     def must_leave(self, runner: str) -> bool:
-        """Tell whether sessions may not stay on a runner: it leaves, or its role has changed."""
+        """Return whether sessions have to move off a runner: it is leaving, or is batch-only."""
         self._fleet.follow(runner)
         state = self._fleet.runner(runner)
         if state is None or state.spec.role == RunnerRole.BATCH_ONLY:
@@ -147,9 +154,10 @@
         return self._fleet.leaving(runner)
 
     def choose(self, session: LiveSession, view: SessionView, failed: tuple[str, ...]) -> str:
-        """Return the best runner for a session (empty: none), rather not one of ``failed``.
+        """Return the best runner for a session, or an empty string when there is none.
 
-        The decision is kept under ``session/NAME``, to be explained.
+        Runners in ``failed`` are used only when no other is eligible. The decision is stored under
+        the id ``session/NAME`` for the explain route.
         """
         now_s = self._clock.seconds()
         runners = self._fleet.eligible(session.spec.service, False, session.spec.adapter)
@@ -169,7 +177,7 @@
     async def _attach(
         self, session: LiveSession, view: SessionView, target: str, export: bool
     ) -> Result[SessionView, Fault]:
-        """Raise the fence for ``target``, taking the KV cache along when it can be had."""
+        """Attach the session to ``target`` under a higher fence, with its KV cache if available."""
         moves = bool(view.runner) and target != view.runner
         state = await self._export(view) if moves and export else None
         command = AttachSession(session.name, self.holder, target, view.fence)
@@ -185,7 +193,7 @@
         return Ok(reply.ok)
 
     async def _export(self, view: SessionView) -> KvState | None:
-        """Export the KV cache; None when the engine does not answer: the transcript will do."""
+        """Export the KV cache; None on failure, as the next turn can be run from the transcript."""
         runner = self._fleet.runner(view.runner)
         if runner is None or runner.is_silent(self._clock.seconds()):
             return None
--- a/src/rainsail/gateway/sessions.py
+++ b/src/rainsail/gateway/sessions.py
@@ -1,8 +1,8 @@
 """Sessions: pinned to a runner by a fence, moved with their KV cache, rebuilt after a crash.
 
-The replicated session record names the gateway, the runner, the fence and the transcript. A
-gateway that holds the highest fence may run turns; every move raises the fence first, so that
-a turn under an older one cannot be recorded: no session is ever on two runners at once.
+The replicated session record holds the gateway, the runner, the fence and the transcript. Only
+the gateway with the highest fence may run turns. Every move raises the fence first, so a turn
+under an older fence cannot be recorded and a session is never active on two runners.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,11 +28,11 @@
 __all__ = ["SessionKeeper", "SessionPlace"]
 
 SESSION_BUSY_RETRY_S = 1.0
-"""When a caller with too many waiting turns may come back."""
+"""Retry-after time for a caller whose session has too many waiting turns."""
 
 
 class SessionKeeper:
-    """Keeps the sessions that have turns at this gateway."""
+    """Manages the sessions that this gateway holds or runs turns of."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         fleet.on_change(self._runner_changed)
 
     def start(self) -> None:
-        """Follow the deletion of sessions."""
+        """Begin to watch for deleted sessions."""
         self._config.on_event(self._on_event)
 
     def held(self) -> list[str]:
@@ -67,26 +67,26 @@
     # --- turns ----------------------------------------------------------------------------------
 
     def begin(self, caller: CallerRequest, begins: Callable[[], None]) -> SessionTurn | Fault:
-        """Make a turn of the caller's session, or say why there can be none."""
+        """Return a new turn of the caller's session, or the fault why there can be none."""
         resource = self._config.get(ResourceKey(Kind.SESSION, caller.session))
         if resource is None or not isinstance(resource.spec, SessionSpec):
             return Fault(FaultCode.NOT_FOUND, STEP, f"no session {caller.session}")
         if resource.spec.tenant != caller.tenant:
-            return Fault(FaultCode.FORBIDDEN, STEP, "the session is another tenant's")
+            return Fault(FaultCode.FORBIDDEN, STEP, "the session belongs to another tenant")
         if resource.spec.service != caller.model:
-            return Fault(FaultCode.INVALID, STEP, "the session is of another service")
+            return Fault(FaultCode.INVALID, STEP, "the session belongs to another service")
         session = self._live.get(caller.session)
         if session is None:
             session = self._live[caller.session] = LiveSession(caller.session, resource.spec)
         if len(session.waiting) >= self._settings.max_waiting_turns:
-            detail = "too many turns of this session wait"
+            detail = "too many turns of this session are waiting"
             return Fault(FaultCode.OVERLOADED, STEP, detail, retry_after_s=SESSION_BUSY_RETRY_S)
         return SessionTurn(session, begins)
 
     def place(
         self, turn: SessionTurn, failed: Sequence[str]
     ) -> "Deferred[Result[SessionPlace, Fault]]":
-        """Pin the session to a runner that can take the turn, moving it when it must."""
+        """Pin the session to a runner that can run the turn; move the session when necessary."""
         return Deferred.fromCoroutine(self._placement.place(turn.session, tuple(failed)))
 
     def finish(self, turn: SessionTurn, exchange: Turn) -> "Deferred[Result[None, Fault]]":
@@ -96,7 +96,7 @@
     async def _finish(self, session: LiveSession, turn: Turn) -> Result[None, Fault]:
         view = session.view
         if view is None:
-            return Error(Fault(FaultCode.FENCED, STEP, "the session is held elsewhere"))
+            return Error(Fault(FaultCode.FENCED, STEP, "another gateway holds the session"))
         command = AppendTurn(session.name, view.fence, len(view.turns), turn)
         reply = await self._control.propose(command, self._settings.command_timeout_s)
         if reply.is_error():
@@ -106,7 +106,7 @@
         return Ok(None)
 
     def release(self, turn: SessionTurn) -> None:
-        """Note that a turn is over, or was given up while it waited."""
+        """Remove a turn that has ended or was cancelled while it waited."""
         session = turn.session
         if session.leave(turn):
             self._move_if_due(session)
@@ -137,7 +137,7 @@
                 self._move_if_due(session)
 
     def _move_if_due(self, session: LiveSession) -> None:
-        """Move an idle session off a runner that it may not stay on, when another takes it."""
+        """Move an idle session off a runner that it has to leave, if another runner is eligible."""
         view = session.view
         if view is None or session.moving or session.active is not None:
             return
@@ -149,7 +149,7 @@
         Deferred.fromCoroutine(self._move(session))
 
     async def _move(self, session: LiveSession) -> None:
-        """Move; what fails here is done by the next turn."""
+        """Move the session; after a failure the next turn attaches it again."""
         await self._placement.move_away(session)
         session.moving = False
         self._move_if_due(session)
--- a/src/rainsail/gateway/settings.py
+++ b/src/rainsail/gateway/settings.py
@@ -4,7 +4,7 @@
 
 
 class FleetSettings(BaseModel):
-    """How a gateway follows the runners."""
+    """Monitoring and ejection of runners."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -14,110 +14,112 @@
         description="Seconds without a load report after which a runner gets no new work.",
     )
     watch_period_s: float = Field(
-        default=0.25, gt=0, description="Seconds between looks for runners that went silent."
+        default=0.25, gt=0, description="Seconds between checks for runners without load reports."
     )
     resubscribe_base_s: float = Field(
         default=0.1, gt=0, description="Mean seconds before a lost subscription is opened again."
     )
     resubscribe_limit_s: float = Field(
-        default=5.0, gt=0, description="Most seconds between two tries to subscribe."
+        default=5.0,
+        gt=0,
+        description="Maximum seconds before a lost subscription is opened again, before jitter.",
     )
     report_half_life_s: float = Field(
         default=1.0,
         gt=0,
-        description="Seconds after which half of the load reported for others has lost its weight.",
+        description="Half-life in seconds of the load attributed to other gateways.",
     )
     arrival_window_s: float = Field(
-        default=2.0, gt=0, description="Accepted and not used: nothing estimates arrivals."
+        default=2.0,
+        gt=0,
+        description="Accepted and ignored, because arrival rates are not estimated.",
     )
     cache_blocks_per_runner: int = Field(
-        default=65_536, gt=0, description="Most prefix blocks remembered per runner."
+        default=65_536, gt=0, description="Maximum prefix blocks remembered per runner."
     )
     other_zone_runners: int = Field(
         default=64,
         gt=0,
-        description="Runners of other zones that are followed: about so many, drawn by hash.",
+        description="Approximate number of followed runners of other zones, sampled by hash.",
     )
     asked_runners: int = Field(
         default=64,
         gt=0,
-        description="Most runners beyond those that are followed because a session is there.",
+        description="Maximum runners followed in addition because a session is pinned to them.",
     )
     eject_after_failures: int = Field(
-        default=3, gt=0, description="Consecutive failures that put a runner out."
+        default=3, gt=0, description="Consecutive failures after which a runner is ejected."
     )
     eject_base_s: float = Field(
-        default=5.0, gt=0, description="Seconds that a runner is out the first time."
+        default=5.0, gt=0, description="Seconds of a runner's first ejection; doubles each time."
     )
     eject_limit_s: float = Field(
-        default=60.0, gt=0, description="Most seconds that a runner is out at a time."
+        default=60.0, gt=0, description="Maximum seconds of one ejection, before jitter."
     )
     max_ejected_fraction: float = Field(
         default=0.34,
         ge=0.0,
         le=1.0,
-        description="Share of a service's runners that may be out at once, rounded down.",
+        description="Fraction of a service's runners that may be ejected at once, rounded down.",
     )
 
 
 class RoutingSettings(BaseModel):
-    """How a runner is chosen for an attempt."""
+    """Selection of a runner for an attempt."""
 
     model_config = ConfigDict(frozen=True)
 
     affinity_weight: float = Field(
         default=8.0,
         ge=0,
-        description="How much more often a runner with the whole prompt cached is drawn.",
+        description="Draw weight, in addition to 1, of a runner that has the whole prompt cached.",
     )
     stale_cache_weight: float = Field(
-        default=0.25, ge=0, le=1.0, description="Worth of a prefix match in a stale cache view."
+        default=0.25, ge=0, le=1.0, description="Weight of a prefix match in a stale cache view."
     )
     load_cost_tokens: float = Field(
         default=200.0,
         gt=0,
-        description="Prompt tokens to prefill that weigh as much as one running request.",
+        description="Cost of one running request, in prompt tokens to prefill.",
     )
     full_runner_cost_tokens: float = Field(
         default=2000.0,
         ge=0,
-        description="Prompt tokens that each request beyond a runner's online slots weighs.",
+        description="Cost of each request beyond a runner's online slots, in prompt tokens.",
     )
     slots_per_runner: float = Field(
         default=2.0,
         gt=0,
-        description="A runner is full at this multiple of its batch slots (as in admission).",
+        description="Online slots of a runner, as a multiple of its batch slots (as in admission).",
     )
     other_zone_cost_tokens: float = Field(
         default=800.0,
         ge=0,
-        description="Prompt tokens that must be saved before another zone is chosen.",
+        description="Cost of crossing zones, in prompt tokens to prefill.",
     )
     memory_pressure: float = Field(
         default=0.9,
         gt=0,
         le=1.0,
-        description="Share of KV memory in use above which a runner counts as more loaded.",
+        description="Fraction of KV memory in use above which a runner counts as more loaded.",
     )
     explained_decisions: int = Field(
-        default=10_000, gt=0, description="Decisions kept in the ring for explanation."
+        default=10_000, gt=0, description="Routing decisions kept for the explain route."
     )
 
 
 class AdmissionSettings(BaseModel):
-    """Limits on what is taken in."""
+    """Limits of admission control."""
 
     model_config = ConfigDict(frozen=True)
 
     max_queue_s: float = Field(
-        default=2.0, gt=0, description="Seconds that a request may wait before it is refused."
+        default=2.0, gt=0, description="Maximum seconds that a request may wait for admission."
     )
     max_queued_per_tenant: int = Field(
-        default=256, gt=0, description="Requests that one tenant may have waiting per service."
-    )
-    max_queued: int = Field(
-        default=4096, gt=0, description="Requests that may be waiting per service."
+        default=256, gt=0, description="Maximum waiting requests of one tenant per service."
     )
+    max_queued: int = Field(default=4096, gt=0, description="Maximum waiting requests per service.")
     slots_per_runner: float = Field(
         default=2.0,
         gt=0,
@@ -127,8 +129,8 @@
         default=0.6,
         gt=0,
         le=1.0,
-        description="Share of a service's slots that one tenant may hold while another is active; "
-        "a tenant whose weight entitles it to more gets that.",
+        description="Fraction of a service's slots for one tenant while another is active; "
+        "a tenant with a larger share by weight gets that share.",
     )
     quota_report_period_s: float = Field(
         default=1.0, gt=0, description="Seconds between reports of demand to control."
@@ -136,105 +138,123 @@
     urgent_report_s: float = Field(
         default=0.1,
         gt=0,
-        description="Least seconds between two reports of demand when a tenant runs short.",
+        description="Minimum seconds between two demand reports while a tenant lacks tokens.",
     )
     quota_reserve_fraction: float = Field(
         default=0.2,
         gt=0,
         lt=1,
-        description="Part of each quota kept for minimum shares; the same value as control's.",
+        description="Fraction of each quota reserved for minimum shares; must match control's.",
     )
     min_retry_after_s: float = Field(
-        default=0.1, gt=0, description="Shortest time that a refused caller is told to wait."
+        default=0.1, gt=0, description="Minimum retry-after of a refusal, in seconds."
     )
     max_retry_after_s: float = Field(
-        default=60.0, gt=0, description="Longest time that a refused caller is told to wait."
+        default=60.0, gt=0, description="Maximum retry-after of a refusal, in seconds."
     )
 
 
 class RetrySettings(BaseModel):
-    """When an attempt is followed by another."""
+    """Retries of attempts and resumption of streams."""
 
     model_config = ConfigDict(frozen=True)
 
-    max_attempts: int = Field(default=3, gt=0, description="Attempts of one request, first too.")
+    max_attempts: int = Field(default=3, gt=0, description="Maximum attempts of one request.")
     max_resumes: int = Field(
         default=2,
         ge=0,
-        description="Tries to take up a lost stream at its engine without a chunk of progress.",
+        description="Maximum resumes of a lost stream without a new chunk.",
     )
     budget_ratio: float = Field(
-        default=0.1, ge=0, description="Retries per request that a service may cost on average."
+        default=0.1, ge=0, description="Retries added to a service's retry budget per request."
     )
     budget_min_per_s: float = Field(
-        default=2.0, ge=0, description="Retries a second allowed also when there are few requests."
+        default=2.0,
+        ge=0,
+        description="Retries added to a service's retry budget per second, also without requests.",
+    )
+    budget_burst: float = Field(
+        default=20.0, gt=0, description="Maximum retries in a retry budget."
     )
-    budget_burst: float = Field(default=20.0, gt=0, description="Most retries saved up.")
     base_delay_s: float = Field(
         default=0.02, gt=0, description="Mean seconds before the first retry; doubles each time."
     )
-    max_delay_s: float = Field(default=1.0, gt=0, description="Most seconds before a retry.")
+    max_delay_s: float = Field(
+        default=1.0, gt=0, description="Maximum backoff in seconds, before jitter."
+    )
     gap_wait_s: float = Field(
         default=0.05,
         gt=0,
-        description="Seconds that a stream waits for a missing chunk before it is taken up anew.",
+        description="Seconds that a stream waits for a missing chunk before it is resumed.",
     )
     early_chunks: int = Field(
-        default=64, gt=0, description="Chunks kept that came before their turn."
+        default=64, gt=0, description="Maximum out-of-order chunks buffered per stream."
     )
     stall_timeout_s: float = Field(
-        default=10.0, gt=0, description="Seconds without a chunk that count as a lost stream."
+        default=10.0,
+        gt=0,
+        description="Seconds without a chunk after which a stream counts as lost.",
     )
     claim_timeout_s: float = Field(
-        default=2.0, gt=0, description="Seconds to claim or finish a non-repeatable request."
+        default=2.0,
+        gt=0,
+        description="Timeout to claim or finish a non-repeatable request, in seconds.",
     )
 
 
 class SessionSettings(BaseModel):
-    """How sessions are kept and moved."""
+    """Placement and moves of sessions."""
 
     model_config = ConfigDict(frozen=True)
 
     command_timeout_s: float = Field(
-        default=3.0, gt=0, description="Seconds that one session command may take with retries."
+        default=3.0,
+        gt=0,
+        description="Timeout of one session command including retries, in seconds.",
     )
     attach_attempts: int = Field(
-        default=4, gt=0, description="Times that an attachment is tried when others race for it."
+        default=4,
+        gt=0,
+        description="Maximum attempts to attach a session when other gateways compete for it.",
     )
     kv_timeout_s: float = Field(
-        default=2.0, gt=0, description="Seconds for one export or import of a KV cache."
+        default=2.0, gt=0, description="Timeout of one export or import of a KV cache, in seconds."
     )
     max_waiting_turns: int = Field(
-        default=16, gt=0, description="Turns of one session that may wait behind a running one."
+        default=16, gt=0, description="Maximum waiting turns of one session."
     )
 
 
 class RunnerReconcilerSettings(BaseModel):
-    """How owned runners are ordered and reported."""
+    """Reconciliation of owned runners."""
 
     model_config = ConfigDict(frozen=True)
 
     check_period_s: float = Field(
-        default=1.0, gt=0, description="Seconds between looks at each owned runner."
+        default=1.0, gt=0, description="Seconds between reconciliations of each owned runner."
     )
     order_resend_s: float = Field(
-        default=3.0, gt=0, description="Seconds before an order without effect is sent again."
+        default=3.0, gt=0, description="Seconds before an order that had no effect is sent again."
     )
     command_timeout_s: float = Field(
-        default=3.0, gt=0, description="Seconds that one status command may take with retries."
+        default=3.0,
+        gt=0,
+        description="Timeout of one status command including retries, in seconds.",
     )
 
 
 class DrainSettings(BaseModel):
-    """How a planned stop proceeds."""
+    """Graceful stop of a gateway."""
 
     model_config = ConfigDict(frozen=True)
 
     grace_s: float = Field(
-        default=120.0, gt=0, description="Seconds that requests in progress get to finish."
+        default=120.0, gt=0, description="Seconds that requests in progress have to finish."
     )
     retry_after_s: float = Field(
-        default=1.0, gt=0, description="When callers refused by a stopping gateway may come back."
+        default=1.0,
+        gt=0,
+        description="Retry-after of requests refused by a stopping gateway, in seconds.",
     )
 
 
@@ -243,14 +263,20 @@
 
     model_config = ConfigDict(frozen=True)
 
-    fleet: FleetSettings = Field(default=FleetSettings(), description="Following the runners.")
-    routing: RoutingSettings = Field(default=RoutingSettings(), description="Choosing a runner.")
+    fleet: FleetSettings = Field(
+        default=FleetSettings(), description="Monitoring and ejection of runners."
+    )
+    routing: RoutingSettings = Field(default=RoutingSettings(), description="Selection of runners.")
     admission: AdmissionSettings = Field(
-        default=AdmissionSettings(), description="Limits on what is taken in."
+        default=AdmissionSettings(), description="Limits of admission control."
+    )
+    retry: RetrySettings = Field(
+        default=RetrySettings(), description="Retries and stream resumption."
+    )
+    session: SessionSettings = Field(
+        default=SessionSettings(), description="Placement and moves of sessions."
     )
-    retry: RetrySettings = Field(default=RetrySettings(), description="Attempts after the first.")
-    session: SessionSettings = Field(default=SessionSettings(), description="Sessions.")
     keeper: RunnerReconcilerSettings = Field(
-        default=RunnerReconcilerSettings(), description="Owned runners."
+        default=RunnerReconcilerSettings(), description="Reconciliation of owned runners."
     )
-    drain: DrainSettings = Field(default=DrainSettings(), description="Planned stop.")
+    drain: DrainSettings = Field(default=DrainSettings(), description="Graceful stop.")
--- a/src/rainsail/gateway/timeouts.py
+++ b/src/rainsail/gateway/timeouts.py
@@ -1,4 +1,4 @@
-"""Bounding the wait for a Deferred of a Result."""
+"""Timeouts for Deferreds that fire with a Result."""
 
 from typing import Any, TypeVar
 
@@ -16,7 +16,7 @@
 ) -> "Deferred[Result[Value, Fault]]":
     """Return a Deferred that fires like ``waited``, or with a TIMEOUT fault after ``limit_s``.
 
-    The fault's outcome is UNKNOWN; what ``waited`` brings later is dropped.
+    The fault's outcome is UNKNOWN. A later result of ``waited`` is dropped.
     """
     done: Deferred[Result[Value, Fault]] = Deferred()
     timer: Any = None
