--- a/src/rainsail/gateway/openai/__init__.py
+++ b/src/rainsail/gateway/openai/__init__.py
@@ -1,1 +1,1 @@
-"""OpenAI-compatible request and response shapes, server-sent events, files and batches."""
+"""OpenAI-compatible HTTP routes: requests, responses, server-sent events, files, batches."""
--- a/src/rainsail/gateway/openai/authentication.py
+++ b/src/rainsail/gateway/openai/authentication.py
@@ -25,7 +25,7 @@
 
 
 class Authenticator:
-    """Finds the tenant of an API key; follows the configuration."""
+    """Maps API keys to tenants; updates itself when the configuration changes."""
 
     def __init__(self, config: ConfigReader) -> None:
         self._config = config
@@ -37,9 +37,9 @@
             self._tenants = None
 
     def tenant(self, authorization: str | None) -> Result[str, Fault]:
-        """Return the name of the tenant whose key the Authorization header carries."""
+        """Return the name of the tenant whose key is in the Authorization header."""
         if not self._config.ready():
-            detail = "no configuration has been read yet"
+            detail = "the gateway has not read its configuration yet"
             return Error(Fault(FaultCode.UNAVAILABLE, _STEP, detail, retry_after_s=1.0))
         key = bearer_key(authorization)
         if key is None:
@@ -50,7 +50,7 @@
         return Ok(name)
 
     def is_operator(self, tenant: str) -> bool:
-        """Tell whether a tenant's keys are operators' keys as well."""
+        """Return whether a tenant's keys also have operator rights."""
         resource = self._config.get(ResourceKey(Kind.TENANT, tenant))
         spec = None if resource is None else resource.spec
         return isinstance(spec, TenantSpec) and spec.operator
--- a/src/rainsail/gateway/openai/batch_routes.py
+++ b/src/rainsail/gateway/openai/batch_routes.py
@@ -1,4 +1,4 @@
-"""Routes of files and batches."""
+"""HTTP routes for files and batches."""
 
 import secrets
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class BatchRoutes:
-    """Takes files and batches, and reads batches and their results from the ledger."""
+    """Accepts files and batches, and serves batches and their results from the ledger."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     # --- files ----------------------------------------------------------------------------
 
     def upload_file(self, request: Any) -> None:
-        """Keep an uploaded file."""
+        """Store an uploaded file."""
         tenant = self._tenant(request)
         content_type = request.getHeader("content-type") or ""
         upload = tenant.bind(
@@ -102,7 +102,7 @@
         _write(request, job.map(lambda view: _results_file_object(file_id, view)))
 
     def delete_file(self, request: Any, file_id: str) -> None:
-        """Forget an uploaded file; results stay for as long as the ledger keeps them."""
+        """Delete an uploaded file; results stay for as long as the ledger retains them."""
         deleted = self._tenant(request).bind(lambda name: self._files.delete(name, file_id))
         _write(request, deleted.map(lambda _: _deleted_object(file_id)))
 
@@ -136,7 +136,7 @@
     # --- batches --------------------------------------------------------------------------
 
     async def create_batch(self, request: Any) -> None:
-        """Make a job of an uploaded file; answered once the job is accepted."""
+        """Submit an uploaded file as a job; answer once the job is accepted."""
         tenant = self._tenant(request)
         headers = tenant.bind(lambda _: read_headers(request))
         data = headers.bind(lambda _: self._read(request))
--- a/src/rainsail/gateway/openai/batches.py
+++ b/src/rainsail/gateway/openai/batches.py
@@ -1,7 +1,7 @@
-"""Batches: input files to a job's items, jobs and results to OpenAI's objects.
+"""Converts input files to a job's items, and jobs and results to OpenAI's objects.
 
-Ids: a batch's id is its job's id; ``file-output-JOB`` and ``file-errors-JOB`` name its results,
-which every gateway reads from the ledger.
+A batch's id is its job's id. ``file-output-JOB`` and ``file-errors-JOB`` are the ids of its result
+files, which every gateway reads from the ledger.
 """
 
 from collections.abc import Iterator
@@ -40,7 +40,7 @@
 
 
 class BatchInput:
-    """Reads an input file into items, a slice at a time, so that other work goes on."""
+    """Parses an input file into items, in slices, so that the reactor is not blocked."""
 
     def __init__(self, endpoint: str, content: bytes, settings: CallerApiSettings) -> None:
         self._endpoint = endpoint
@@ -52,7 +52,7 @@
         self._fault: Fault | None = None
 
     def read(self, cooperator: Cooperator) -> "Deferred[Result[tuple[str, Any], Fault]]":
-        """Read everything; fires with the service's name and the items, or the first fault."""
+        """Parse the file; fires with the service's name and the items, or with the first fault."""
         reading: Deferred[Any] = cooperator.coiterate(self._slices())
         return reading.addCallback(lambda _: self._result())
 
@@ -95,11 +95,11 @@
         bound = body.token_bound(self._settings.default_max_tokens)
         if bound > self._settings.max_tokens_limit:
             limit = self._settings.max_tokens_limit
-            return _line_fault(number, f"body.max_tokens: at most {limit} are taken")
+            return _line_fault(number, f"body.max_tokens: at most {limit} are allowed")
         if len(prompt) > self._settings.max_prompt_characters:
             return _line_fault(number, "body: the prompt is too long")
         if body.stream:
-            return _line_fault(number, "body.stream: a batch is not streamed")
+            return _line_fault(number, "body.stream: streaming is not supported in a batch")
         if self._model and body.model != self._model:
             return _line_fault(number, f"body.model: expected {self._model} as in line 1")
         if len(self._items) >= self._settings.max_batch_items:
@@ -115,7 +115,7 @@
 
 
 def batch_object(job: JobView, request: BatchRequest | None = None) -> dict[str, Any]:
-    """Return OpenAI's batch object; the ledger keeps no times but the deadline."""
+    """Return OpenAI's batch object; the ledger stores no times except the deadline."""
     finished = job.phase in (JobPhase.COMPLETED, JobPhase.CANCELLED)
     failed = job.set_aside + job.cancelled
     named_file = job.spec.job_key if job.spec.job_key.startswith("file-") else ""
@@ -141,15 +141,15 @@
 
 
 def is_output(row: ResultRow) -> bool:
-    """Tell whether a finished item belongs to the output file, not to the error file."""
+    """Return whether a finished item belongs to the output file rather than the error file."""
     return row.phase is ItemPhase.COMPLETED
 
 
 def result_line(job: JobView, row: ResultRow) -> bytes:
     """Return one line of the output or error file.
 
-    The ledger does not keep the endpoint: a choice carries the text as a completion's ``text``
-    and as a chat's ``message``, so that readers of either shape find it.
+    The ledger does not store the endpoint. A choice therefore has the text both as a completion's
+    ``text`` and as a chat's ``message``.
     """
     line: dict[str, Any] = {"id": f"{job.job_id}-{row.index}", "custom_id": row.custom_id}
     if is_output(row):
--- a/src/rainsail/gateway/openai/bodies.py
+++ b/src/rainsail/gateway/openai/bodies.py
@@ -1,8 +1,8 @@
-"""The request bodies of completions, chat completions and batches, validated.
+"""Models and validation of the request bodies of completions, chat completions and batches.
 
-Sampling fields (``temperature`` and its kin) are taken and passed over: an engine's answer here
-depends on the prompt and the seed alone. A field that would change the meaning of the answer
-(``n``, ``echo``, ``suffix``, ``stop``, ``tools``) is refused, not ignored.
+Sampling fields such as ``temperature`` are accepted and ignored, because an engine's answer depends
+only on the prompt and the seed. Fields that would change the meaning of the answer (``n``,
+``echo``, ``suffix``, ``stop``, ``tools``) are rejected unless they have no effect.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class StreamOptions(BaseModel):
-    """What a streamed answer is to carry besides its text."""
+    """Options of a streamed answer."""
 
     model_config = ConfigDict(strict=True)
 
@@ -66,7 +66,7 @@
 
 
 class TextPart(BaseModel):
-    """A part of a message's content; only text is taken."""
+    """A part of a message's content; only text is supported."""
 
     model_config = ConfigDict(strict=True, frozen=True)
 
@@ -98,7 +98,7 @@
     tools: Unset = None
 
     def text(self) -> str:
-        """Return the prompt: each message under its role, then the assistant's turn."""
+        """Return the prompt: each message after its role tag, then the assistant's tag."""
         turns = [f"<|{message.role}|>\n{message.text()}\n" for message in self.messages]
         return "".join(turns) + "<|assistant|>\n"
 
@@ -108,7 +108,7 @@
 
 
 class PromptBody(Protocol):
-    """What completions and chat completions have in common."""
+    """Common interface of completion and chat completion bodies."""
 
     model: str
     stream: bool
@@ -157,12 +157,12 @@
 
 
 def read_json(adapter: TypeAdapter[Any], data: bytes, step: str) -> Result[Any, Fault]:
-    """Validate a JSON document; the fault names the first wrong field."""
+    """Validate a JSON document; the fault names the first invalid field."""
     return _validated(lambda: adapter.validate_json(data), step)
 
 
 def read_object(adapter: TypeAdapter[Any], value: Any, step: str) -> Result[Any, Fault]:
-    """Validate a decoded JSON object; the fault names the first wrong field."""
+    """Validate a decoded JSON object; the fault names the first invalid field."""
     return _validated(lambda: adapter.validate_python(value), step)
 
 
--- a/src/rainsail/gateway/openai/downloads.py
+++ b/src/rainsail/gateway/openai/downloads.py
@@ -1,4 +1,4 @@
-"""Downloads of results, page by page from the ledger, no faster than the caller reads."""
+"""Downloads of results: read from the ledger page by page, with back-pressure."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,7 +19,7 @@
 
 @implementer(IPushProducer)
 class ResultsDownload:
-    """Writes one results file to an HTTP response."""
+    """Writes one result file to an HTTP response."""
 
     def __init__(self, request: Any, job: JobView, errors: bool) -> None:
         self._request = request
@@ -35,7 +35,7 @@
         self.resumeProducing()
 
     async def run(self, read_page: Callable[[int], "Deferred[Any]"]) -> None:
-        """Write every page; ``read_page`` takes the first index."""
+        """Write all pages; ``read_page`` takes the index of a page's first item."""
         first = 0
         while first != NO_MORE and self._open:
             page = await read_page(first)
@@ -72,16 +72,16 @@
         self._request.finish()
 
     def pauseProducing(self) -> None:
-        """The caller's connection is full."""
+        """Pause reading: the connection's send buffer is full."""
         if self._resumed is None:
             self._resumed = Deferred()
 
     def resumeProducing(self) -> None:
-        """The caller's connection takes more, or is gone."""
+        """Resume reading: the connection accepts data again, or is closed."""
         resumed, self._resumed = self._resumed, None
         if resumed is not None:
             resumed.callback(None)
 
     def stopProducing(self) -> None:
-        """The caller's connection is gone."""
+        """Stop: the connection is closed."""
         self._disconnected(None)
--- a/src/rainsail/gateway/openai/errors.py
+++ b/src/rainsail/gateway/openai/errors.py
@@ -1,4 +1,4 @@
-"""Faults in the shape of OpenAI's errors, and the headers that tell what became of a request."""
+"""Faults as OpenAI error objects, and the headers that state a request's outcome."""
 
 import math
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def error_body(fault: Fault, param: str | None = None) -> dict[str, Any]:
-    """Return OpenAI's error object; ``rainsail`` holds the typed fault."""
+    """Return OpenAI's error object; its field ``rainsail`` holds the typed fault."""
     return {
         "error": {
             "message": str(fault),
@@ -41,10 +41,10 @@
 
 
 def error_headers(fault: Fault) -> dict[str, str]:
-    """Return the headers of a fault.
+    """Return the response headers of a fault.
 
-    ``x-should-retry`` is honoured by OpenAI's client libraries: they must not repeat by themselves
-    a request whose outcome is unknown.
+    OpenAI's client libraries honour ``x-should-retry``. It is false when the outcome is unknown,
+    because they must not automatically retry such a request.
     """
     retry = fault.outcome is Outcome.NOT_RUN and fault.code in _RETRYABLE
     headers = {OUTCOME_HEADER: str(fault.outcome), "x-should-retry": str(retry).lower()}
--- a/src/rainsail/gateway/openai/explain_routes.py
+++ b/src/rainsail/gateway/openai/explain_routes.py
@@ -1,4 +1,4 @@
-"""The route that explains routing decisions: candidates and scores from the gateway's ring."""
+"""The explain route: routing decisions with their candidates and scores."""
 
 import dataclasses
 from typing import Any, Protocol
@@ -17,15 +17,15 @@
 
 
 class DecisionReader(Protocol):
-    """What the routes need of ``GatewayCore``."""
+    """The part of ``GatewayCore`` that the route uses."""
 
     def explain(self, request_id: str, tenant: str = ANY_TENANT) -> tuple[RouteDecision, ...]:
-        """Return the decisions kept for a request, oldest first."""
+        """Return the stored decisions for a request, oldest first."""
         ...
 
 
 class ExplainRoutes:
-    """Tells operators about any request, and tenants about their own."""
+    """Explains any request to operators, and to tenants only their own requests."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         app.route("/v1/explain/<path:request_id>", methods=["GET"])(self.explain)
 
     def explain(self, request: Any, request_id: str) -> None:
-        """Answer with the decisions of one request; the id of an answer will do as well."""
+        """Answer with the decisions for one request, given its request id or its answer's id."""
         tenant = self._tenant(request.getHeader("authorization"))
         if tenant.is_error():
             write_fault(request, tenant.error)
@@ -60,7 +60,7 @@
         write_object(request, answer)
 
     def _tenant(self, authorization: str | None) -> Result[str, Fault]:
-        """Return whose requests may be told of; ``ANY_TENANT`` to an operator."""
+        """Return the tenant whose requests may be explained; ``ANY_TENANT`` for an operator."""
         key = bearer_key(authorization)
         if key is not None and hash_key(key) in self._operator_key_hashes:
             return Ok(ANY_TENANT)
--- a/src/rainsail/gateway/openai/files.py
+++ b/src/rainsail/gateway/openai/files.py
@@ -1,7 +1,7 @@
-"""Uploaded files: kept in this gateway's memory until a batch is made of them.
+"""Uploaded files, held in this gateway's memory until a batch is created from them.
 
-A file is not accepted work: what has been accepted is the batch, whose items are in the ledger.
-A gateway that restarts forgets its files, and the caller uploads again.
+Files are not durable: a restart loses them, and the caller has to upload them again. A batch is
+durable once it is accepted, because its items are in the ledger.
 """
 
 from collections import OrderedDict
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upload:
-    """What a caller uploads."""
+    """A parsed upload."""
 
     filename: str
     purpose: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredFile:
-    """An uploaded file; times are Unix seconds."""
+    """A stored file; times are Unix seconds."""
 
     file_id: str
     tenant: str
@@ -75,7 +75,7 @@
     if file is None:
         return Error(_invalid("file: the field is missing"))
     if purpose != _PURPOSE:
-        return Error(_invalid(f"purpose: only {_PURPOSE!r} is taken"))
+        return Error(_invalid(f"purpose: only {_PURPOSE!r} is supported"))
     return Ok(Upload(file.filename or "upload.jsonl", purpose, content))
 
 
@@ -84,7 +84,7 @@
 
 
 class FileStore:
-    """Keeps uploads, bounded in bytes and in time; the oldest go first."""
+    """Stores uploads up to a total size and an age; evicts the oldest first."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self._bytes = 0
 
     def add(self, tenant: str, upload: Upload) -> Result[StoredFile, Fault]:
-        """Keep an upload."""
+        """Store an upload; evict the oldest files when space is needed."""
         if len(upload.content) > self._max_bytes:
             detail = f"the file is longer than {self._max_bytes} bytes"
             return Error(Fault(FaultCode.TOO_LARGE, _UPLOAD_STEP, detail))
@@ -129,7 +129,7 @@
         return [stored for stored in self._files.values() if stored.tenant == tenant]
 
     def delete(self, tenant: str, file_id: str) -> Result[StoredFile, Fault]:
-        """Forget a tenant's file."""
+        """Delete a tenant's file."""
         found = self.get(tenant, file_id)
         if found.is_ok():
             self._remove(file_id)
--- a/src/rainsail/gateway/openai/headers.py
+++ b/src/rainsail/gateway/openai/headers.py
@@ -1,4 +1,4 @@
-"""The documented request headers of the caller API."""
+"""Request headers of the caller API."""
 
 import math
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What the headers of a request say; empty and 0 stand for a header that is not there."""
+    """Parsed request headers; a missing header is None, an empty string or 0."""
 
     request_class: RequestClass | None
     session: str
@@ -33,7 +33,7 @@
 
 
 def header(request: Any, name: str) -> str | None:
-    """Return a header's value."""
+    """Return a header's value, or None."""
     return request.getHeader(name)
 
 
--- a/src/rainsail/gateway/openai/job_intake.py
+++ b/src/rainsail/gateway/openai/job_intake.py
@@ -1,4 +1,4 @@
-"""What the caller API needs of ``rainsail.batch.intake.JobIntake``."""
+"""The part of ``rainsail.batch.intake.JobIntake`` that the caller API uses."""
 
 from typing import Protocol
 
@@ -11,7 +11,10 @@
 
 
 class Intake(Protocol):
-    """Takes, reads and cancels the jobs of tenants; no method errbacks."""
+    """Submits, reads and cancels the jobs of tenants.
+
+    The Deferreds never fire their errback; faults are in the results.
+    """
 
     def submit(
         self,
--- a/src/rainsail/gateway/openai/online_routes.py
+++ b/src/rainsail/gateway/openai/online_routes.py
@@ -1,4 +1,4 @@
-"""Routes of online requests: models, completions and chat completions."""
+"""HTTP routes for online requests: models, completions and chat completions."""
 
 import secrets
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class OnlineRoutes:
-    """Reads online requests and hands them to the gateway's core."""
+    """Parses online requests and submits them to the gateway's core."""
 
     def __init__(
         self,
@@ -136,10 +136,10 @@
 
     def _bounds_fault(self, prompt: str, bound: int) -> Fault | None:
         if bound > self._settings.max_tokens_limit:
-            detail = f"max_tokens: at most {self._settings.max_tokens_limit} are taken"
+            detail = f"max_tokens: at most {self._settings.max_tokens_limit} are allowed"
             return Fault(FaultCode.INVALID, _COMPLETIONS_STEP, detail)
         if len(prompt) > self._settings.max_prompt_characters:
-            detail = f"more than {self._settings.max_prompt_characters} characters of prompt"
+            detail = f"the prompt is longer than {self._settings.max_prompt_characters} characters"
             return Fault(FaultCode.TOO_LARGE, _COMPLETIONS_STEP, detail)
         return None
 
@@ -149,5 +149,5 @@
 
 
 def _model_object(service: Resource) -> dict[str, Any]:
-    """Return OpenAI's model object; resources carry revisions, not times."""
+    """Return OpenAI's model object; ``created`` is 0 because resources store no times."""
     return {"id": service.key.name, "object": "model", "created": 0, "owned_by": "rainsail"}
--- a/src/rainsail/gateway/openai/replies.py
+++ b/src/rainsail/gateway/openai/replies.py
@@ -1,4 +1,4 @@
-"""Reading bodies and writing JSON objects, alike for every route."""
+"""Helpers shared by the routes: read request bodies, write JSON objects."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def read_body(request: Any, max_bytes: int, step: str) -> Result[bytes, Fault]:
-    """Return the body, TOO_LARGE when it is longer than allowed on this route."""
+    """Return the body, or a TOO_LARGE fault when it is longer than ``max_bytes``."""
     data = request.content.read(max_bytes + 1)
     if len(data) > max_bytes:
         return Error(Fault(FaultCode.TOO_LARGE, step, f"the body is longer than {max_bytes} bytes"))
@@ -25,7 +25,7 @@
 
 
 def write_list(request: Any, objects: list[dict[str, Any]]) -> None:
-    """Answer with a list in OpenAI's shape, whole and without further pages."""
+    """Answer with an OpenAI list object that has a single page."""
     listed: dict[str, Any] = {"object": "list", "data": objects, "has_more": False}
     if objects:
         listed["first_id"] = objects[0]["id"]
--- a/src/rainsail/gateway/openai/responses.py
+++ b/src/rainsail/gateway/openai/responses.py
@@ -1,4 +1,4 @@
-"""The response bodies of completions and chat completions, whole and streamed."""
+"""Response bodies of completions and chat completions, streamed or not."""
 
 import json
 from dataclasses import dataclass
@@ -10,7 +10,10 @@
 
 _encode_string = json.encoder.encode_basestring_ascii
 _TEXT_PLACEHOLDER = "\x00"
-"""Stands for the text of a part; its last place counts, as a model's name may hold it too."""
+"""Placeholder for a part's text in the template.
+
+Its last occurrence is replaced, because a model's name may contain it too.
+"""
 
 
 def encode_json(value: Any) -> bytes:
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerShape:
-    """How answers of one endpoint look."""
+    """Object names and layout of one endpoint's answers."""
 
     id_prefix: str
     whole_object: str
@@ -37,7 +40,7 @@
     chat: bool
 
     def choice(self, text: str, finish_reason: str) -> dict[str, Any]:
-        """Return the choice of a whole answer."""
+        """Return the choice object of an answer that is not streamed."""
         choice: dict[str, Any] = {"index": 0, "logprobs": None, "finish_reason": finish_reason}
         if self.chat:
             choice["message"] = {"role": "assistant", "content": text, "refusal": None}
@@ -46,7 +49,7 @@
         return choice
 
     def part_choice(self, text: str, finish_reason: str | None) -> dict[str, Any]:
-        """Return the choice of a streamed part."""
+        """Return the choice object of a streamed part."""
         choice: dict[str, Any] = {"index": 0, "logprobs": None, "finish_reason": finish_reason}
         if not self.chat:
             choice["text"] = text
@@ -60,7 +63,7 @@
 
 
 class AnswerWriter:
-    """Writes one request's answer; what does not change is encoded once."""
+    """Encodes one request's answer; the constant bytes of a frame are encoded once."""
 
     def __init__(self, shape: AnswerShape, request_id: str, model: str, created: int) -> None:
         self._shape = shape
@@ -75,7 +78,7 @@
         return encode_json(body)
 
     def first_frame(self) -> bytes:
-        """Return what a stream begins with: for a chat, whose turn it is."""
+        """Return the first frame of a stream: the role for a chat, otherwise nothing."""
         if not self._shape.chat:
             return b""
         choice = self._shape.part_choice("", None)
@@ -83,11 +86,11 @@
         return b"data: " + self._part_json([choice]) + b"\n\n"
 
     def part_frame(self, text: str) -> bytes:
-        """Return the frame of a part."""
+        """Return the server-sent event of a part."""
         return self._before + _encode_string(text).encode() + self._after
 
     def last_frames(self, answer: Answer, include_usage: bool) -> bytes:
-        """Return the frames that end a stream."""
+        """Return the server-sent events that end a stream."""
         outcome = {"outcome": answer.outcome, "runner": answer.runner}
         choices = [self._shape.part_choice("", answer.finish_reason)]
         frames = b"data: " + self._part_json(choices, rainsail=outcome) + b"\n\n"
@@ -96,7 +99,7 @@
         return frames + DONE_FRAME
 
     def whole(self, answer: Answer) -> bytes:
-        """Return a whole answer."""
+        """Return the body of an answer that is not streamed."""
         body = {
             **self._head,
             "object": self._shape.whole_object,
--- a/src/rainsail/gateway/openai/sinks.py
+++ b/src/rainsail/gateway/openai/sinks.py
@@ -1,7 +1,7 @@
-"""Response sinks: a request's answer to an open HTTP response.
+"""Response sinks that write a request's answer to an HTTP response.
 
-The HTTP request must be finished exactly once. A caller that leaves abandons its request, one
-that reads slowly pauses it.
+The HTTP request must be finished exactly once. A disconnect of the caller abandons the request;
+back-pressure from its connection pauses it.
 """
 
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 def write_json(request: Any, status: int, body: bytes, headers: dict[str, str]) -> None:
-    """Write a whole JSON response and finish the request."""
+    """Write a JSON response and finish the HTTP request."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     for name, value in headers.items():
@@ -26,13 +26,13 @@
 
 
 def write_fault(request: Any, fault: Fault) -> None:
-    """Answer with a fault and finish the request."""
+    """Answer with a fault and finish the HTTP request."""
     write_json(request, fault.http_status, encode_json(error_body(fault)), error_headers(fault))
 
 
 @implementer(IPushProducer)
 class ResponseSession:
-    """Ties an HTTP response to a request at the gateway; a ``ResponseSink``."""
+    """A ``ResponseSink`` that writes the complete answer as one HTTP response."""
 
     def __init__(self, request: Any, writer: AnswerWriter) -> None:
         self._request = request
@@ -52,7 +52,7 @@
             handle.pause()
 
     def _disconnected(self, _: Any) -> None:
-        """The connection is gone before the answer's end."""
+        """Abandon the request: the connection was closed before the end of the answer."""
         handle, self._handle = self._handle, None
         was_open, self._open = self._open, False
         if was_open and handle is not None:
@@ -64,10 +64,10 @@
         return was_open
 
     def on_part(self, text: str, tokens: int) -> None:
-        """Take a part; a whole answer needs none."""
+        """Ignore a part: the answer is written at the end."""
 
     def on_answer(self, answer: Answer) -> None:
-        """Write the whole answer."""
+        """Write the complete answer."""
         if self._close():
             headers = {OUTCOME_HEADER: str(answer.outcome)}
             write_json(self._request, 200, self._writer.whole(answer), headers)
@@ -78,23 +78,23 @@
             write_fault(self._request, fault)
 
     def pauseProducing(self) -> None:
-        """The caller's connection is full."""
+        """Pause the request: the connection's send buffer is full."""
         self._paused = True
         if self._handle is not None:
             self._handle.pause()
 
     def resumeProducing(self) -> None:
-        """The caller's connection takes more."""
+        """Resume the request: the connection accepts data again."""
         self._paused = False
         if self._handle is not None:
             self._handle.unpause()
 
     def stopProducing(self) -> None:
-        """The caller's connection is gone; ``notifyFinish`` abandons the request."""
+        """Do nothing: ``notifyFinish`` abandons the request on a closed connection."""
 
 
 class StreamSession(ResponseSession):
-    """Writes the answer as server-sent events as it comes."""
+    """Writes each part of the answer as a server-sent event when it arrives."""
 
     def __init__(self, request: Any, writer: AnswerWriter, include_usage: bool) -> None:
         super().__init__(request, writer)
@@ -125,7 +125,7 @@
         self._finish(self._writer.last_frames(answer, self._include_usage))
 
     def on_fault(self, fault: Fault) -> None:
-        """Write the fault: as a response when nothing was sent yet, else as an event."""
+        """Write the fault: as an HTTP error if nothing was sent yet, otherwise as an event."""
         if not self._close():
             return
         if not self._begun:
--- a/src/rainsail/gateway/openai/site.py
+++ b/src/rainsail/gateway/openai/site.py
@@ -1,4 +1,4 @@
-"""The web site of the caller API: bodies are bounded, texts are UTF-8, before a handler runs."""
+"""Twisted site of the caller API: limits body sizes and validates request heads (UTF-8)."""
 
 from typing import Any
 
@@ -16,10 +16,10 @@
 
 
 class BoundedRequest(UnframedAnswerRequest):
-    """A request whose body may not grow past ``max_body_bytes``.
+    """A request with a body of at most ``max_body_bytes``.
 
-    A longer one is answered with 413 as soon as its length is known, and its connection is closed.
-    Bodies are left to the handlers: Twisted's own parsing of forms into memory is left out.
+    A longer body is answered with 413 as soon as its length is known, and the connection is closed.
+    Handlers parse the bodies themselves; Twisted's parsing of forms into memory is bypassed.
     """
 
     max_body_bytes = 0
@@ -30,13 +30,13 @@
         self._refused = False
 
     def gotLength(self, length: int | None) -> None:
-        """Refuse a body that says that it is too long."""
+        """Refuse a body whose Content-Length is too large."""
         super().gotLength(length)
         if length is not None and length > self.max_body_bytes:
             self._refuse()
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keep a piece of the body, unless it is too long."""
+        """Store a piece of the body, unless the body is too long."""
         self._taken_bytes += len(data)
         if self._refused:
             return
@@ -46,7 +46,7 @@
         super().handleContentChunk(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Hand a whole request on."""
+        """Process a completely received request."""
         if self._refused or self.content is None:
             return
         self.content.seek(0, 0)
@@ -78,7 +78,7 @@
 
 
 def make_site(resource: Any, max_body_bytes: int) -> Site:
-    """Return a site that serves ``resource`` and bounds bodies."""
+    """Return a site that serves ``resource`` and limits the size of bodies."""
 
     def make_request(*arguments: Any, **keywords: Any) -> BoundedRequest:
         request = BoundedRequest(*arguments, **keywords)
--- a/src/rainsail/gateway/openai/slices.py
+++ b/src/rainsail/gateway/openai/slices.py
@@ -1,4 +1,4 @@
-"""Turns of the reactor for long work, so that online requests go on in between."""
+"""Cooperative scheduling of long work, so that it does not delay online requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,13 +6,14 @@
 from twisted.internet.task import Cooperator
 
 SLICE_PAUSE_S = 0.001
-"""Seconds between two slices; in them every other event of the reactor has its turn."""
+"""Seconds between two slices, in which the reactor handles other events."""
 
 
 def make_cooperator() -> Cooperator:
     """Return a cooperator that runs one slice of one task at a time.
 
-    Twisted's own runs slices for 10 ms on end, which an online request meets in each of its steps.
+    Twisted's default runs slices for 10 ms at a stretch, which can delay each step of an online
+    request.
     """
     return Cooperator(terminationPredicateFactory=_after_one_slice, scheduler=_after_pause)
 
