--- a/features/caller_api/batches.feature
+++ b/features/caller_api/batches.feature
@@ -1,5 +1,5 @@
 Feature: Files and batches over the OpenAI-compatible caller API
-  A batch is answered once its job is accepted; its results are read from the ledger.
+  The creation of a batch is answered once its job is accepted; results are read from the ledger.
 
   Background:
     Given a caller API over a gateway double
@@ -12,7 +12,7 @@
     And the batch's error file names the item "item-1"
     And the results were read in 3 pages or more a file
 
-  Scenario: A batch sent again is the same batch, other content under its key a conflict
+  Scenario: A batch created again is the same batch; other content under its key is a conflict
     When the OpenAI client uploads a batch file of 3 completions
     And the OpenAI client creates a batch of the file
     And the OpenAI client creates a batch of the file again
@@ -36,7 +36,7 @@
     When the OpenAI client deletes the file
     Then the OpenAI client does not find the file
 
-  Scenario Outline: A wrong line is named, and nothing is submitted
+  Scenario Outline: An invalid line is named, and nothing is submitted
     When the OpenAI client uploads a batch file with the second line <line>
     And the OpenAI client creates a batch of the file that is refused
     Then the refusal names "<detail>"
@@ -58,7 +58,7 @@
     When a raw caller posts {} to /v1/files
     Then the raw caller gets status 400 at step "caller_api.files" naming "multipart"
 
-  Scenario: Stored files are bounded, the oldest go first
+  Scenario: The total size of stored files is limited; the oldest are evicted first
     Given a caller API that keeps at most 1000 bytes of files
     When the OpenAI client uploads files of 400, 400 and 400 bytes
     Then only the last 2 files are kept
--- a/features/caller_api/embedded.feature
+++ b/features/caller_api/embedded.feature
@@ -1,25 +1,25 @@
 Feature: The OpenAI client library against a fleet that rainsail up runs
-  Whole path: client, gateway, engine and back over sockets; batches through the replicated log.
+  End to end: client, gateway, engine and back over sockets; batches through the replicated log.
 
   Background:
     Given a fleet that rainsail up runs
 
-  Scenario: Models, completions and chats, whole and streamed
+  Scenario: Models, completions and chats, streamed or not
     Then the live OpenAI client lists the models "reports"
-    And a live completion of 24 tokens is whole, with usage and the outcome "completed"
-    And a live streamed completion of 24 tokens comes in parts and is whole
-    And a live chat of 24 tokens is whole
-    And a live streamed chat of 24 tokens comes in parts and is whole
+    And a live completion of 24 tokens is complete, with usage and the outcome "completed"
+    And a live streamed completion of 24 tokens comes in parts and is complete
+    And a live chat of 24 tokens is complete
+    And a live streamed chat of 24 tokens comes in parts and is complete
 
   Scenario: A file becomes a batch, which completes, each item once
     When the live OpenAI client uploads a file of 12 completions and creates a batch of it
     Then the live batch completes with 12 of 12 items
-    And the live batch's output has each of the 12 items once with its whole answer
+    And the live batch's output has each of the 12 items once with its complete answer
     And the live batch's output reads the same a second time
     And creating the live batch again under its key gives the same batch
     And another file under the live batch's key is a conflict
 
-  Scenario: The same ping sent twice runs at most once
+  Scenario: A non-repeatable completion sent twice runs at most once
     When the live OpenAI client sends a non-repeatable completion twice under one idempotency key
     Then both sends of the live ping have the same answer
     And the fleet's engines began the ping "ping-1" once
@@ -40,7 +40,7 @@
       | /v1/files            | 400    | caller_api.files       | {}                                            |
       | /v1/nothing          | 404    | caller_api.route       | {}                                            |
 
-  Scenario: A body over the bound is refused
+  Scenario: A body over the size limit is refused
     When a live caller posts a completion with a prompt of 30000 characters
     Then the live caller gets status 413 at step "caller_api.completions" as not run
     And the fleet has no further job and no further execution
--- a/features/caller_api/online.feature
+++ b/features/caller_api/online.feature
@@ -1,5 +1,5 @@
 Feature: Online requests over the OpenAI-compatible caller API
-  Callers use the OpenAI client library unchanged. What is refused says whether it was run.
+  Callers use the unmodified OpenAI client library. A fault states whether the request was run.
 
   Background:
     Given a caller API over a gateway double
@@ -8,11 +8,11 @@
     When the OpenAI client lists the models
     Then the caller API listed the models "reports"
 
-  Scenario: A completion comes back whole, with usage and outcome
+  Scenario: A completion is answered completely, with usage and outcome
     When the OpenAI client asks for a completion of "where is my box"
     Then the completion reads "Reefer fine."
     And the completion reports 3 prompt tokens and 2 completion tokens
-    And the caller API told the outcome "completed"
+    And the caller API reported the outcome "completed"
     And the gateway double saw the prompt "where is my box" of tenant "exporter"
 
   Scenario: A completion is streamed part by part
@@ -20,7 +20,7 @@
     Then the streamed parts were "Reefer |fine."
     And the stream ended with finish reason "stop" and 5 total tokens
 
-  Scenario: A chat is answered whole and streamed
+  Scenario: A chat is answered at once or streamed
     When the OpenAI client chats "how warm is it"
     Then the chat answer reads "Reefer fine."
     And the gateway double saw the prompt of a chat with "how warm is it"
@@ -31,7 +31,7 @@
     When the OpenAI client asks with class "non_repeatable", session "s-9", deadline "4.5" and idempotency key "ping-17"
     Then the gateway double saw class "non_repeatable", session "s-9", deadline 4.5 and request id "ping-17"
 
-  Scenario Outline: A fault before the first part is an HTTP error that says what was run
+  Scenario Outline: A fault before the first part is an HTTP error that states the outcome
     Given the gateway double answers with a fault <code> of outcome <outcome> and retry after 1.5 s
     When the OpenAI client asks for a completion that fails
     Then the caller API answered status <status> with outcome <outcome> and should-retry <retry>
@@ -65,14 +65,14 @@
       | /v1/nothing          | 404    | caller_api.route       | 404         | {}                                                    |
       | /v1/models           | 400    | caller_api.route       | 405         | {}                                                    |
 
-  Scenario: A wrong header is refused
+  Scenario: An invalid header is refused
     When a raw caller posts a completion with header "X-Rainsail-Deadline: soon"
     Then the raw caller gets status 400 at step "caller_api.headers" naming "X-Rainsail-Deadline"
     When a raw caller posts a completion with header "X-Rainsail-Class: urgent"
     Then the raw caller gets status 400 at step "caller_api.headers" naming "X-Rainsail-Class"
     And the gateway double saw no request
 
-  Scenario: A body over the bound is refused before it is read
+  Scenario: A body over the size limit is refused before it is read
     Given a caller API that takes bodies of at most 2000 bytes
     When a raw caller posts a completion with a prompt of 3000 characters
     Then the raw caller gets status 413 at step "caller_api.completions" naming "2000"
@@ -82,7 +82,7 @@
     Then the raw caller gets status 413 at step "caller_api.body" naming "bytes"
     And the gateway double saw no request
 
-  Scenario: Unknown keys are refused, and nobody is let in before the configuration is read
+  Scenario: Unknown keys are refused, and all requests before the configuration is read
     When the OpenAI client asks with the key "nobody's"
     Then the OpenAI client got an authentication error
     Given the caller API has read no configuration yet
@@ -90,10 +90,10 @@
     Then the caller API answered status 503 with outcome not_run and should-retry true
     And the gateway double saw no request
 
-  Scenario: A caller that leaves abandons its request
+  Scenario: A caller that disconnects abandons its request
     Given the gateway double leaves requests open
     When a raw caller starts a streamed completion and leaves
-    Then the gateway double's request was told "abandon"
+    Then the gateway double's request got the call "abandon"
 
   Scenario: A caller that reads slowly pauses its request
     Given the gateway double leaves requests open
--- a/features/gateway/defects.feature
+++ b/features/gateway/defects.feature
@@ -1,6 +1,6 @@
-Feature: Each known-bad variant of the gateway is noticed by a check that passes without it
+Feature: Each known defect of the gateway is detected by a check that passes without it
 
-  Scenario Outline: The check passes on the gateway as it is
+  Scenario Outline: The check passes on the unmodified gateway
     When the gateway check "<check>" runs
     Then the gateway check finds nothing wrong
 
@@ -12,10 +12,10 @@
       | leaving runners left alone |
       | planned stop cuts nothing |
 
-  Scenario Outline: The check notices the defect
+  Scenario Outline: The check detects the defect
     Given the gateway has the defect "<defect>"
     When the gateway check "<check>" runs
-    Then the gateway check finds a breach
+    Then the gateway check finds a violation
 
     Examples:
       | defect             | check                      |
--- a/features/gateway/limits.feature
+++ b/features/gateway/limits.feature
@@ -1,25 +1,25 @@
-Feature: Limits hold for each tenant, and what can't be served in time is refused at once
+Feature: Limits apply per tenant, and requests that can't be served in time are refused at once
 
-  Scenario: A tenant's flood beyond its quota leaves another tenant's tail alone
+  Scenario: A tenant that exceeds its quota does not raise another tenant's tail latency
     Given a busy gateway fleet of 3 runners and 1 gateway
     And gateway tenant "shipper" has a quota of 400 tokens per second
     When "hotel" sends 8 and "shipper" 7 requests per second to the gateway
     And the same gateway traffic runs with "shipper" sending 80 requests per second
-    Then the 99th percentile of "hotel" moved by at most 10 percent
-    And every refused gateway caller was told at once, with a time to come back
+    Then the 99th percentile of "hotel" rose by at most 10 percent
+    And every refused gateway caller was refused at once, with a retry-after time
     And no refused gateway request was run
 
-  Scenario: A flood within a wide quota leaves the slots that other tenants need
+  Scenario: A flood within a large quota does not take the slots that other tenants need
     Given a busy gateway fleet of 3 runners and 1 gateway
     And gateway tenant "shipper" has a quota of 1000000 tokens per second
     When "hotel" sends 8 and "shipper" 30 requests per second to the gateway
     And the same gateway traffic runs with "shipper" sending 100 requests per second
-    Then the 99th percentile of "hotel" moved by at most 10 percent
-    And every refused gateway caller was told at once, with a time to come back
+    Then the 99th percentile of "hotel" rose by at most 10 percent
+    And every refused gateway caller was refused at once, with a retry-after time
 
-  Scenario Outline: The tail of random arrivals moves by at most 10 percent in a flood twenty times as large
+  Scenario Outline: The tail latency of random arrivals rises by at most 10 percent in a flood twenty times as large
     When the gateway bench measures the flood "<flood>" from one seed
-    Then the tail of the calm tenant moved by at most 10 percent and none of its requests was refused
+    Then the tail latency of the calm tenant rose by at most 10 percent and none of its requests was refused
     And the bench found no refused request that had run
 
     Examples:
@@ -35,17 +35,17 @@
     And 3 seconds of gateway time pass
     Then the last 5 gateway callers had their first part within 0.25 seconds
 
-  Scenario: A queue that is too long refuses at once, and what it refused was not run
+  Scenario: Requests are refused at once when the queue is too long, and are not run
     Given a busy gateway fleet of 1 runner and 1 gateway
     When 20 gateway callers ask, 50 ms apart
     And 300 gateway callers ask at once
     And 20 seconds of gateway time pass
     Then some gateway callers were refused
-    And every refused gateway caller was told at once, with a time to come back
+    And every refused gateway caller was refused at once, with a retry-after time
     And no refused gateway request was run
-    And every other gateway caller has its whole answer
+    And every other gateway caller has its complete answer
 
-  Scenario: Waiting ends by the bound of the queue
+  Scenario: No request waits longer than the time limit of the queue
     Given a busy gateway fleet of 1 runner and 1 gateway
     When 300 gateway callers ask at once
     And 20 seconds of gateway time pass
@@ -57,16 +57,16 @@
     When 20 gateway callers ask, 50 ms apart
     And 40 gateway callers ask at once
     And a gateway caller asks with a deadline of 0.3 seconds
-    Then the last gateway caller was told "not_run" at once
+    Then the last gateway caller got the outcome "not_run" at once
 
-  Scenario: Without control a tenant keeps its minimum share and no more
+  Scenario: Without control a tenant has only its minimum share
     Given a busy gateway fleet of 3 runners and 2 gateways
     And gateway tenant "shipper" has a quota of 4000 tokens per second
-    And control has been away from the gateways for 10 seconds
+    And control has been unreachable from the gateways for 10 seconds
     When "shipper" sends 20 requests per second to each gateway for 20 seconds
     Then "shipper" was granted between 7000 and 9500 tokens by both gateways together
 
-  Scenario: Shares lent by demand let one gateway use nearly the whole quota
+  Scenario: Shares lent by demand let one gateway use nearly the full quota
     Given a busy gateway fleet of 3 runners and 2 gateways
     And gateway tenant "shipper" has a quota of 1000 tokens per second
     When "shipper" sends 30 requests per second to gateway 0 for 20 seconds
--- a/features/gateway/runner_reconciler.feature
+++ b/features/gateway/runner_reconciler.feature
@@ -1,4 +1,4 @@
-Feature: The owner of a runner orders what is wanted and reports what is there
+Feature: The owner of a runner sends the required orders and reports the observed status
 
   Scenario: A wanted version is ordered once, loaded and reported
     Given a gateway fleet of 2 runners and 2 gateways without weights
@@ -8,9 +8,9 @@
     And orders to load were sent 1 time by all gateways together
     When 1 gateway caller asks at once
     And 3 seconds of gateway time pass
-    Then every gateway caller has its own whole answer
+    Then every gateway caller has its own complete answer
 
-  Scenario: An engine that restarted empty is ordered to load again
+  Scenario: An engine that restarted without a version is ordered to load it again
     Given a gateway fleet of 2 runners and 1 gateway without weights
     When version "v1" is placed on "runner-0" under fence 1
     And 8 seconds of gateway time pass
@@ -20,11 +20,11 @@
     When 10 seconds of gateway time pass
     Then the status of "runner-0" reports version "v1" ready under fence 1
 
-  Scenario: A dead engine is reported as out of reach
+  Scenario: A crashed engine is reported as unreachable
     Given a gateway fleet of 2 runners and 1 gateway
     When "runner-0" of the gateway fleet crashes
     And 4 seconds of gateway time pass
-    Then the status of "runner-0" reports it out of reach
+    Then the status of "runner-0" reports it unreachable
 
   Scenario: An order with an old fence changes nothing
     Given a gateway fleet of 1 runner and 1 gateway without weights
@@ -40,10 +40,10 @@
     And 14 seconds of gateway time pass
     Then the status of "runner-0" reports version "v1" ready under fence 1
 
-  Scenario: A status written at the same time by another is read again and kept
+  Scenario: A concurrent write of the status is read again and not overwritten
     Given a gateway fleet of 1 runner and 1 gateway without weights
     When version "v1" is placed on "runner-0" under fence 1
-    And the placement raises the fence of "runner-0" at every moment for 6 seconds
+    And the placement raises the fence of "runner-0" repeatedly for 6 seconds
     And 5 seconds of gateway time pass
     Then the status of "runner-0" reports version "v1" ready under the fence last raised
 
@@ -63,11 +63,11 @@
     And 6 seconds of gateway time pass
     Then the engine of "runner-0" has the role "batch_only"
 
-  Scenario: A status that could not be written while control was away is written later
+  Scenario: A status that could not be written while control was unreachable is written later
     Given a gateway fleet of 2 runners and 1 gateway
-    And control is away from the gateways
+    And control is unreachable from the gateways
     When "runner-0" of the gateway fleet crashes
     And 4 seconds of gateway time pass
-    And control is back
+    And control is reachable again
     And 5 seconds of gateway time pass
-    Then the status of "runner-0" reports it out of reach
+    Then the status of "runner-0" reports it unreachable
--- a/features/gateway/sessions.feature
+++ b/features/gateway/sessions.feature
@@ -1,4 +1,4 @@
-Feature: A session stays on one runner, moves with its cache, survives a crash
+Feature: A session stays on one runner, moves with its cache and survives a crash
 
   Scenario: Turns carry the transcript and stay on their runner
     Given a gateway fleet of 3 runners and 1 gateway
@@ -50,7 +50,7 @@
     And session "container-7" is on another runner under fence 2
     And no two runs of "container-7" overlapped
 
-  Scenario: The runner that a session moves to leaves during the move
+  Scenario: The runner that a session moves to starts to drain during the move
     Given a gateway fleet of 3 runners and 1 gateway
     And a gateway session "container-7"
     And exports of the gateway fleet take 0.5 seconds
@@ -61,10 +61,10 @@
     And 3 seconds of gateway time pass
     And 1 turn of "container-7" is taken through gateway 0
     Then every turn of "container-7" has the answer that its transcript gives
-    And session "container-7" went on from the runner that it was moved to first
+    And session "container-7" continued from the runner that it was moved to first
     And no two runs of "container-7" overlapped
 
-  Scenario: A session that comes to another gateway is taken over, and the first learns of it
+  Scenario: A session is taken over by another gateway and back by the first
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
     When 1 turn of "container-7" is taken through gateway 0
@@ -74,7 +74,7 @@
     And all runs of "container-7" were on one runner
     And the record of "container-7" holds 3 turns under fence 3
 
-  Scenario: A gateway that held a session before leaves it alone when its runner drains
+  Scenario: A gateway that no longer holds a session does not move it when its runner drains
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
     When 1 turn of "container-7" is taken through gateway 0
@@ -86,23 +86,24 @@
     Then every turn of "container-7" has the answer that its transcript gives
     And the record of "container-7" holds 3 turns under fence 3
 
-  Scenario: Two gateways race for a session and no turn is lost or doubled in its record
+  Scenario: Two gateways compete for a session and no turn is lost or duplicated in its record
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
     When 1 turn of "container-7" is sent to each gateway at once
     And 10 seconds of gateway time pass
-    Then each turn of "container-7" was answered and recorded, or told to be unknown or not run
+    Then each turn of "container-7" was answered and recorded, or reported as unknown or not run
 
-  Scenario: A turn whose record is lost is told to be unknown
+  Scenario: A turn whose recording is not acknowledged ends as unknown
     Given a gateway fleet of 3 runners and 1 gateway
     And a gateway session "container-7"
     And the answers to recorded turns are lost
     When 1 turns of "container-7" are sent to gateway 0 at once
     And 10 seconds of gateway time pass
-    Then gateway caller 0 was told "unknown"
+    Then gateway caller 0 got the outcome "unknown"
 
-  Scenario: A turn sent again after its record's answer was lost is answered from the record
-    It was run again on a transcript that held it already, so its answer was another one.
+  Scenario: A retried turn whose recording was not acknowledged is answered from the record
+    Guards against running the turn again on a transcript that already contains it, which would give
+    a different answer.
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
     And the answers to recorded turns are lost
@@ -117,7 +118,7 @@
     Given a gateway fleet of 3 runners and 1 gateway
     And a gateway session "container-7" of another tenant
     When 1 turns of "container-7" are sent to gateway 0 at once
-    Then gateway caller 0 was told "not_run"
+    Then gateway caller 0 got the outcome "not_run"
 
   Scenario: The runner that a session moves from dies during the move
     Given a gateway fleet of 3 runners and 1 gateway
@@ -133,7 +134,7 @@
     And session "container-7" is on another runner under fence 2
     And no two runs of "container-7" overlapped
 
-  Scenario: A session whose export is lost moves all the same, from its transcript
+  Scenario: A session whose export is lost is moved without its cache, from its transcript
     Given a gateway fleet of 3 runners and 1 gateway
     And a gateway session "container-7"
     And every "export_kv" on the gateway's links is lost
@@ -145,7 +146,7 @@
     And session "container-7" is on another runner under fence 2
     And no cache of a session was imported
 
-  Scenario: A session whose gateway and runner are both gone goes on at another gateway
+  Scenario: A session whose gateway and runner have both failed continues at another gateway
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
     When 1 turn of "container-7" is taken through gateway 0
--- a/features/steps/caller_api_embedded_steps.py
+++ b/features/steps/caller_api_embedded_steps.py
@@ -43,7 +43,7 @@
     assert found == names.split(), found
 
 
-@then('a live completion of {tokens:d} tokens is whole, with usage and the outcome "{outcome}"')
+@then('a live completion of {tokens:d} tokens is complete, with usage and the outcome "{outcome}"')
 def live_completion(context, tokens, outcome):
     raw = _client(context).completions.with_raw_response.create(
         model=SERVICE, prompt=QUESTION, max_tokens=tokens
@@ -54,7 +54,7 @@
     assert raw.headers["x-rainsail-outcome"] == outcome, raw.headers
 
 
-@then("a live streamed completion of {tokens:d} tokens comes in parts and is whole")
+@then("a live streamed completion of {tokens:d} tokens comes in parts and is complete")
 def live_stream(context, tokens):
     stream = _client(context).completions.create(
         model=SERVICE, prompt=QUESTION, max_tokens=tokens, stream=True
@@ -64,7 +64,7 @@
     assert "".join(parts) == expected_answer(SERVICE, QUESTION, tokens, 0), parts
 
 
-@then("a live chat of {tokens:d} tokens is whole")
+@then("a live chat of {tokens:d} tokens is complete")
 def live_chat(context, tokens):
     answer = _client(context).chat.completions.create(
         model=SERVICE, messages=_messages(), max_tokens=tokens
@@ -72,7 +72,7 @@
     assert answer.choices[0].message.content == _chat_answer(tokens), answer
 
 
-@then("a live streamed chat of {tokens:d} tokens comes in parts and is whole")
+@then("a live streamed chat of {tokens:d} tokens comes in parts and is complete")
 def live_chat_stream(context, tokens):
     stream = _client(context).chat.completions.create(
         model=SERVICE, messages=_messages(), max_tokens=tokens, stream=True
@@ -132,7 +132,7 @@
     return [json.loads(line) for line in text.splitlines()]
 
 
-@then("the live batch's output has each of the {count:d} items once with its whole answer")
+@then("the live batch's output has each of the {count:d} items once with its complete answer")
 def live_output(context, count):
     context.live_output = _read_output(context)
     answers = [
--- a/features/steps/caller_api_online_steps.py
+++ b/features/steps/caller_api_online_steps.py
@@ -103,7 +103,7 @@
     assert (usage.prompt_tokens, usage.completion_tokens) == (prompt, answer), usage
 
 
-@then('the caller API told the outcome "{outcome}"')
+@then('the caller API reported the outcome "{outcome}"')
 def told_outcome(context, outcome):
     assert context.outcome == outcome
 
@@ -302,7 +302,7 @@
     open_stream(context).close()
 
 
-@then('the gateway double\'s request was told "{what}"')
+@then('the gateway double\'s request got the call "{what}"')
 def was_told(context, what):
     run = context.api.gateway.runs[0]
     wait_until(lambda: what in run.told, f"told {what}")
--- a/features/steps/gateway_defect_steps.py
+++ b/features/steps/gateway_defect_steps.py
@@ -1,4 +1,4 @@
-"""Steps that put one mechanism of the gateway out of order and run a check."""
+"""Steps that disable one mechanism of the gateway and run a check."""
 
 from unittest import mock
 
@@ -24,6 +24,6 @@
     assert context.breaches == [], context.breaches
 
 
-@then("the gateway check finds a breach")
+@then("the gateway check finds a violation")
 def finds_breach(context):
     assert context.breaches, "the check noticed nothing"
--- a/features/steps/gateway_drain_steps.py
+++ b/features/steps/gateway_drain_steps.py
@@ -24,18 +24,18 @@
     context.fleet.gateways[index].core.drain().addCallback(context.reports.append)
 
 
-@then("the first {count:d} gateway callers have their whole answers")
+@then("the first {count:d} gateway callers have their complete answers")
 def first_whole(context, count):
     for caller in context.fleet.callers[:count]:
         assert caller.is_whole(), (caller.request.request_id, caller.faults)
 
 
-@then("the planned stop is over and cut nothing")
+@then("the planned stop is over and aborted nothing")
 def cut_nothing(context):
     assert [report.aborted for report in context.reports] == [()], context.reports
 
 
-@then("the planned stop is over and cut the request of gateway caller {index:d}")
+@then("the planned stop is over and aborted the request of gateway caller {index:d}")
 def cut_one(context, index):
     request = context.fleet.callers[index].request
     names = (RequestName(request.tenant, request.request_id),)
@@ -65,7 +65,7 @@
         context.fleet.ask(request_id, tokens=tokens, tenant=tenant)
 
 
-@then('the planned stop is over and cut "{request_id}" of "{one}" and of "{other}" alone')
+@then('the planned stop is over and aborted "{request_id}" of "{one}" and of "{other}" alone')
 def cut_both(context, request_id, one, other):
     names = (RequestName(one, request_id), RequestName(other, request_id))
     assert [report.aborted for report in context.reports] == [names], context.reports
@@ -74,7 +74,7 @@
         assert bool(caller.faults) == was_cut, (caller.request, caller.faults)
 
 
-@then("the log of the gateway has a warning for each request that was cut")
+@then("the log of the gateway has a warning for each aborted request")
 def cut_logged(context):
     warned = [
         (record["extra"]["tenant"], record["extra"]["request_id"])
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the gateway's view of its runners: leaving, lying, failing, caching, owning."""
+"""Steps on a gateway's view of its runners: draining, false reports, ejection, caches, owners."""
 
 from dataclasses import replace
 from random import Random
@@ -56,12 +56,12 @@
     engine.subscribe = lambda on_load, on_cache: lambda: None
 
 
-@when('"{runner}" of the gateway fleet is wanted again')
+@when('"{runner}" of the gateway fleet is no longer drained by its resource')
 def wanted_again(context, runner):
     _change_spec(context.fleet, runner, drain=False)
 
 
-@when('the draining mark of "{runner}" of the gateway fleet is taken back')
+@when('the draining mark of "{runner}" of the gateway fleet is removed')
 def take_mark_back(context, runner):
     fleet = context.fleet
     resource = fleet.state.get(ResourceKey(Kind.RUNNER, runner))
@@ -70,7 +70,10 @@
     fleet.publish()
 
 
-@then('"{runner}" of the gateway fleet began nothing after it had left for {seconds:g} seconds')
+@then(
+    '"{runner}" of the gateway fleet started no request later than {seconds:g} seconds '
+    "after it had left"
+)
 def began_nothing(context, runner, seconds):
     limit_s = context.left_s + seconds
     late = [
@@ -126,7 +129,7 @@
     assert context.fleet.gateways[0].fleet.runners_out() == len(out)
 
 
-@when("{count:d} gateway callers with {kinds:d} long common beginnings ask, {gap_ms:d} ms apart")
+@when("{count:d} gateway callers with {kinds:d} long common prefixes ask, {gap_ms:d} ms apart")
 def ask_common(context, count, kinds, gap_ms):
     random = Random(5)
     for index in range(count):
@@ -249,7 +252,7 @@
     _list_blocks(context.view, 6)
 
 
-@then("the gateway cache view is whole")
+@then("the gateway cache view is complete")
 def is_whole(context):
     assert not context.view.stale
     assert context.view.matched_blocks(tuple(range(1, 10))) == 8
--- a/features/steps/gateway_followed_runners_steps.py
+++ b/features/steps/gateway_followed_runners_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which runners a gateway of a large fleet follows."""
+"""Steps on the runners that a gateway of a large fleet follows."""
 
 from behave import given, then, when
 from features.support.declared_fleet import node_name, runner_name
@@ -10,37 +10,37 @@
 REPORTS_S = 5.0
 
 
-@given("a lone gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners")
+@given("a single gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners")
 def make_lone_gateway(context, zones, nodes, runners):
     context.lone = FollowingGateway(zones, nodes, runners)
 
 
 @given(
-    "another lone gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners"
+    "another single gateway of a fleet of {zones:d} zones, {nodes:d} nodes and {runners:d} runners"
 )
 def make_other_gateway(context, zones, nodes, runners):
     context.other_lone = FollowingGateway(zones, nodes, runners)
 
 
-@then("the lone gateway follows {count:d} runners")
+@then("the single gateway follows {count:d} runners")
 def follows_count(context, count):
     assert len(context.lone.followed()) == count
     assert context.lone.engines.subscriptions == count
 
 
-@then("the lone gateway follows every runner of its zone")
+@then("the single gateway follows every runner of its zone")
 def follows_zone(context):
     lone = context.lone
     own = [runner_name(n) for n in range(0, lone.size.runners, lone.size.zones)]
     assert [name for name in own if name not in lone.followed()] == []
 
 
-@then("the lone gateway follows between {least:d} and {most:d} runners of other zones")
+@then("the single gateway follows between {least:d} and {most:d} runners of other zones")
 def follows_some(context, least, most):
     assert least <= len(context.lone.sample()) <= most, len(context.lone.sample())
 
 
-@then("the other lone gateway gets at most {percent:d} percent more load reports")
+@then("the other single gateway gets at most {percent:d} percent more load reports")
 def few_more_reports(context, percent):
     counts = []
     for gateway in (context.lone, context.other_lone):
@@ -67,23 +67,23 @@
     assert set(chosen) != set(lone.sample())
 
 
-@when("the other nodes of the lone gateway's fleet are deleted")
+@when("the other nodes of the single gateway's fleet are deleted")
 def delete_nodes(context):
     context.lone.delete_other_nodes()
 
 
-@when("{seconds:g} second of the lone gateway's time passes")
+@when("{seconds:g} second of the single gateway's time passes")
 def time_passes(context, seconds):
     context.lone.clock.advance(seconds)
 
 
-@then("the lone gateway follows {count:d} runners and owns all of them")
+@then("the single gateway follows {count:d} runners and owns all of them")
 def owns_all(context, count):
     follows_count(context, count)
     assert len(context.lone.fleet.owned_runners()) == count
 
 
-@when("the lone gateway is asked to follow {count:d} more runners of other zones")
+@when("the single gateway is asked to follow {count:d} more runners of other zones")
 def ask_to_follow(context, count):
     lone = context.lone
     followed = lone.followed()
@@ -100,13 +100,13 @@
     assert followed == context.asked[-count:], followed
 
 
-@then("the lone gateway knows the load of each")
+@then("the single gateway knows the load of each")
 def load_known(context):
     states = context.lone.fleet.runners()
     assert [state.name for state in states if state.report is None or state.silent] == []
 
 
-@when("a runner that the lone gateway does not follow moves to its zone")
+@when("a runner that the single gateway does not follow moves to its zone")
 def move_runner(context):
     lone = context.lone
     followed = lone.followed()
@@ -115,16 +115,16 @@
     lone.put_runner(context.moved, lone.size.zone(0))
 
 
-@when("the runner of the lone gateway's fleet moves back")
+@when("the runner of the single gateway's fleet moves back")
 def move_back(context):
     context.lone.put_runner(context.moved, context.lone.size.zone(1))
 
 
-@then("the lone gateway follows that runner")
+@then("the single gateway follows that runner")
 def follows_moved(context):
     assert context.moved in context.lone.followed()
 
 
-@then("the lone gateway does not follow that runner")
+@then("the single gateway does not follow that runner")
 def follows_moved_not(context):
     assert context.moved not in context.lone.followed()
--- a/features/steps/gateway_limit_steps.py
+++ b/features/steps/gateway_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on admission: quotas, floods, fairness, bounds of the queue."""
+"""Steps on admission control: quotas, floods, fairness, queue limits."""
 
 from behave import given, then, when
 from features.support.gateway import COARSE_TOKENS_PER_CHUNK, GatewayFleet
@@ -43,7 +43,7 @@
     context.fleet.run(2.0)
 
 
-@given("control has been away from the gateways for {seconds:d} seconds")
+@given("control has been unreachable from the gateways for {seconds:d} seconds")
 def control_away(context, seconds):
     context.fleet.control.away = True
     context.fleet.run(seconds)
@@ -65,7 +65,7 @@
 
 
 def percentile_99(fleet, tenant):
-    """Return the 99th percentile of a tenant's times to the whole answer, in seconds."""
+    """Return the 99th percentile of a tenant's times to the complete answer, in seconds."""
     own = [each for each in fleet.callers if each.request.tenant == tenant]
     assert all(each.answers for each in own), [each.faults for each in own if each.faults][:3]
     times = sorted(each.took_s for each in own)
@@ -90,7 +90,7 @@
     context.fleet.run(5)
 
 
-@then('the 99th percentile of "{tenant}" moved by at most {percent:d} percent')
+@then('the 99th percentile of "{tenant}" rose by at most {percent:d} percent')
 def moved_by(context, tenant, percent):
     after = percentile_99(context.fleet, tenant)
     ratio = after / context.percentile_before
@@ -140,7 +140,7 @@
     assert 0 < len(_refused(context.fleet)) < len(context.fleet.callers)
 
 
-@then("every refused gateway caller was told at once, with a time to come back")
+@then("every refused gateway caller was refused at once, with a retry-after time")
 def refused_at_once(context):
     refused = _refused(context.fleet)
     assert refused
@@ -158,7 +158,7 @@
         assert runs == 0, f"{caller.request.request_id} was run {runs} times"
 
 
-@then("every other gateway caller has its whole answer")
+@then("every other gateway caller has its complete answer")
 def others_whole(context):
     for caller in context.fleet.callers:
         assert caller.faults or caller.is_whole(), caller.request.request_id
@@ -174,7 +174,7 @@
             assert caller.first_part_s - caller.sent_s <= seconds + 0.5
 
 
-@then('the last gateway caller was told "{outcome}" at once')
+@then('the last gateway caller got the outcome "{outcome}" at once')
 def last_told(context, outcome):
     caller = context.fleet.callers[-1]
     assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
@@ -207,7 +207,7 @@
 
 
 @then(
-    "the tail of the calm tenant moved by at most {percent:d} percent "
+    "the tail latency of the calm tenant rose by at most {percent:d} percent "
     "and none of its requests was refused"
 )
 def tail_kept(context, percent):
--- a/features/steps/gateway_reconciler_steps.py
+++ b/features/steps/gateway_reconciler_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders to owned runners and the status that is reported."""
+"""Steps on the orders to owned runners and the status that is written for them."""
 
 from dataclasses import replace
 
@@ -31,12 +31,12 @@
     engine.order = noted
 
 
-@given("control is away from the gateways")
+@given("control is unreachable from the gateways")
 def control_leaves(context):
     context.fleet.control.away = True
 
 
-@when("control is back")
+@when("control is reachable again")
 def control_returns(context):
     context.fleet.control.away = False
 
@@ -73,7 +73,7 @@
     context.fleet.publish()
 
 
-@when('the placement raises the fence of "{runner}" at every moment for {seconds:g} seconds')
+@when('the placement raises the fence of "{runner}" repeatedly for {seconds:g} seconds')
 def raise_fence(context, runner, seconds):
     resource, status = _status(context, runner)
     context.fence = status.fence
@@ -122,7 +122,7 @@
     assert not status.ready, status
 
 
-@then('the status of "{runner}" reports it out of reach')
+@then('the status of "{runner}" reports it unreachable')
 def reports_unreachable(context, runner):
     _, status = _status(context, runner)
     assert not status.ready and not status.reachable, status
--- a/features/steps/gateway_request_steps.py
+++ b/features/steps/gateway_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send requests through gateways and look at what callers heard."""
+"""Steps that send requests through gateways and check the callers' answers and faults."""
 
 from behave import given, then, when
 from features.support.gateway import GatewayFleet
@@ -36,14 +36,14 @@
     context.fleet.run(seconds)
 
 
-@then("every gateway caller has its own whole answer")
+@then("every gateway caller has its own complete answer")
 def all_whole(context):
     assert context.fleet.callers
     for caller in context.fleet.callers:
         assert caller.is_whole(), (caller.request.request_id, caller.faults, caller.text)
 
 
-@then("gateway caller {index:d} has its own whole answer")
+@then("gateway caller {index:d} has its own complete answer")
 def one_whole(context, index):
     caller = context.fleet.callers[index]
     assert caller.is_whole(), (caller.faults, caller.text)
@@ -62,13 +62,13 @@
     assert runs == count, f"{request_id} was run {runs} times"
 
 
-@then('gateway caller {index:d} was told "{outcome}"')
+@then('gateway caller {index:d} got the outcome "{outcome}"')
 def was_told(context, index, outcome):
     faults = context.fleet.callers[index].faults
     assert [fault.outcome for fault in faults] == [Outcome(outcome)], faults
 
 
-@then('gateway caller {index:d} was told "{outcome}" at once with a time to come back')
+@then('gateway caller {index:d} got the outcome "{outcome}" at once with a retry-after time')
 def was_told_at_once(context, index, outcome):
     caller = context.fleet.callers[index]
     was_told(context, index, outcome)
@@ -76,7 +76,7 @@
     assert caller.faults[0].retry_after_s, caller.faults
 
 
-@then('one gateway caller has its own whole answer and the other was told "{outcome}"')
+@then('one gateway caller has its own complete answer and the other got the outcome "{outcome}"')
 def one_of_two(context, outcome):
     whole = [caller for caller in context.fleet.callers if caller.is_whole()]
     told = [fault.outcome.value for caller in context.fleet.callers for fault in caller.faults]
--- a/features/steps/gateway_session_steps.py
+++ b/features/steps/gateway_session_steps.py
@@ -138,7 +138,7 @@
     _drain(context.fleet, context.moved_to)
 
 
-@then('session "{name}" went on from the runner that it was moved to first')
+@then('session "{name}" continued from the runner that it was moved to first')
 def went_on(context, name):
     view = _view(context, name)
     assert view.runner not in (context.runner_before, context.moved_to), view.runner
@@ -215,7 +215,7 @@
         assert earlier.ended_s is not None and earlier.ended_s <= later.started_s, records
 
 
-@then('each turn of "{name}" was answered and recorded, or told to be unknown or not run')
+@then('each turn of "{name}" was answered and recorded, or reported as unknown or not run')
 def answered_or_told(context, name):
     turns = [(turn.prompt, turn.answer) for turn in _view(context, name).turns]
     assert len(turns) == len(set(turns)) and turns
--- a/features/steps/gateway_socket_steps.py
+++ b/features/steps/gateway_socket_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a gateway over real loopback sockets, with a caller that holds its socket itself."""
+"""Steps on a gateway over real loopback sockets, with a caller on a plain socket."""
 
 import json
 import socket
@@ -17,7 +17,10 @@
 from rainsail.emulator.answers import expected_answer, natural_length
 
 KERNEL_BUFFER_BYTES = 4096
-"""Small, so that the kernel does not take the whole answer in; connections inherit it."""
+"""Size of the socket buffers.
+
+It is small so that the kernel can't buffer the whole answer; accepted connections inherit it.
+"""
 LONG_TOKENS = 2000
 READ_BYTES = 65536
 KIBIBYTE = 1024
@@ -29,7 +32,7 @@
     return next(each for each in prompts if natural_length(SERVICE, each, 0) >= LONG_TOKENS)
 
 
-@given("a gateway on loopback sockets before a fast engine")
+@given("a gateway on loopback sockets in front of a fast engine")
 def make_beds(context):
     context.engines = in_reactor(LoopbackEngines, reactor, 1, FAST_ENGINE)
     context.bed = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
@@ -101,7 +104,7 @@
     context.received = b"".join(pieces)
 
 
-@then("the socket caller has the whole answer")
+@then("the socket caller has the complete answer")
 def whole_answer(context):
     assert context.received.startswith(b"HTTP/1.1 200"), context.received[:100]
     data = [line[6:] for line in context.received.split(b"\n") if line.startswith(b"data: ")]
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps that break links, engines and readers under a gateway's streams."""
+"""Steps that inject faults into links, engines and callers during streams."""
 
 from behave import given, then, when
 from features.support.gateway import SERVICE
@@ -73,7 +73,7 @@
     context.fleet.control.lose_answer = lambda command: isinstance(command, ClaimRequest)
 
 
-@when("the answers to claims are heard again")
+@when("the answers to claims arrive again")
 def hear_claims(context):
     context.fleet.control.lose_answer = lambda command: False
 
@@ -128,7 +128,7 @@
     context.fleet.callers[index].handle.unpause()
 
 
-@when("gateway caller {index:d} leaves")
+@when("gateway caller {index:d} disconnects")
 def leave(context, index):
     context.fleet.callers[index].handle.abandon()
 
@@ -186,7 +186,7 @@
     assert max(runs) == count, runs
 
 
-@then("gateway caller {index:d} hears nothing for {seconds:d} seconds")
+@then("gateway caller {index:d} receives nothing for {seconds:d} seconds")
 def hears_nothing(context, index, seconds):
     caller = context.fleet.callers[index]
     heard = len(caller.parts)
@@ -195,7 +195,7 @@
     assert len(caller.parts) == heard and caller.ended_s is None, caller.faults
 
 
-@then("gateway caller {index:d} heard no end")
+@then("gateway caller {index:d} received no end")
 def heard_no_end(context, index):
     assert context.fleet.callers[index].ended_s is None
 
@@ -214,7 +214,7 @@
             assert not state.attempts and state.online_running == 0, state.attempts
 
 
-@then('gateway caller {index:d} was told "{outcome}" with a time to come back')
+@then('gateway caller {index:d} got the outcome "{outcome}" with a retry-after time')
 def told_with_time(context, index, outcome):
     caller = context.fleet.callers[index]
     assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
@@ -227,7 +227,7 @@
     assert caller.took_s <= seconds + 1e-9, caller.took_s
 
 
-@then('every gateway caller was told "{outcome}"')
+@then('every gateway caller got the outcome "{outcome}"')
 def all_told(context, outcome):
     for caller in context.fleet.callers:
         assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
@@ -246,7 +246,7 @@
     context.fleet.network.faults.chunk = late
 
 
-@given("the attempts of the gateway are noted")
+@given("the attempts of the gateway are recorded")
 def note_attempts(context):
     context.attempts = {}
     fleet = context.fleet
@@ -284,7 +284,7 @@
     context.fleet.gateways[index].clock.stop()
 
 
-@then("gateway {index:d} holds no part of an answer that its caller has not been given")
+@then("gateway {index:d} holds no undelivered part of an answer")
 def holds_nothing(context, index):
     runs = list(context.fleet.gateways[index].core._runs)
     assert len(runs) == len(context.fleet.callers)
@@ -294,7 +294,7 @@
         assert not run.attempt._attempt._held
 
 
-@then("every gateway caller has been given less than {tokens:d} tokens")
+@then("every gateway caller has received less than {tokens:d} tokens")
 def given_less(context, tokens):
     for caller in context.fleet.callers:
         assert 0 < len(caller.parts) < tokens, len(caller.parts)
