--- a/features/steps/caller_api_batch_steps.py
+++ b/features/steps/caller_api_batch_steps.py
@@ -30,7 +30,7 @@
 
 
 def is_missing(call):
-    """Tell whether a call ends as not found."""
+    """Return whether a call fails as not found."""
     try:
         call()
     except openai.NotFoundError:
@@ -72,7 +72,7 @@
     except openai.ConflictError as error:
         context.error = error
     else:
-        raise AssertionError("other content was taken under the same key")
+        raise AssertionError("other content was accepted under the same key")
 
 
 @then("the OpenAI client got a conflict")
@@ -166,7 +166,7 @@
     except openai.BadRequestError as error:
         context.error = error
     else:
-        raise AssertionError("the batch was taken")
+        raise AssertionError("the batch was accepted")
 
 
 @then('the refusal names "{detail}"')
@@ -218,4 +218,4 @@
     except openai.APIStatusError as error:
         assert error.status_code == 413
     else:
-        raise AssertionError("the file was taken")
+        raise AssertionError("the file was accepted")
--- a/features/steps/caller_api_online_steps.py
+++ b/features/steps/caller_api_online_steps.py
@@ -24,7 +24,7 @@
 
 
 def open_stream(context):
-    """Start a streamed completion on a bare socket with a small receive buffer."""
+    """Start a streamed completion on a plain socket with a small receive buffer."""
     body = json.dumps({"model": SERVICE, "prompt": "x", "stream": True}).encode()
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -104,7 +104,7 @@
 
 
 @then('the caller API reported the outcome "{outcome}"')
-def told_outcome(context, outcome):
+def reported_outcome(context, outcome):
     assert context.outcome == outcome
 
 
@@ -236,7 +236,7 @@
     except openai.AuthenticationError as error:
         context.error = error
     else:
-        raise AssertionError("the key was taken")
+        raise AssertionError("the key was accepted")
 
 
 @then("the OpenAI client got an authentication error")
@@ -303,9 +303,9 @@
 
 
 @then('the gateway double\'s request got the call "{what}"')
-def was_told(context, what):
+def got_call(context, what):
     run = context.api.gateway.runs[0]
-    wait_until(lambda: what in run.told, f"told {what}")
+    wait_until(lambda: what in run.calls, f"the call {what}")
 
 
 @when("a raw caller starts a streamed completion and stops reading")
@@ -324,12 +324,12 @@
         context.sent_parts += 1
 
     def paused():
-        if "pause" not in run.told:
+        if "pause" not in run.calls:
             in_reactor(send_next)
-        return "pause" in run.told
+        return "pause" in run.calls
 
     wait_until(paused, "the request is paused")
-    assert "unpause" not in run.told
+    assert "unpause" not in run.calls
 
 
 @then("the raw caller reads on and the gateway double is unpaused")
@@ -339,7 +339,7 @@
 
     def unpaused():
         context.received += context.sock.recv(65536)
-        return "unpause" in run.told
+        return "unpause" in run.calls
 
     wait_until(unpaused, "the request is unpaused")
 
--- a/features/steps/gateway_drain_steps.py
+++ b/features/steps/gateway_drain_steps.py
@@ -25,9 +25,9 @@
 
 
 @then("the first {count:d} gateway callers have their complete answers")
-def first_whole(context, count):
+def first_complete(context, count):
     for caller in context.fleet.callers[:count]:
-        assert caller.is_whole(), (caller.request.request_id, caller.faults)
+        assert caller.is_complete(), (caller.request.request_id, caller.faults)
 
 
 @then("the planned stop is over and aborted nothing")
@@ -66,16 +66,16 @@
 
 
 @then('the planned stop is over and aborted "{request_id}" of "{one}" and of "{other}" alone')
-def cut_both(context, request_id, one, other):
+def aborted_both(context, request_id, one, other):
     names = (RequestName(one, request_id), RequestName(other, request_id))
     assert [report.aborted for report in context.reports] == [names], context.reports
     for caller in context.fleet.callers:
-        was_cut = caller.request.request_id == request_id
-        assert bool(caller.faults) == was_cut, (caller.request, caller.faults)
+        was_aborted = caller.request.request_id == request_id
+        assert bool(caller.faults) == was_aborted, (caller.request, caller.faults)
 
 
 @then("the log of the gateway has a warning for each aborted request")
-def cut_logged(context):
+def aborted_logged(context):
     warned = [
         (record["extra"]["tenant"], record["extra"]["request_id"])
         for record in context.log_records
--- a/features/steps/gateway_fleet_steps.py
+++ b/features/steps/gateway_fleet_steps.py
@@ -253,7 +253,7 @@
 
 
 @then("the gateway cache view is complete")
-def is_whole(context):
+def is_complete(context):
     assert not context.view.stale
     assert context.view.matched_blocks(tuple(range(1, 10))) == 8
 
--- a/features/steps/gateway_limit_steps.py
+++ b/features/steps/gateway_limit_steps.py
@@ -44,8 +44,8 @@
 
 
 @given("control has been unreachable from the gateways for {seconds:d} seconds")
-def control_away(context, seconds):
-    context.fleet.control.away = True
+def control_unreachable(context, seconds):
+    context.fleet.control.unreachable = True
     context.fleet.run(seconds)
 
 
@@ -159,9 +159,9 @@
 
 
 @then("every other gateway caller has its complete answer")
-def others_whole(context):
+def others_complete(context):
     for caller in context.fleet.callers:
-        assert caller.faults or caller.is_whole(), caller.request.request_id
+        assert caller.faults or caller.is_complete(), caller.request.request_id
 
 
 @then("every gateway caller was granted or refused within {seconds:g} seconds")
@@ -175,7 +175,7 @@
 
 
 @then('the last gateway caller got the outcome "{outcome}" at once')
-def last_told(context, outcome):
+def last_outcome(context, outcome):
     caller = context.fleet.callers[-1]
     assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
     assert caller.took_s == 0.0, caller.took_s
@@ -210,12 +210,12 @@
     "the tail latency of the calm tenant rose by at most {percent:d} percent "
     "and none of its requests was refused"
 )
-def tail_kept(context, percent):
+def tail_unaffected(context, percent):
     assert context.flood.p99_ratio <= 1.0 + percent / 100.0, context.flood
     assert context.flood.calm_refused == 0, context.flood
 
 
 @then("the bench found no refused request that had run")
-def refusals_true(context):
+def refused_did_not_run(context):
     assert context.flood.flood_refused > 0, context.flood
     assert context.flood.refused_though_run == 0, context.flood
--- a/features/steps/gateway_reconciler_steps.py
+++ b/features/steps/gateway_reconciler_steps.py
@@ -23,22 +23,22 @@
 def _note_loads(context, engine):
     order = engine.order
 
-    def noted(address, sent):
+    def record(address, sent):
         if sent.kind == OrderKind.LOAD_VERSION:
             context.loads.append((address, sent))
         return order(address, sent)
 
-    engine.order = noted
+    engine.order = record
 
 
 @given("control is unreachable from the gateways")
 def control_leaves(context):
-    context.fleet.control.away = True
+    context.fleet.control.unreachable = True
 
 
 @when("control is reachable again")
 def control_returns(context):
-    context.fleet.control.away = False
+    context.fleet.control.unreachable = False
 
 
 @given('the engine of "{runner}" has seen fence {fence:d}')
@@ -79,7 +79,7 @@
     context.fence = status.fence
     for _ in range(int(seconds / 0.002)):
         resource, status = _status(context, runner)
-        assert status.fence == context.fence, f"{context.fence} fell back to {status.fence}"
+        assert status.fence == context.fence, f"{context.fence} decreased to {status.fence}"
         context.fence = status.fence + 1
         raised = replace(status, fence=context.fence)
         context.fleet.control.apply(PutStatus(resource.key, raised, (), resource.revision))
--- a/features/steps/gateway_request_steps.py
+++ b/features/steps/gateway_request_steps.py
@@ -37,16 +37,16 @@
 
 
 @then("every gateway caller has its own complete answer")
-def all_whole(context):
+def all_complete(context):
     assert context.fleet.callers
     for caller in context.fleet.callers:
-        assert caller.is_whole(), (caller.request.request_id, caller.faults, caller.text)
+        assert caller.is_complete(), (caller.request.request_id, caller.faults, caller.text)
 
 
 @then("gateway caller {index:d} has its own complete answer")
-def one_whole(context, index):
+def one_complete(context, index):
     caller = context.fleet.callers[index]
-    assert caller.is_whole(), (caller.faults, caller.text)
+    assert caller.is_complete(), (caller.faults, caller.text)
 
 
 @then("every runner of the gateway fleet has run requests")
@@ -63,24 +63,24 @@
 
 
 @then('gateway caller {index:d} got the outcome "{outcome}"')
-def was_told(context, index, outcome):
+def got_outcome(context, index, outcome):
     faults = context.fleet.callers[index].faults
     assert [fault.outcome for fault in faults] == [Outcome(outcome)], faults
 
 
 @then('gateway caller {index:d} got the outcome "{outcome}" at once with a retry-after time')
-def was_told_at_once(context, index, outcome):
+def got_outcome_at_once(context, index, outcome):
     caller = context.fleet.callers[index]
-    was_told(context, index, outcome)
-    assert caller.took_s == 0.0, f"told after {caller.took_s} s"
+    got_outcome(context, index, outcome)
+    assert caller.took_s == 0.0, f"ended after {caller.took_s} s"
     assert caller.faults[0].retry_after_s, caller.faults
 
 
 @then('one gateway caller has its own complete answer and the other got the outcome "{outcome}"')
 def one_of_two(context, outcome):
-    whole = [caller for caller in context.fleet.callers if caller.is_whole()]
-    told = [fault.outcome.value for caller in context.fleet.callers for fault in caller.faults]
-    assert len(whole) == 1 and told == [outcome], (len(whole), told)
+    complete = [caller for caller in context.fleet.callers if caller.is_complete()]
+    outcomes = [fault.outcome.value for caller in context.fleet.callers for fault in caller.faults]
+    assert len(complete) == 1 and outcomes == [outcome], (len(complete), outcomes)
 
 
 @then(
--- a/features/steps/gateway_session_steps.py
+++ b/features/steps/gateway_session_steps.py
@@ -152,7 +152,7 @@
 
 
 @then('every turn of "{name}" has the answer that its transcript gives')
-def turns_whole(context, name):
+def turns_complete(context, name):
     transcript = ""
     callers = [each for each in context.fleet.callers if each.request.session == name]
     assert callers
@@ -216,7 +216,7 @@
 
 
 @then('each turn of "{name}" was answered and recorded, or reported as unknown or not run')
-def answered_or_told(context, name):
+def answered_or_reported(context, name):
     turns = [(turn.prompt, turn.answer) for turn in _view(context, name).turns]
     assert len(turns) == len(set(turns)) and turns
     for caller in context.fleet.callers:
@@ -225,8 +225,8 @@
         if caller.answers:
             assert recorded == [caller.answers[0].text]
         else:
-            told = caller.faults[0].outcome
-            assert told == Outcome.UNKNOWN or not recorded, (told, recorded)
+            outcome = caller.faults[0].outcome
+            assert outcome == Outcome.UNKNOWN or not recorded, (outcome, recorded)
 
 
 @given('every "{what}" on the gateway\'s links is lost')
--- a/features/steps/gateway_socket_steps.py
+++ b/features/steps/gateway_socket_steps.py
@@ -33,25 +33,25 @@
 
 
 @given("a gateway on loopback sockets in front of a fast engine")
-def make_beds(context):
+def make_loopback(context):
     context.engines = in_reactor(LoopbackEngines, reactor, 1, FAST_ENGINE)
-    context.bed = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
+    context.loopback = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
     context.add_cleanup(in_reactor, lambda: _close(context))
-    listening = context.bed._port.socket
+    listening = context.loopback._port.socket
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
-    wait_until(lambda: in_reactor(context.bed.is_ready), "the gateway is ready")
+    wait_until(lambda: in_reactor(context.loopback.is_ready), "the gateway is ready")
 
 
 def _close(context):
     from twisted.internet.defer import Deferred
 
-    closing = Deferred.fromCoroutine(context.bed.close())
+    closing = Deferred.fromCoroutine(context.loopback.close())
     return closing.addCallback(lambda _: Deferred.fromCoroutine(context.engines.close()))
 
 
 @when("a socket caller asks for a long streamed answer and reads nothing of it")
 def ask(context):
-    url = urlsplit(context.bed.address)
+    url = urlsplit(context.loopback.address)
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_BYTES)
     caller.settimeout(20.0)
@@ -70,7 +70,7 @@
 
 
 def _run(context):
-    runs = list(context.bed.core._runs)
+    runs = list(context.loopback.core._runs)
     return runs[0] if runs else None
 
 
@@ -122,7 +122,7 @@
 @then("the gateway on sockets has no request in progress and no attempt at a runner")
 def nothing_left(context):
     def is_idle():
-        attempts = [state.attempts for state in context.bed.fleet.runners()]
-        return context.bed.core.in_progress == 0 and not any(attempts)
+        attempts = [state.attempts for state in context.loopback.fleet.runners()]
+        return context.loopback.core.in_progress == 0 and not any(attempts)
 
     wait_until(lambda: in_reactor(is_idle), "the gateway has nothing in progress")
--- a/features/steps/gateway_stream_steps.py
+++ b/features/steps/gateway_stream_steps.py
@@ -187,16 +187,16 @@
 
 
 @then("gateway caller {index:d} receives nothing for {seconds:d} seconds")
-def hears_nothing(context, index, seconds):
+def receives_nothing(context, index, seconds):
     caller = context.fleet.callers[index]
-    heard = len(caller.parts)
-    assert 0 < heard < caller.request.max_tokens
+    received = len(caller.parts)
+    assert 0 < received < caller.request.max_tokens
     context.fleet.run(seconds)
-    assert len(caller.parts) == heard and caller.ended_s is None, caller.faults
+    assert len(caller.parts) == received and caller.ended_s is None, caller.faults
 
 
 @then("gateway caller {index:d} received no end")
-def heard_no_end(context, index):
+def received_no_end(context, index):
     assert context.fleet.callers[index].ended_s is None
 
 
@@ -215,7 +215,7 @@
 
 
 @then('gateway caller {index:d} got the outcome "{outcome}" with a retry-after time')
-def told_with_time(context, index, outcome):
+def outcome_with_retry_after(context, index, outcome):
     caller = context.fleet.callers[index]
     assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
     assert caller.faults[0].retry_after_s, caller.faults
@@ -228,7 +228,7 @@
 
 
 @then('every gateway caller got the outcome "{outcome}"')
-def all_told(context, outcome):
+def all_outcomes(context, outcome):
     for caller in context.fleet.callers:
         assert [fault.outcome.value for fault in caller.faults] == [outcome], caller.faults
 
@@ -253,12 +253,12 @@
     engine = fleet.gateways[0].engine
     generate = engine.generate
 
-    def noted(address, request, listener):
+    def record(address, request, listener):
         sent = context.attempts.setdefault(request.request_id, [])
         sent.append((fleet.clock.seconds(), request.deadline_s))
         generate(address, request, listener)
 
-    engine.generate = noted
+    engine.generate = record
 
 
 @when("{count:d} gateway callers ask for {tokens:d} tokens each")
--- a/features/support/caller_api.py
+++ b/features/support/caller_api.py
@@ -31,7 +31,7 @@
 
 
 class _LazyLibrary:
-    """Imports a library when it is first used: step files must load fast."""
+    """Imports a library on first use, so that step files load fast."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -44,7 +44,7 @@
 
 
 class FixedConfig:
-    """A configuration of two tenants and two services, one of them not served."""
+    """A configuration of two tenants and two services, one without an active version."""
 
     revision = 5
 
@@ -52,11 +52,11 @@
         self.is_ready = True
 
     def ready(self) -> bool:
-        """Tell whether the configuration was read."""
+        """Return whether the configuration has been read."""
         return self.is_ready
 
     def lease_valid(self) -> bool:
-        """Tell that the lease holds."""
+        """Return True: the lease never expires."""
         return True
 
     def list_resources(self, kind: Kind) -> list[Resource]:
@@ -68,7 +68,7 @@
             },
             Kind.SERVICE: {
                 "reports": ServiceSpec(active_version="reports-1"),
-                "unborn": ServiceSpec(),
+                "inactive": ServiceSpec(),
             },
         }
         found = specs.get(kind, {}).items()
@@ -83,24 +83,24 @@
 
 
 class ScriptedRun:
-    """One request at the gateway double, and what its handle was told."""
+    """One request at the gateway double, and the calls of its handle."""
 
     def __init__(self, request: CallerRequest, sink: ResponseSink) -> None:
         self.request = request
         self.sink = sink
-        self.told: list[str] = []
+        self.calls: list[str] = []
 
     def abandon(self) -> None:
-        """Note that the caller has left."""
-        self.told.append("abandon")
+        """Record that the caller disconnected."""
+        self.calls.append("abandon")
 
     def pause(self) -> None:
-        """Note that the caller reads slowly."""
-        self.told.append("pause")
+        """Record a pause."""
+        self.calls.append("pause")
 
     def unpause(self) -> None:
-        """Note that the caller reads again."""
-        self.told.append("unpause")
+        """Record the end of a pause."""
+        self.calls.append("unpause")
 
     def answer(self, parts: tuple[str, ...], finish_reason: str = "stop") -> None:
         """Send parts and the answer."""
@@ -114,14 +114,14 @@
 
 
 class GatewayDouble:
-    """Answers each request by a script (at once) or leaves it open for the step."""
+    """Answers each request at once by a script, or leaves it open for the step."""
 
     def __init__(self) -> None:
         self.runs: list[ScriptedRun] = []
         self.script: Callable[[ScriptedRun], None] = lambda run: run.answer(("Reefer ", "fine."))
 
     def submit(self, request: CallerRequest, sink: ResponseSink) -> ScriptedRun:
-        """Take a request."""
+        """Run the script on a request."""
         run = ScriptedRun(request, sink)
         self.runs.append(run)
         self.script(run)
@@ -129,7 +129,7 @@
 
 
 class IntakeDouble:
-    """Keeps jobs in memory; a submitted job is complete at once, but for its second item."""
+    """Keeps jobs in memory; a submitted job completes at once with its second item failed."""
 
     def __init__(self) -> None:
         self.jobs_by_id: dict[str, tuple[JobView, tuple[ItemBody, ...]]] = {}
@@ -145,7 +145,7 @@
         deadline_unix_s: float,
         adapter: str = "",
     ) -> Any:
-        """Take a job; the same key with other items is a conflict."""
+        """Accept a job; the same key with other items is a conflict."""
         for view, known in self.jobs_by_id.values():
             if view.spec.job_key == job_key and view.spec.tenant == tenant:
                 same = known == items
@@ -195,7 +195,7 @@
 
 
 class ServedApi:
-    """A caller API that listens, and the doubles below it."""
+    """A listening caller API and the doubles below it."""
 
     def __init__(self, **settings: Any) -> None:
         self.gateway = GatewayDouble()
--- a/features/support/following_gateway.py
+++ b/features/support/following_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's view of a large fleet's runners, over engines that only report their load."""
+"""A gateway's view of a large fleet, with engines that only report their load."""
 
 from collections.abc import Callable
 from random import Random
@@ -20,12 +20,12 @@
 SEED = 11
 REPORT_PERIOD_S = 0.5
 FIRST_REPORTS_S = 5.0
-"""Ten periods, so that every followed runner has reported."""
+"""Ten report periods, after which every followed runner has reported."""
 KV_TOKENS = 400_000
 
 
 class ReportingEngines:
-    """Engines that take subscriptions and report their load; no request reaches them."""
+    """Engines that accept subscriptions and report their load; they serve no requests."""
 
     def __init__(self, clock: VirtualClock, random: Random) -> None:
         self.subscriptions = 0
@@ -61,7 +61,7 @@
 
 
 def load_report(address: str, sequence: int, running: int) -> LoadReport:
-    """Return the report of an engine with so many running requests."""
+    """Return the report of an engine with ``running`` running requests."""
     return LoadReport(
         runner=address,
         incarnation="1",
@@ -82,7 +82,7 @@
 
 
 class FollowingGateway:
-    """Node 0 of a fleet of some zones: what it follows of the runners."""
+    """The gateway of node 0 and the runners that it follows."""
 
     def __init__(self, zones: int, nodes: int, runners: int) -> None:
         self.size = FleetSize(nodes, runners, zones, tenants=4, models=1)
@@ -125,7 +125,7 @@
         self.config.publish()
 
     def delete_other_nodes(self) -> None:
-        """Delete every Gateway resource but the own one."""
+        """Delete every Gateway resource except that of node 0."""
         for number in range(1, self.size.nodes):
             key = ResourceKey(Kind.GATEWAY, node_name(number))
             self.control.apply(DeleteResource(f"delete/{number}", key, ANY_REVISION))
--- a/features/support/gateway.py
+++ b/features/support/gateway.py
@@ -1,4 +1,4 @@
-"""Gateways over emulated engines and one modelled control group, on the virtual clock."""
+"""Gateways over emulated engines and one in-memory control group, on the virtual clock."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -38,33 +38,35 @@
 
 SERVICE = "assistant"
 V1_BYTES = 8 * 10**9
-"""Weights of the version: 4 s at the emulated store's rate."""
+"""Size of the version's weights; loading takes 4 s at the emulated store's rate."""
 COARSE_TOKENS_PER_CHUNK = 8
-"""Tokens per chunk where only times count: fewer events, the same times."""
+"""Tokens per chunk for tests that check only times: fewer events with the same times."""
 WIDE_TOKENS_PER_S = 1e9
 
 
 class GroupDouble(LocalControl):
-    """A modelled control group that reads sessions and lends a set share of each quota."""
+    """An in-memory control group that serves sessions and lends a fixed share of each quota."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__({0: ReplicatedState()}, clock)
         self.lent_fraction = 0.8
-        self.away = False
+        self.unreachable = False
         self._handlers[SessionRequest] = self._read_session
         self._handlers[QuotaReport] = self._lend
 
     def call(self, request: Any, timeout_s: float) -> "Deferred[Any]":
-        """Answer, or end with a TIMEOUT when control is away."""
-        return self._time_out(timeout_s) if self.away else super().call(request, timeout_s)
+        """Answer, or fail with TIMEOUT when control is unreachable."""
+        return self._time_out(timeout_s) if self.unreachable else super().call(request, timeout_s)
 
     def propose(self, command: Any, timeout_s: float, group: int = 0) -> "Deferred[Any]":
-        """Commit, or end with a TIMEOUT when control is away: nothing was committed."""
-        return self._time_out(timeout_s) if self.away else super().propose(command, timeout_s)
+        """Commit, or fail with TIMEOUT without a commit when control is unreachable."""
+        return (
+            self._time_out(timeout_s) if self.unreachable else super().propose(command, timeout_s)
+        )
 
     def _time_out(self, timeout_s: float) -> "Deferred[Any]":
         done: Deferred[Any] = Deferred()
-        fault = Fault(FaultCode.TIMEOUT, "control", "away", outcome=Outcome.UNKNOWN)
+        fault = Fault(FaultCode.TIMEOUT, "control", "unreachable", outcome=Outcome.UNKNOWN)
         self._clock.callLater(timeout_s, done.callback, Error(fault))
         return done
 
@@ -88,7 +90,7 @@
 
 @dataclass
 class Caller:
-    """A caller that keeps all it hears; implements ``ResponseSink``."""
+    """A caller that records all it receives; implements ``ResponseSink``."""
 
     clock: VirtualClock
     request: CallerRequest
@@ -101,39 +103,39 @@
     ended_s: float | None = None
 
     def on_part(self, text: str, tokens: int) -> None:
-        """Keep a part."""
+        """Record a part."""
         assert self.ended_s is None, "a part came after the end"
         if self.first_part_s is None:
             self.first_part_s = self.clock.seconds()
         self.parts.append(text)
 
     def on_answer(self, answer: Answer) -> None:
-        """Keep the answer."""
+        """Record the answer."""
         self._end()
         self.answers.append(answer)
 
     def on_fault(self, fault: Fault) -> None:
-        """Keep the fault."""
+        """Record the fault."""
         self._end()
         self.faults.append(fault)
 
     def _end(self) -> None:
-        assert self.ended_s is None, "a second end came"
+        assert self.ended_s is None, "the request ended twice"
         self.ended_s = self.clock.seconds()
 
     @property
     def text(self) -> str:
-        """What was streamed."""
+        """The streamed text."""
         return "".join(self.parts)
 
     @property
     def took_s(self) -> float:
         """Seconds from sending to the end."""
-        assert self.ended_s is not None, f"{self.request.request_id} has no end yet"
+        assert self.ended_s is not None, f"{self.request.request_id} has not ended yet"
         return self.ended_s - self.sent_s
 
-    def is_whole(self) -> bool:
-        """Tell whether the answer and the streamed parts are exactly the model's answer."""
+    def is_complete(self) -> bool:
+        """Return whether the answer and the streamed parts equal the model's answer."""
         request = self.request
         wanted = expected_answer(request.model, request.prompt, request.max_tokens, request.seed)
         return bool(self.answers) and self.answers[0].text == wanted == self.text
@@ -141,7 +143,7 @@
 
 @dataclass
 class GatewayProcess:
-    """One gateway."""
+    """The components of one gateway."""
 
     name: str
     clock: SkewedClock
@@ -221,19 +223,19 @@
     # --- driving --------------------------------------------------------------------------------
 
     def put(self, kind: Kind, name: str, spec: Any) -> None:
-        """Change a resource and let every gateway see it."""
+        """Change a resource and publish it to every gateway."""
         self._changes += 1
         change = PutResource(f"change-{self._changes}", ResourceKey(kind, name), spec)
         self.control.apply(change)
         self.publish()
 
     def publish(self) -> None:
-        """Let every gateway see the changes so far."""
+        """Publish the changes so far to every gateway."""
         for gateway in self.gateways:
             gateway.config.publish()
 
     def run(self, seconds: float) -> None:
-        """Run virtual time, publishing configuration changes as it goes."""
+        """Advance the virtual time and publish configuration changes periodically."""
         end_s = self.clock.seconds() + seconds
         while self.clock.seconds() < end_s:
             self.clock.run_until(min(end_s, self.clock.seconds() + 0.1))
@@ -286,7 +288,7 @@
         self.put(Kind.SESSION, name, SessionSpec(tenant, SERVICE))
 
     def runs_of(self, request_id: str) -> int:
-        """Return how many times engines began to run a request."""
+        """Return the number of times that engines started a request."""
         return sum(
             1
             for engine in self.engines.values()
@@ -295,7 +297,7 @@
         )
 
     def runner_of(self, request_id: str) -> str:
-        """Return the runner that began to run a request last."""
+        """Return the runner that started a request most recently."""
         found = [
             (record.started_s, engine.runner)
             for engine in self.engines.values()
--- a/features/support/gateway_checks.py
+++ b/features/support/gateway_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the gateway's invariants, and the known-bad variants that each must notice."""
+"""Checks of the gateway's invariants, and the defects that each check must detect."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """One mechanism put out of order: ``module.name`` is replaced by ``broken``."""
+    """A defect: ``module.name`` is replaced by ``broken``."""
 
     module: Any
     name: str
@@ -32,16 +32,16 @@
 
 
 def check_whole_streams() -> list[str]:
-    """Double every chunk; return the callers that did not get exactly their own answer."""
+    """Duplicate every chunk; return the callers that did not get exactly their own answer."""
     fleet = GatewayFleet(2)
     fleet.network.faults.chunk = lambda gateway, runner, chunk: (0.0, 0.02)
     for index in range(4):
         fleet.ask(f"request-{index}")
     fleet.run(5)
-    return [each.request.request_id for each in fleet.callers if not each.is_whole()]
+    return [each.request.request_id for each in fleet.callers if not each.is_complete()]
 
 
-def _crash_under_a_ping() -> GatewayFleet:
+def _crash_during_ping() -> GatewayFleet:
     fleet = GatewayFleet(3)
     fleet.ask("ping", class_=RequestClass.NON_REPEATABLE)
     fleet.run(0.4)
@@ -51,8 +51,8 @@
 
 
 def check_refusals() -> list[str]:
-    """Kill the engine of a request under way; return requests refused as not run that ran."""
-    fleet = _crash_under_a_ping()
+    """Kill the engine of a running request; return requests refused as not run that ran."""
+    fleet = _crash_during_ping()
     return [
         each.request.request_id
         for each in fleet.callers
@@ -63,7 +63,7 @@
 
 def check_at_most_once() -> list[str]:
     """Kill the engine of a non-repeatable request; return those that ran more than once."""
-    fleet = _crash_under_a_ping()
+    fleet = _crash_during_ping()
     return [
         each.request.request_id
         for each in fleet.callers
@@ -72,7 +72,7 @@
 
 
 def check_leaving_runners() -> list[str]:
-    """Drain a runner; return the requests that it began two seconds later."""
+    """Drain a runner; return the requests that it started more than two seconds later."""
     fleet = GatewayFleet(3)
     resource = fleet.state.get(ResourceKey(Kind.RUNNER, "runner-0"))
     assert resource is not None
@@ -87,14 +87,14 @@
 
 
 def check_planned_stop() -> list[str]:
-    """Stop a gateway under load; return the requests that were cut."""
+    """Stop a gateway under load; return the requests without a complete answer."""
     fleet = GatewayFleet(2)
     for index in range(10):
         fleet.ask(f"request-{index}")
     fleet.run(0.3)
     fleet.gateways[0].core.drain()
     fleet.run(5)
-    return [each.request.request_id for each in fleet.callers if not each.is_whole()]
+    return [each.request.request_id for each in fleet.callers if not each.is_complete()]
 
 
 CHECKS = {
--- a/features/support/keyed_gateway.py
+++ b/features/support/keyed_gateway.py
@@ -1,4 +1,4 @@
-"""A relaying gateway whose table has tenants, over stand-ins for clients and runners."""
+"""A relay gateway with tenants in its routing table, and doubles for clients and runners."""
 
 import json
 import random
@@ -37,7 +37,7 @@
 
 
 def table_content(version: int, tenants: Any = None) -> bytes:
-    """Return a table of one keyed and one public route."""
+    """Return a routing table with one route that needs a key and one public route."""
     route = {
         "host": HOST,
         "kind": "safe",
@@ -60,7 +60,7 @@
 
 
 class KeyedGateway:
-    """One gateway in virtual time; no controller and no keeper answers."""
+    """One gateway on the virtual clock; no controller is reachable."""
 
     def __init__(self, keys_trusted_s: float | None = None) -> None:
         self.clock = VirtualClock()
@@ -87,7 +87,7 @@
         )
 
     def put_table(self, version: int, tenants: Any = None) -> None:
-        """Put a table in force."""
+        """Apply a routing table."""
         content = table_content(version, tenants)
         assert read_table(content).is_ok(), read_table(content)
         self.follower.on_table(TableDocument(version, content))
@@ -99,7 +99,7 @@
         request: bytes = b"r-1",
         body: bytes = b"body",
     ) -> StandInExchange:
-        """Have a client send a request with some fields."""
+        """Send a request with some header fields from a client."""
         own = ((b"Host", HOST.encode()), (b"Rainsail-Request", request))
         head = HttpRequest(b"POST", path, (*own, *fields), body, self.clock.seconds())
         exchange = StandInExchange(head, self.clock)
@@ -109,10 +109,10 @@
 
     @property
     def calls(self) -> list[StandInCall]:
-        """Everything that was sent to runners."""
+        """All calls that were sent to runners."""
         return self.pool.calls
 
 
 def bearer(key: str) -> tuple[bytes, bytes]:
-    """Return the field that states a key."""
+    """Return the header field with a key."""
     return (b"Authorization", b"Bearer " + key.encode())
