--- a/src/rainsail/gateway/admission_queues.py
+++ b/src/rainsail/gateway/admission_queues.py
@@ -69,7 +69,7 @@
         return self.batch if ticket.batch else self.online
 
     def free(self, slots: Slots) -> float:
-        """Return the number of free online slots; negative when they are overcommitted."""
+        """Return the number of free online slots; negative when overcommitted."""
         return slots.total - slots.others - self.online_running
 
     def record_hold_time(self, hold_s: float) -> None:
--- a/src/rainsail/gateway/attempts.py
+++ b/src/rainsail/gateway/attempts.py
@@ -56,7 +56,7 @@
     def on_chunk(self, chunk: Chunk) -> None:
         """Deliver the chunk that is next in order; handle all others separately."""
         if not is_expected(self, chunk):
-            self.attempt.take_unexpected(self, chunk)
+            self.attempt.handle_out_of_order(self, chunk)
             return
         attempt = self.attempt
         attempt.next_sequence = chunk.sequence + 1
@@ -66,7 +66,7 @@
 
     def on_end(self, end: EngineAttemptEnd) -> None:
         """Pass the end of this link to the attempt."""
-        self.attempt.take_end(self, end)
+        self.attempt.handle_end(self, end)
 
 
 def is_expected(link: AttemptLink, chunk: Chunk) -> bool:
@@ -149,7 +149,7 @@
 
     # --- chunks out of order ------------------------------------------------------------------
 
-    def take_unexpected(self, link: AttemptLink, chunk: Chunk) -> None:
+    def handle_out_of_order(self, link: AttemptLink, chunk: Chunk) -> None:
         """Drop duplicates and late chunks; buffer early chunks for a limited time."""
         if self.link is not link or chunk.attempt_id != self.attempt_id:
             return
@@ -189,12 +189,12 @@
 
     # --- ends ---------------------------------------------------------------------------------
 
-    def take_end(self, link: AttemptLink, end: EngineAttemptEnd) -> None:
+    def handle_end(self, link: AttemptLink, end: EngineAttemptEnd) -> None:
         """Handle the end of a link: finish the attempt or resume the stream."""
         if self.link is not link or end.attempt_id != self.attempt_id:
             return
         if end.reason in (EndReason.STOP, EndReason.LENGTH):
-            self._take_complete_end(end)
+            self._handle_complete_end(end)
         elif end.reason == EndReason.REFUSED and not link.resumed and not self.next_sequence:
             self._finish(AttemptResult.REFUSED, end)
         elif end.reason == EndReason.LOST or (
@@ -204,7 +204,7 @@
         else:
             self._finish(AttemptResult.BROKEN, end)
 
-    def _take_complete_end(self, end: EngineAttemptEnd) -> None:
+    def _handle_complete_end(self, end: EngineAttemptEnd) -> None:
         if end.chunk_count <= self.next_sequence:
             self._finish(AttemptResult.COMPLETE, end)
             return
--- a/src/rainsail/gateway/claims.py
+++ b/src/rainsail/gateway/claims.py
@@ -44,9 +44,9 @@
             request.tenant, request.request_id, content_digest(request), claimant
         )
         done = self._control.propose(command, self._settings.claim_timeout_s)
-        return done.addCallback(self._take_claim, request, claimant)
+        return done.addCallback(self._on_claim_reply, request, claimant)
 
-    def _take_claim(
+    def _on_claim_reply(
         self, reply: Result[object, Fault], request: CallerRequest, claimant: str
     ) -> Result[ClaimResult, Fault]:
         if reply.is_ok() and isinstance(reply.ok, ClaimResult):
@@ -85,11 +85,11 @@
         self._claimant = claimant
         self._held = False
 
-    def take(self) -> "Deferred[Result[ClaimResult, Fault]]":
+    def claim(self) -> "Deferred[Result[ClaimResult, Fault]]":
         """Claim the request's id."""
-        return self._client.claim(self._request, self._claimant).addCallback(self._taken)
+        return self._client.claim(self._request, self._claimant).addCallback(self._on_claimed)
 
-    def _taken(self, reply: Result[ClaimResult, Fault]) -> Result[ClaimResult, Fault]:
+    def _on_claimed(self, reply: Result[ClaimResult, Fault]) -> Result[ClaimResult, Fault]:
         self._held = reply.is_ok() and reply.ok.granted
         return reply
 
--- a/src/rainsail/gateway/engine_feed.py
+++ b/src/rainsail/gateway/engine_feed.py
@@ -45,20 +45,20 @@
         self._opened_s = self._clock.seconds()
         number = self._subscription
 
-        def take_load(report: LoadReport) -> None:
+        def on_load_report(report: LoadReport) -> None:
             if number == self._subscription:
                 self._failures = 0
                 self._on_load(report)
 
-        def take_cache(event: CacheEvent) -> None:
+        def on_cache_event(event: CacheEvent) -> None:
             if number == self._subscription:
                 self._on_cache(event)
 
-        def take_loss(fault: Fault) -> None:
+        def on_loss(fault: Fault) -> None:
             if number == self._subscription:
                 self._lost()
 
-        self._cancel = self._engine.subscribe(self.address, take_load, take_cache, take_loss)
+        self._cancel = self._engine.subscribe(self.address, on_load_report, on_cache_event, on_loss)
 
     def _lost(self) -> None:
         self._subscription += 1
--- a/src/rainsail/gateway/engine_feeds.py
+++ b/src/rainsail/gateway/engine_feeds.py
@@ -52,7 +52,7 @@
             self._clock,
             self._random,
             self._settings,
-            on_load=lambda report: self._take_report(state, report),
+            on_load=lambda report: self._on_report(state, report),
             on_cache=state.cache.apply,
             on_lost=state.cache.subscription_lost,
         )
@@ -77,9 +77,9 @@
         """Renew the subscription to a runner's engine if it is at least ``age_s`` seconds old."""
         self._feeds[runner].renew_when_older(age_s)
 
-    def _take_report(self, state: ObservedRunner, report: LoadReport) -> None:
+    def _on_report(self, state: ObservedRunner, report: LoadReport) -> None:
         last = state.report
-        if not state.take_report(report, self._clock.seconds()):
+        if not state.apply_report(report, self._clock.seconds()):
             return
         if last is None or usability(last) != usability(report):
             self._eligible.invalidate()
--- a/src/rainsail/gateway/fleet_follower.py
+++ b/src/rainsail/gateway/fleet_follower.py
@@ -55,9 +55,9 @@
     def start(self) -> None:
         """Read the resources, then watch them."""
         self._config.on_event(self._on_event)
-        self._ownership.take(self._config.list_resources(Kind.GATEWAY))
+        self._ownership.update(self._config.list_resources(Kind.GATEWAY))
         for resource in self._config.list_resources(Kind.RUNNER):
-            self._note(resource)
+            self._add_to_selection(resource)
         self._reselect()
 
     def stop(self) -> None:
@@ -96,16 +96,16 @@
             self._reselect_due |= self._followed.remove(event.resource.key.name)
             self._delete(event.resource.key.name)
         else:
-            self._note(event.resource)
+            self._add_to_selection(event.resource)
             self._put(event.resource)
 
-    def _note(self, resource: Resource) -> None:
+    def _add_to_selection(self, resource: Resource) -> None:
         if isinstance(resource.spec, RunnerSpec):
             self._reselect_due |= self._followed.add(resource.key.name, resource.spec.zone)
 
     def _gateways_changed(self) -> None:
         before = self._ownership.live
-        after = self._ownership.take(self._config.list_resources(Kind.GATEWAY))
+        after = self._ownership.update(self._config.list_resources(Kind.GATEWAY))
         self._reselect_due |= before.zones() != after.zones()
         for state in self._runners.all():
             if before.of_zone(state.spec.zone) != after.of_zone(state.spec.zone):
--- a/src/rainsail/gateway/metering.py
+++ b/src/rainsail/gateway/metering.py
@@ -75,17 +75,17 @@
     def on_part(self, text: str, tokens: int) -> None:
         """Pass a part on."""
         if self._awaiting_first_part:
-            self._note_first_part()
+            self._observe_first_part()
         self._sink.on_part(text, tokens)
 
-    def _note_first_part(self) -> None:
+    def _observe_first_part(self) -> None:
         self._awaiting_first_part = False
         self._meter.observe_first_part(self._class, self._clock.seconds() - self._begun_s)
 
     def on_answer(self, answer: Answer) -> None:
         """Pass the answer on."""
         if self._awaiting_first_part:
-            self._note_first_part()
+            self._observe_first_part()
         self._meter.observe_answer(self._class, self._clock.seconds() - self._begun_s)
         self._meter.count_end(self._class, answer.outcome, NO_FAULT)
         self._sink.on_answer(answer)
--- a/src/rainsail/gateway/openai/batches.py
+++ b/src/rainsail/gateway/openai/batches.py
@@ -73,13 +73,13 @@
             line = self._content[start:end].strip()
             start = end + 1
             if line:
-                self._fault = self._take(line, number)
+                self._fault = self._parse_line(line, number)
             if self._fault is not None:
                 return
             if number % self._settings.batch_lines_per_slice == 0:
                 yield
 
-    def _take(self, data: bytes, number: int) -> Fault | None:
+    def _parse_line(self, data: bytes, number: int) -> Fault | None:
         line = read_json(BATCH_LINE, data, STEP)
         if line.is_error():
             return _line_fault(number, line.error.detail)
@@ -88,9 +88,9 @@
         body = read_object(self._adapter, line.ok.body, STEP)
         if body.is_error():
             return _line_fault(number, f"body.{body.error.detail}")
-        return self._add(number, line.ok.custom_id, body.ok)
+        return self._add_item(number, line.ok.custom_id, body.ok)
 
-    def _add(self, number: int, custom_id: str, body: Any) -> Fault | None:
+    def _add_item(self, number: int, custom_id: str, body: Any) -> Fault | None:
         prompt = body.text()
         bound = body.token_bound(self._settings.default_max_tokens)
         if bound > self._settings.max_tokens_limit:
--- a/src/rainsail/gateway/ownership.py
+++ b/src/rainsail/gateway/ownership.py
@@ -57,7 +57,7 @@
         self._gateway = gateway
         self.live = LiveGateways()
 
-    def take(self, resources: Iterable[Resource]) -> LiveGateways:
+    def update(self, resources: Iterable[Resource]) -> LiveGateways:
         """Replace the known gateways by ``resources``; return the live ones."""
         self.live = LiveGateways(resources)
         return self.live
--- a/src/rainsail/gateway/quota.py
+++ b/src/rainsail/gateway/quota.py
@@ -191,9 +191,9 @@
         done: Deferred[Result[object, Fault]] = self._control.call(
             report, self._settings.quota_report_period_s
         )
-        done.addCallback(self._take_shares, sent_s)
+        done.addCallback(self._store_shares, sent_s)
 
-    def _take_shares(self, reply: Result[object, Fault], sent_s: float) -> None:
+    def _store_shares(self, reply: Result[object, Fault], sent_s: float) -> None:
         """Store the lent shares. Without new shares, the present ones expire."""
         if reply.is_error() or not isinstance(reply.ok, QuotaShares):
             return
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -106,7 +106,7 @@
             self._place_first()
             return
         self._lifecycle.claim()
-        self._claim.take().addCallback(self._claim_answered)
+        self._claim.claim().addCallback(self._claim_answered)
 
     def _claim_answered(self, reply: Result[ClaimResult, Fault]) -> None:
         if self.ended:
--- a/src/rainsail/gateway/runner_state.py
+++ b/src/rainsail/gateway/runner_state.py
@@ -84,7 +84,7 @@
 
     # --- load reports ----------------------------------------------------------------------
 
-    def take_report(self, report: LoadReport, now_s: float) -> bool:
+    def apply_report(self, report: LoadReport, now_s: float) -> bool:
         """Apply a load report; return False if it is older than the last one."""
         last = self.report
         same_engine = last is not None and last.incarnation == report.incarnation
--- a/src/rainsail/gateway/settings.py
+++ b/src/rainsail/gateway/settings.py
@@ -273,9 +273,7 @@
     retry: RetrySettings = Field(
         default=RetrySettings(), description="Retries and stream resumption."
     )
-    session: SessionSettings = Field(
-        default=SessionSettings(), description="Placement and moves of sessions."
-    )
+    session: SessionSettings = Field(default=SessionSettings(), description="Sessions.")
     keeper: RunnerReconcilerSettings = Field(
         default=RunnerReconcilerSettings(), description="Reconciliation of owned runners."
     )
