--- a/features/gateway/drain.feature
+++ b/features/gateway/drain.feature
@@ -31,10 +31,10 @@
   Scenario: A session continues at another gateway after the planned stop
     Given a gateway fleet of 3 runners and 2 gateways
     And a gateway session "container-7"
-    When 1 turn of "container-7" is taken through gateway 0
+    When 1 turn of "container-7" is run through gateway 0
     And gateway 0 of the fleet begins a planned stop
     And 1 seconds of gateway time pass
-    And 1 turn of "container-7" is taken through gateway 1
+    And 1 turn of "container-7" is run through gateway 1
     Then every turn of "container-7" has the answer that its transcript gives
     And the planned stop is over and aborted nothing
 
@@ -61,7 +61,7 @@
 
   Scenario: Each request that outlasts the grace time is reported, also if two tenants use the same id
     Given a gateway fleet of 2 runners and 1 gateway with a grace time of 2 seconds
-    And the log of the gateway is kept
+    And the log of the gateway is recorded
     When gateway tenants "hotel" and "shipper" both ask for 2000 tokens as "night-report"
     And 5 gateway callers ask at once
     And 0.5 seconds of gateway time pass
--- a/features/gateway/limits.feature
+++ b/features/gateway/limits.feature
@@ -6,7 +6,7 @@
     When "hotel" sends 8 and "shipper" 7 requests per second to the gateway
     And the same gateway traffic runs with "shipper" sending 80 requests per second
     Then the 99th percentile of "hotel" rose by at most 10 percent
-    And every refused gateway caller was refused at once, with a retry-after time
+    And every refused gateway caller was answered at once, with a retry-after time
     And no refused gateway request was run
 
   Scenario: A flood within a large quota does not take the slots that other tenants need
@@ -15,7 +15,7 @@
     When "hotel" sends 8 and "shipper" 30 requests per second to the gateway
     And the same gateway traffic runs with "shipper" sending 100 requests per second
     Then the 99th percentile of "hotel" rose by at most 10 percent
-    And every refused gateway caller was refused at once, with a retry-after time
+    And every refused gateway caller was answered at once, with a retry-after time
 
   Scenario Outline: The tail latency of random arrivals rises by at most 10 percent in a flood twenty times as large
     When the gateway bench measures the flood "<flood>" from one seed
@@ -41,7 +41,7 @@
     And 300 gateway callers ask at once
     And 20 seconds of gateway time pass
     Then some gateway callers were refused
-    And every refused gateway caller was refused at once, with a retry-after time
+    And every refused gateway caller was answered at once, with a retry-after time
     And no refused gateway request was run
     And every other gateway caller has its complete answer
 
--- a/features/gateway/requests.feature
+++ b/features/gateway/requests.feature
@@ -43,7 +43,7 @@
   Scenario: A gateway counts its waiting requests, held sessions and remaining retries
     Given a gateway fleet of 3 runners and 1 gateway
     And a gateway session "container-7"
-    When 1 turn of "container-7" is taken through gateway 0
+    When 1 turn of "container-7" is run through gateway 0
     And 150 gateway callers ask at once
     And 0.1 seconds of gateway time pass
     Then gateway 0 counts as waiting the requests that are not at a runner, and 1 session held
--- a/features/steps/gateway_drain_steps.py
+++ b/features/steps/gateway_drain_steps.py
@@ -50,7 +50,7 @@
     fleet_with_grace(context, runners, gateways, seconds)
 
 
-@given("the log of the gateway is kept")
+@given("the log of the gateway is recorded")
 def keep_log(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record))
--- a/features/steps/gateway_limit_steps.py
+++ b/features/steps/gateway_limit_steps.py
@@ -140,7 +140,7 @@
     assert 0 < len(_refused(context.fleet)) < len(context.fleet.callers)
 
 
-@then("every refused gateway caller was refused at once, with a retry-after time")
+@then("every refused gateway caller was answered at once, with a retry-after time")
 def refused_at_once(context):
     refused = _refused(context.fleet)
     assert refused
--- a/features/steps/gateway_session_steps.py
+++ b/features/steps/gateway_session_steps.py
@@ -96,8 +96,8 @@
     context.fleet.ask(f"turn-{number}", gateway, prompt=f"And now, {number}? ", session=name)
 
 
-@when('{count:d} turn of "{name}" is taken through gateway {gateway:d}')
-@when('{count:d} turns of "{name}" are taken through gateway {gateway:d}')
+@when('{count:d} turn of "{name}" is run through gateway {gateway:d}')
+@when('{count:d} turns of "{name}" are run through gateway {gateway:d}')
 def take_turns(context, count, name, gateway):
     for _ in range(count):
         _send_turn(context, name, gateway)
