--- a/features/steps/gateway_drain_steps.py
+++ b/features/steps/gateway_drain_steps.py
@@ -24,22 +24,22 @@
     context.fleet.gateways[index].core.drain().addCallback(context.reports.append)
 
 
-@then("the first {count:d} gateway callers have their whole answers")
-def first_whole(context, count):
+@then("the first {count:d} gateway callers have their complete answers")
+def first_complete(context, count):
     for caller in context.fleet.callers[:count]:
-        assert caller.is_whole(), (caller.request.request_id, caller.faults)
+        assert caller.is_complete(), (caller.request.request_id, caller.faults)
 
 
-@then("the planned stop is over and cut nothing")
+@then("the planned stop is over and aborted nothing")
 def cut_nothing(context):
-    assert [report.cut for report in context.reports] == [()], context.reports
+    assert [report.aborted for report in context.reports] == [()], context.reports
 
 
-@then("the planned stop is over and cut the request of gateway caller {index:d}")
+@then("the planned stop is over and aborted the request of gateway caller {index:d}")
 def cut_one(context, index):
     request = context.fleet.callers[index].request
     names = (RequestName(request.tenant, request.request_id),)
-    assert [report.cut for report in context.reports] == [names], context.reports
+    assert [report.aborted for report in context.reports] == [names], context.reports
 
 
 @given(
@@ -50,7 +50,7 @@
     fleet_with_grace(context, runners, gateways, seconds)
 
 
-@given("the log of the gateway is kept")
+@given("the log of the gateway is recorded")
 def keep_log(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record))
@@ -65,21 +65,21 @@
         context.fleet.ask(request_id, tokens=tokens, tenant=tenant)
 
 
-@then('the planned stop is over and cut "{request_id}" of "{one}" and of "{other}" alone')
-def cut_both(context, request_id, one, other):
+@then('the planned stop is over and aborted "{request_id}" of "{one}" and of "{other}" alone')
+def aborted_both(context, request_id, one, other):
     names = (RequestName(one, request_id), RequestName(other, request_id))
-    assert [report.cut for report in context.reports] == [names], context.reports
+    assert [report.aborted for report in context.reports] == [names], context.reports
     for caller in context.fleet.callers:
-        was_cut = caller.request.request_id == request_id
-        assert bool(caller.faults) == was_cut, (caller.request, caller.faults)
+        was_aborted = caller.request.request_id == request_id
+        assert bool(caller.faults) == was_aborted, (caller.request, caller.faults)
 
 
-@then("the log of the gateway has a warning for each request that was cut")
-def cut_logged(context):
+@then("the log of the gateway has a warning for each aborted request")
+def aborted_logged(context):
     warned = [
         (record["extra"]["tenant"], record["extra"]["request_id"])
         for record in context.log_records
         if record["level"].name == "WARNING" and "grace time" in record["message"]
     ]
-    cut = [(name.tenant, name.request_id) for name in context.reports[0].cut]
-    assert warned == cut, warned
+    aborted = [(name.tenant, name.request_id) for name in context.reports[0].aborted]
+    assert warned == aborted, warned
--- a/features/steps/gateway_keeper_steps.py
+++ b/features/steps/gateway_reconciler_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders to owned runners and the status that is reported."""
+"""Steps on the orders to owned runners and the status that is written for them."""
 
 from dataclasses import replace
 
@@ -23,22 +23,22 @@
 def _note_loads(context, engine):
     order = engine.order
 
-    def noted(address, sent):
+    def record(address, sent):
         if sent.kind == OrderKind.LOAD_VERSION:
             context.loads.append((address, sent))
         return order(address, sent)
 
-    engine.order = noted
+    engine.order = record
 
 
-@given("control is away from the gateways")
+@given("control is unreachable from the gateways")
 def control_leaves(context):
-    context.fleet.control.away = True
+    context.fleet.control.unreachable = True
 
 
-@when("control is back")
+@when("control is reachable again")
 def control_returns(context):
-    context.fleet.control.away = False
+    context.fleet.control.unreachable = False
 
 
 @given('the engine of "{runner}" has seen fence {fence:d}')
@@ -73,13 +73,13 @@
     context.fleet.publish()
 
 
-@when('the placement raises the fence of "{runner}" at every moment for {seconds:g} seconds')
+@when('the placement raises the fence of "{runner}" repeatedly for {seconds:g} seconds')
 def raise_fence(context, runner, seconds):
     resource, status = _status(context, runner)
     context.fence = status.fence
     for _ in range(int(seconds / 0.002)):
         resource, status = _status(context, runner)
-        assert status.fence == context.fence, f"{context.fence} fell back to {status.fence}"
+        assert status.fence == context.fence, f"{context.fence} decreased to {status.fence}"
         context.fence = status.fence + 1
         raised = replace(status, fence=context.fence)
         context.fleet.control.apply(PutStatus(resource.key, raised, (), resource.revision))
@@ -122,7 +122,7 @@
     assert not status.ready, status
 
 
-@then('the status of "{runner}" reports it out of reach')
+@then('the status of "{runner}" reports it unreachable')
 def reports_unreachable(context, runner):
     _, status = _status(context, runner)
     assert not status.ready and not status.reachable, status
--- a/features/steps/gateway_request_steps.py
+++ b/features/steps/gateway_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send requests through gateways and look at what callers heard."""
+"""Steps that send requests through gateways and check the callers' answers and faults."""
 
 from behave import given, then, when
 from features.support.gateway import GatewayFleet
@@ -36,17 +36,17 @@
     context.fleet.run(seconds)
 
 
-@then("every gateway caller has its own whole answer")
-def all_whole(context):
+@then("every gateway caller has its own complete answer")
+def all_complete(context):
     assert context.fleet.callers
     for caller in context.fleet.callers:
-        assert caller.is_whole(), (caller.request.request_id, caller.faults, caller.text)
+        assert caller.is_complete(), (caller.request.request_id, caller.faults, caller.text)
 
 
-@then("gateway caller {index:d} has its own whole answer")
-def one_whole(context, index):
+@then("gateway caller {index:d} has its own complete answer")
+def one_complete(context, index):
     caller = context.fleet.callers[index]
-    assert caller.is_whole(), (caller.faults, caller.text)
+    assert caller.is_complete(), (caller.faults, caller.text)
 
 
 @then("every runner of the gateway fleet has run requests")
@@ -62,25 +62,25 @@
     assert runs == count, f"{request_id} was run {runs} times"
 
 
-@then('gateway caller {index:d} was told "{outcome}"')
-def was_told(context, index, outcome):
+@then('gateway caller {index:d} got the outcome "{outcome}"')
+def got_outcome(context, index, outcome):
     faults = context.fleet.callers[index].faults
     assert [fault.outcome for fault in faults] == [Outcome(outcome)], faults
 
 
-@then('gateway caller {index:d} was told "{outcome}" at once with a time to come back')
-def was_told_at_once(context, index, outcome):
+@then('gateway caller {index:d} got the outcome "{outcome}" at once with a retry-after time')
+def got_outcome_at_once(context, index, outcome):
     caller = context.fleet.callers[index]
-    was_told(context, index, outcome)
-    assert caller.took_s == 0.0, f"told after {caller.took_s} s"
+    got_outcome(context, index, outcome)
+    assert caller.took_s == 0.0, f"ended after {caller.took_s} s"
     assert caller.faults[0].retry_after_s, caller.faults
 
 
-@then('one gateway caller has its own whole answer and the other was told "{outcome}"')
+@then('one gateway caller has its own complete answer and the other got the outcome "{outcome}"')
 def one_of_two(context, outcome):
-    whole = [caller for caller in context.fleet.callers if caller.is_whole()]
-    told = [fault.outcome.value for caller in context.fleet.callers for fault in caller.faults]
-    assert len(whole) == 1 and told == [outcome], (len(whole), told)
+    complete = [caller for caller in context.fleet.callers if caller.is_complete()]
+    outcomes = [fault.outcome.value for caller in context.fleet.callers for fault in caller.faults]
+    assert len(complete) == 1 and outcomes == [outcome], (len(complete), outcomes)
 
 
 @then(
--- a/features/steps/gateway_session_steps.py
+++ b/features/steps/gateway_session_steps.py
@@ -96,8 +96,8 @@
     context.fleet.ask(f"turn-{number}", gateway, prompt=f"And now, {number}? ", session=name)
 
 
-@when('{count:d} turn of "{name}" is taken through gateway {gateway:d}')
-@when('{count:d} turns of "{name}" are taken through gateway {gateway:d}')
+@when('{count:d} turn of "{name}" is run through gateway {gateway:d}')
+@when('{count:d} turns of "{name}" are run through gateway {gateway:d}')
 def take_turns(context, count, name, gateway):
     for _ in range(count):
         _send_turn(context, name, gateway)
@@ -138,7 +138,7 @@
     _drain(context.fleet, context.moved_to)
 
 
-@then('session "{name}" went on from the runner that it was moved to first')
+@then('session "{name}" continued from the runner that it was moved to first')
 def went_on(context, name):
     view = _view(context, name)
     assert view.runner not in (context.runner_before, context.moved_to), view.runner
@@ -152,7 +152,7 @@
 
 
 @then('every turn of "{name}" has the answer that its transcript gives')
-def turns_whole(context, name):
+def turns_complete(context, name):
     transcript = ""
     callers = [each for each in context.fleet.callers if each.request.session == name]
     assert callers
@@ -215,8 +215,8 @@
         assert earlier.ended_s is not None and earlier.ended_s <= later.started_s, records
 
 
-@then('each turn of "{name}" was answered and recorded, or told to be unknown or not run')
-def answered_or_told(context, name):
+@then('each turn of "{name}" was answered and recorded, or reported as unknown or not run')
+def answered_or_reported(context, name):
     turns = [(turn.prompt, turn.answer) for turn in _view(context, name).turns]
     assert len(turns) == len(set(turns)) and turns
     for caller in context.fleet.callers:
@@ -225,8 +225,8 @@
         if caller.answers:
             assert recorded == [caller.answers[0].text]
         else:
-            told = caller.faults[0].outcome
-            assert told == Outcome.UNKNOWN or not recorded, (told, recorded)
+            outcome = caller.faults[0].outcome
+            assert outcome == Outcome.UNKNOWN or not recorded, (outcome, recorded)
 
 
 @given('every "{what}" on the gateway\'s links is lost')
--- a/features/steps/gateway_socket_steps.py
+++ b/features/steps/gateway_socket_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a gateway over real loopback sockets, with a caller that holds its socket itself."""
+"""Steps on a gateway over real loopback sockets, with a caller on a plain socket."""
 
 import json
 import socket
@@ -17,7 +17,10 @@
 from rainsail.emulator.answers import expected_answer, natural_length
 
 KERNEL_BUFFER_BYTES = 4096
-"""Small, so that the kernel does not take the whole answer in; connections inherit it."""
+"""Size of the socket buffers.
+
+It is small so that the kernel can't buffer the whole answer; accepted connections inherit it.
+"""
 LONG_TOKENS = 2000
 READ_BYTES = 65536
 KIBIBYTE = 1024
@@ -29,26 +32,26 @@
     return next(each for each in prompts if natural_length(SERVICE, each, 0) >= LONG_TOKENS)
 
 
-@given("a gateway on loopback sockets before a fast engine")
-def make_beds(context):
+@given("a gateway on loopback sockets in front of a fast engine")
+def make_loopback(context):
     context.engines = in_reactor(LoopbackEngines, reactor, 1, FAST_ENGINE)
-    context.bed = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
+    context.loopback = in_reactor(LoopbackGateway, reactor, context.engines.addresses)
     context.add_cleanup(in_reactor, lambda: _close(context))
-    listening = context.bed._port.socket
+    listening = context.loopback._port.socket
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
-    wait_until(lambda: in_reactor(context.bed.is_ready), "the gateway is ready")
+    wait_until(lambda: in_reactor(context.loopback.is_ready), "the gateway is ready")
 
 
 def _close(context):
     from twisted.internet.defer import Deferred
 
-    closing = Deferred.fromCoroutine(context.bed.close())
+    closing = Deferred.fromCoroutine(context.loopback.close())
     return closing.addCallback(lambda _: Deferred.fromCoroutine(context.engines.close()))
 
 
 @when("a socket caller asks for a long streamed answer and reads nothing of it")
 def ask(context):
-    url = urlsplit(context.bed.address)
+    url = urlsplit(context.loopback.address)
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_BYTES)
     caller.settimeout(20.0)
@@ -67,7 +70,7 @@
 
 
 def _run(context):
-    runs = list(context.bed.core._runs)
+    runs = list(context.loopback.core._runs)
     return runs[0] if runs else None
 
 
@@ -101,7 +104,7 @@
     context.received = b"".join(pieces)
 
 
-@then("the socket caller has the whole answer")
+@then("the socket caller has the complete answer")
 def whole_answer(context):
     assert context.received.startswith(b"HTTP/1.1 200"), context.received[:100]
     data = [line[6:] for line in context.received.split(b"\n") if line.startswith(b"data: ")]
@@ -119,7 +122,7 @@
 @then("the gateway on sockets has no request in progress and no attempt at a runner")
 def nothing_left(context):
     def is_idle():
-        attempts = [state.attempts for state in context.bed.fleet.runners()]
-        return context.bed.core.in_progress == 0 and not any(attempts)
+        attempts = [state.attempts for state in context.loopback.fleet.runners()]
+        return context.loopback.core.in_progress == 0 and not any(attempts)
 
     wait_until(lambda: in_reactor(is_idle), "the gateway has nothing in progress")
--- a/src/rainsail/gateway/silence_watch.py
+++ b/src/rainsail/gateway/liveness_monitor.py
@@ -1,6 +1,7 @@
-"""Looks for runners that send no load reports any more.
+"""Detects runners whose load reports have stopped.
 
-It marks them in the index; what follows is decided in ``runner_state`` and ``eligibility``.
+It marks them as silent in the index; ``runner_state`` and ``eligibility`` exclude them from new
+work.
 """
 
 from rainsail.gateway.eligibility import EligibleCache
@@ -9,15 +10,15 @@
 from rainsail.gateway.runner_index import RunnerIndex
 from rainsail.gateway.settings import FleetSettings
 
-LATE_PERIODS = 2.0
-"""A look that is this many periods after the one before was late: the process has paused.
+PAUSE_AFTER_PERIODS = 2.0
+"""Watch periods between two checks above which the process counts as having been paused.
 
-Not measured; chosen so that a look that is a little late does not count as a pause.
+A check that is only slightly late does not count as a pause.
 """
 
 
-class SilenceWatch:
-    """Marks runners as silent; a pause of this process is not counted as their silence."""
+class LivenessMonitor:
+    """Marks runners as silent; a pause of this process does not count as their silence."""
 
     def __init__(
         self,
@@ -35,24 +36,24 @@
         self._checked_s = 0.0
 
     def start(self, now_s: float) -> None:
-        """Count pauses of this process from now on."""
+        """Begin to measure pauses of this process."""
         self._checked_s = now_s
 
     def pause_since_last_check_s(self, now_s: float) -> float:
-        """Return for how many seconds the process has paused (0 or less: not at all)."""
-        pause_s = now_s - self._checked_s - LATE_PERIODS * self._settings.watch_period_s
+        """Return the seconds for which the process was paused; 0 or less means not at all."""
+        pause_s = now_s - self._checked_s - PAUSE_AFTER_PERIODS * self._settings.watch_period_s
         self._checked_s = now_s
         return pause_s
 
     def check(self, now_s: float, pause_s: float) -> None:
-        """Look at every runner; subscribe again to the engines of silent ones."""
+        """Check every runner; renew the subscriptions to the engines of silent ones."""
         for state in self._runners.all():
             if pause_s > 0.0:
-                state.excuse_silence(pause_s, now_s)
+                state.discount_pause(pause_s, now_s)
             silent = state.is_silent(now_s)
             if silent != state.silent:
                 state.silent = silent
-                self._eligible.changed()
-                self._listeners.changed(state.name)
+                self._eligible.invalidate()
+                self._listeners.notify_changed(state.name)
             if silent:
                 self._feeds.renew_when_older(state.name, self._settings.report_timeout_s)
--- a/src/rainsail/gateway/metering.py
+++ b/src/rainsail/gateway/metering.py
@@ -1,4 +1,4 @@
-"""Counts and times the requests of a gateway for its metrics, without changing them."""
+"""Request metrics of a gateway: counts and latencies."""
 
 from prometheus_client import Counter, Histogram
 
@@ -18,7 +18,7 @@
 
 
 class RequestMeter:
-    """The metrics of one gateway's requests."""
+    """Records the request metrics of one gateway."""
 
     def __init__(self, gateway: str, metrics: Metrics) -> None:
         self._gateway = gateway
@@ -32,21 +32,21 @@
             "answer_seconds", "Seconds to the end of a whole answer", _LABELS
         )
 
-    def ended(self, class_: str, outcome: Outcome, fault: str) -> None:
+    def count_end(self, class_: str, outcome: Outcome, fault: str) -> None:
         """Count the end of a request."""
         self._ends.labels(self._gateway, class_, outcome.value, fault).inc()
 
-    def began(self, class_: str, seconds: float) -> None:
-        """Note how long the first part took."""
+    def observe_first_part(self, class_: str, seconds: float) -> None:
+        """Observe the seconds to the first part of an answer."""
         self._first_part.labels(self._gateway, class_).observe(seconds)
 
-    def completed(self, class_: str, seconds: float) -> None:
-        """Note how long a whole answer took."""
+    def observe_answer(self, class_: str, seconds: float) -> None:
+        """Observe the seconds to the end of a complete answer."""
         self._answer.labels(self._gateway, class_).observe(seconds)
 
 
 class MeteredGateway:
-    """Hands requests on and meters their answers once a meter is set; a ``Gateway``."""
+    """A ``Gateway`` that wraps another one and records metrics once ``meter`` is set."""
 
     def __init__(self, core: Gateway, clock: Clock) -> None:
         self._core = core
@@ -54,7 +54,7 @@
         self.meter: RequestMeter | None = None
 
     def submit(self, request: CallerRequest, sink: ResponseSink) -> RequestHandle:
-        """Start a request."""
+        """Start a request at the wrapped gateway."""
         if self.meter is None:
             return self._core.submit(request, sink)
         class_ = "default" if request.class_ is None else request.class_.value
@@ -62,7 +62,7 @@
 
 
 class _MeteredSink:
-    """A ``ResponseSink`` that notes times on the way."""
+    """A ``ResponseSink`` that records metrics and passes everything on."""
 
     def __init__(self, sink: ResponseSink, class_: str, meter: RequestMeter, clock: Clock) -> None:
         self._sink = sink
@@ -70,27 +70,27 @@
         self._meter = meter
         self._clock = clock
         self._begun_s = clock.seconds()
-        self._waiting = True
+        self._awaiting_first_part = True
 
     def on_part(self, text: str, tokens: int) -> None:
         """Pass a part on."""
-        if self._waiting:
-            self._note_first_part()
+        if self._awaiting_first_part:
+            self._observe_first_part()
         self._sink.on_part(text, tokens)
 
-    def _note_first_part(self) -> None:
-        self._waiting = False
-        self._meter.began(self._class, self._clock.seconds() - self._begun_s)
+    def _observe_first_part(self) -> None:
+        self._awaiting_first_part = False
+        self._meter.observe_first_part(self._class, self._clock.seconds() - self._begun_s)
 
     def on_answer(self, answer: Answer) -> None:
         """Pass the answer on."""
-        if self._waiting:
-            self._note_first_part()
-        self._meter.completed(self._class, self._clock.seconds() - self._begun_s)
-        self._meter.ended(self._class, answer.outcome, NO_FAULT)
+        if self._awaiting_first_part:
+            self._observe_first_part()
+        self._meter.observe_answer(self._class, self._clock.seconds() - self._begun_s)
+        self._meter.count_end(self._class, answer.outcome, NO_FAULT)
         self._sink.on_answer(answer)
 
     def on_fault(self, fault: Fault) -> None:
         """Pass the fault on."""
-        self._meter.ended(self._class, fault.outcome, fault.code.value)
+        self._meter.count_end(self._class, fault.outcome, fault.code.value)
         self._sink.on_fault(fault)
--- a/src/rainsail/gateway/openai/batch_routes.py
+++ b/src/rainsail/gateway/openai/batch_routes.py
@@ -1,4 +1,4 @@
-"""Routes of files and batches."""
+"""HTTP routes for files and batches."""
 
 import secrets
 from collections.abc import Callable
@@ -26,12 +26,12 @@
 from rainsail.gateway.openai.slices import make_cooperator
 from rainsail.state.commands import JobView
 
-_FRESH_ID_BYTES = 16
+_RANDOM_ID_BYTES = 16
 _JOB_KEY = "job_key"
 
 
 class BatchRoutes:
-    """Takes files and batches, and reads batches and their results from the ledger."""
+    """Accepts files and batches, and serves batches and their results from the ledger."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
             settings.max_stored_file_bytes,
             settings.file_retention_s,
             wall_clock,
-            lambda: secrets.token_hex(_FRESH_ID_BYTES),
+            lambda: secrets.token_hex(_RANDOM_ID_BYTES),
         )
 
     def add_to(self, app: Any) -> None:
@@ -70,7 +70,7 @@
     # --- files ----------------------------------------------------------------------------
 
     def upload_file(self, request: Any) -> None:
-        """Keep an uploaded file."""
+        """Store an uploaded file."""
         tenant = self._tenant(request)
         content_type = request.getHeader("content-type") or ""
         upload = tenant.bind(
@@ -102,7 +102,7 @@
         _write(request, job.map(lambda view: _results_file_object(file_id, view)))
 
     def delete_file(self, request: Any, file_id: str) -> None:
-        """Forget an uploaded file; results stay for as long as the ledger keeps them."""
+        """Delete an uploaded file; results stay for as long as the ledger retains them."""
         deleted = self._tenant(request).bind(lambda name: self._files.delete(name, file_id))
         _write(request, deleted.map(lambda _: _deleted_object(file_id)))
 
@@ -136,7 +136,7 @@
     # --- batches --------------------------------------------------------------------------
 
     async def create_batch(self, request: Any) -> None:
-        """Make a job of an uploaded file; answered once the job is accepted."""
+        """Submit an uploaded file as a job; answer once the job is accepted."""
         tenant = self._tenant(request)
         headers = tenant.bind(lambda _: read_headers(request))
         data = headers.bind(lambda _: self._read(request))
--- a/src/rainsail/gateway/openai/responses.py
+++ b/src/rainsail/gateway/openai/responses.py
@@ -1,4 +1,4 @@
-"""The response bodies of completions and chat completions, whole and streamed."""
+"""Response bodies of completions and chat completions, streamed or not."""
 
 import json
 from dataclasses import dataclass
@@ -9,8 +9,11 @@
 DONE_FRAME = b"data: [DONE]\n\n"
 
 _encode_string = json.encoder.encode_basestring_ascii
-_TEXT_MARK = "\x00"
-"""Stands for the text of a part; its last place counts, as a model's name may hold it too."""
+_TEXT_PLACEHOLDER = "\x00"
+"""Placeholder for a part's text in the template.
+
+Its last occurrence is replaced, because a model's name may contain it too.
+"""
 
 
 def encode_json(value: Any) -> bytes:
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerShape:
-    """How answers of one endpoint look."""
+    """Object names and layout of one endpoint's answers."""
 
     id_prefix: str
     whole_object: str
@@ -37,7 +40,7 @@
     chat: bool
 
     def choice(self, text: str, finish_reason: str) -> dict[str, Any]:
-        """Return the choice of a whole answer."""
+        """Return the choice object of an answer that is not streamed."""
         choice: dict[str, Any] = {"index": 0, "logprobs": None, "finish_reason": finish_reason}
         if self.chat:
             choice["message"] = {"role": "assistant", "content": text, "refusal": None}
@@ -46,7 +49,7 @@
         return choice
 
     def part_choice(self, text: str, finish_reason: str | None) -> dict[str, Any]:
-        """Return the choice of a streamed part."""
+        """Return the choice object of a streamed part."""
         choice: dict[str, Any] = {"index": 0, "logprobs": None, "finish_reason": finish_reason}
         if not self.chat:
             choice["text"] = text
@@ -60,13 +63,13 @@
 
 
 class AnswerWriter:
-    """Writes one request's answer; what does not change is encoded once."""
+    """Encodes one request's answer; the constant bytes of a frame are encoded once."""
 
     def __init__(self, shape: AnswerShape, request_id: str, model: str, created: int) -> None:
         self._shape = shape
         self._head = {"id": f"{shape.id_prefix}{request_id}", "created": created, "model": model}
-        template = self._part_json([shape.part_choice(_TEXT_MARK, None)])
-        before, _, after = template.rpartition(_encode_string(_TEXT_MARK).encode())
+        template = self._part_json([shape.part_choice(_TEXT_PLACEHOLDER, None)])
+        before, _, after = template.rpartition(_encode_string(_TEXT_PLACEHOLDER).encode())
         self._before = b"data: " + before
         self._after = after + b"\n\n"
 
@@ -75,7 +78,7 @@
         return encode_json(body)
 
     def first_frame(self) -> bytes:
-        """Return what a stream begins with: for a chat, whose turn it is."""
+        """Return the first frame of a stream: the role for a chat, otherwise nothing."""
         if not self._shape.chat:
             return b""
         choice = self._shape.part_choice("", None)
@@ -83,11 +86,11 @@
         return b"data: " + self._part_json([choice]) + b"\n\n"
 
     def part_frame(self, text: str) -> bytes:
-        """Return the frame of a part."""
+        """Return the server-sent event of a part."""
         return self._before + _encode_string(text).encode() + self._after
 
     def last_frames(self, answer: Answer, include_usage: bool) -> bytes:
-        """Return the frames that end a stream."""
+        """Return the server-sent events that end a stream."""
         outcome = {"outcome": answer.outcome, "runner": answer.runner}
         choices = [self._shape.part_choice("", answer.finish_reason)]
         frames = b"data: " + self._part_json(choices, rainsail=outcome) + b"\n\n"
@@ -96,7 +99,7 @@
         return frames + DONE_FRAME
 
     def whole(self, answer: Answer) -> bytes:
-        """Return a whole answer."""
+        """Return the body of an answer that is not streamed."""
         body = {
             **self._head,
             "object": self._shape.whole_object,
--- a/src/rainsail/gateway/runner_reconciler.py
+++ b/src/rainsail/gateway/runner_reconciler.py
@@ -1,4 +1,7 @@
-"""Sends fenced orders to the runners that this gateway owns and reports their status."""
+"""Reconciles the runners that this gateway owns.
+
+Sends fenced orders that bring an engine to its wanted state, and writes the observed status.
+"""
 
 from dataclasses import dataclass, replace
 from random import Random
@@ -25,16 +28,16 @@
 FOREVER_S = float("inf")
 
 
-def wanted_orders(
+def required_orders(
     status: RunnerStatus,
     loaded_version: str,
     loading_version: str,
     adapters: tuple[str, ...],
     weight_bytes: dict[str, int],
 ) -> tuple[EngineOrder, ...]:
-    """Return the orders that bring an engine to what its status wants. Pure.
+    """Return the orders that bring an engine to the state wanted by its runner's status. Pure.
 
-    Nothing is unloaded here: a version is replaced by the engine when the next has loaded.
+    There is no order to unload a version: the engine replaces it when the next one is loaded.
     """
     fence = status.fence
     wanted = status.loading_version
@@ -53,9 +56,10 @@
 
 
 def observed_status(state: ObservedRunner, silent: bool) -> RunnerStatus:
-    """Return the status that an owner reports for a runner, from the engine's own report.
+    """Return the status that an owner writes for a runner, from the engine's load report.
 
-    What is wanted (``loading_version``, ``adapters``, ``fence``) is the placement's and stays.
+    The wanted fields (``loading_version``, ``adapters``, ``fence``) belong to the placement
+    controller and are unchanged.
     """
     report = state.report
     if silent:
@@ -66,8 +70,8 @@
     return replace(state.status, loaded_version=report.loaded_version, ready=ready, reachable=True)
 
 
-def wanted_role(state: ObservedRunner) -> EngineOrder:
-    """Return the order that sets the role which the spec asks for."""
+def role_order(state: ObservedRunner) -> EngineOrder:
+    """Return the order that sets the role of the runner's spec."""
     return EngineOrder(state.status.fence, OrderKind.SET_ROLE, state.spec.role.value)
 
 
@@ -79,7 +83,7 @@
 
 
 class RunnerReconciler:
-    """Looks at each owned runner now and then, and when it changes."""
+    """Reconciles each owned runner periodically and when it changes."""
 
     def __init__(
         self,
@@ -101,30 +105,30 @@
         self._sent: dict[tuple[str, str], _SentOrder] = {}
         self._writing: dict[str, int] = {}
         self._stopped = False
-        fleet.on_change(self._look_soon)
+        fleet.on_change(self._on_runner_changed)
 
     def start(self) -> None:
-        """Begin to look at owned runners."""
-        self._tick()
+        """Begin to reconcile owned runners."""
+        self._reconcile_all()
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending orders and writing statuses."""
         self._stopped = True
 
-    def _tick(self) -> None:
+    def _reconcile_all(self) -> None:
         if self._stopped:
             return
         for state in self._fleet.owned_runners():
-            self._look(state)
+            self._reconcile(state)
         delay_s = self._settings.check_period_s * (0.9 + 0.2 * self._random.random())
-        self._clock.callLater(delay_s, self._tick)
+        self._clock.callLater(delay_s, self._reconcile_all)
 
-    def _look_soon(self, runner: str) -> None:
+    def _on_runner_changed(self, runner: str) -> None:
         state = self._fleet.runner(runner)
         if state is not None and state.owned and not self._stopped:
-            self._look(state)
+            self._reconcile(state)
 
-    def _look(self, state: ObservedRunner) -> None:
+    def _reconcile(self, state: ObservedRunner) -> None:
         now_s = self._clock.seconds()
         silent = state.is_silent(now_s)
         if state.report is not None and not silent:
@@ -137,7 +141,7 @@
         report = state.report
         if report is None:
             return
-        orders = wanted_orders(
+        orders = required_orders(
             state.status,
             report.loaded_version,
             report.loading_version,
@@ -149,11 +153,11 @@
         self._send_role(state, report.incarnation, now_s)
 
     def _send_role(self, state: ObservedRunner, incarnation: str, now_s: float) -> None:
-        """Order the role again only to a restarted engine: load reports do not name it."""
+        """Send an unchanged role again only to a restarted engine; load reports do not name it."""
         key = (state.name, OrderKind.SET_ROLE.value)
         if state.spec.role == RunnerRole.MIXED and key not in self._sent:
             return
-        self._send_once(state, wanted_role(state), incarnation, now_s, FOREVER_S)
+        self._send_once(state, role_order(state), incarnation, now_s, FOREVER_S)
 
     def _send_once(
         self,
@@ -178,7 +182,7 @@
         done.addCallback(self._ordered, key)
 
     def _ordered(self, reply: Result[OrderReply, Fault], key: tuple[str, str]) -> None:
-        """Leave the effect to the next load report; an order that was lost is sent again."""
+        """Forget a failed order so that it is sent again; the next load report shows the effect."""
         if reply.is_error() and reply.error.code != FaultCode.FENCED:
             self._sent.pop(key, None)
 
@@ -211,6 +215,6 @@
         done.addCallback(self._written, state.name)
 
     def _written(self, reply: Result[CommandOutcome, Fault], runner: str) -> None:
-        """After a fault the next look writes again, with the revision read by then."""
+        """After a fault, let the next reconciliation write again with the revision read by then."""
         if reply.is_error():
             self._writing.pop(runner, None)
--- a/src/rainsail/gateway/waiting.py
+++ b/src/rainsail/gateway/timeouts.py
@@ -1,4 +1,4 @@
-"""Bounding the wait for a Deferred of a Result."""
+"""Timeouts for Deferreds that fire with a Result."""
 
 from typing import Any, TypeVar
 
@@ -11,12 +11,12 @@
 Value = TypeVar("Value")
 
 
-def bounded(
+def with_timeout(
     waited: "Deferred[Result[Value, Fault]]", clock: Clock, limit_s: float, step: str, peer: str
 ) -> "Deferred[Result[Value, Fault]]":
     """Return a Deferred that fires like ``waited``, or with a TIMEOUT fault after ``limit_s``.
 
-    The fault's outcome is UNKNOWN; what ``waited`` brings later is dropped.
+    The fault's outcome is UNKNOWN. A later result of ``waited`` is dropped.
     """
     done: Deferred[Result[Value, Fault]] = Deferred()
     timer: Any = None
