--- a/features/steps/overload_guard_steps.py
+++ b/features/steps/overload_guard_steps.py
@@ -1,4 +1,4 @@
-"""Steps on refusing at once what would wait too long."""
+"""Steps for load shedding: refusing requests that would wait too long for a slot."""
 
 import random
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the order of items over drawn loads."""
+"""Steps for the scheduling order of batch items, over random loads."""
 
 from behave import then, when
 from features.support.drawn_load import DueFirst, LoadRun, draw_load
--- a/features/steps/reserve_steps.py
+++ b/features/steps/reserve_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the slots that items leave free while they have time to spare: pure decisions."""
+"""Steps for the reserve: slots that items leave free for online work while they have slack."""
 
 from behave import given, then, when
 from features.support.drawn_load import LoadRun, draw_load
--- a/features/steps/residency_steps.py
+++ b/features/steps/residency_steps.py
@@ -1,4 +1,4 @@
-"""Steps on where requests, items and jobs may be served."""
+"""Steps for data residency: in which regions requests, items and jobs may be served."""
 
 import random
 
@@ -50,7 +50,7 @@
     )
 
 
-@given("a leader that names a runner of west")
+@given("a leader that places requests at a runner of west")
 def leader_of_west(context):
     placement = Placement("runner-3", 1, 0, 16, False)
     context.relay.context.place = lambda ask, placed, must_ask: placed(placement)
@@ -63,7 +63,7 @@
     ]
 
 
-@then("they went to {regions} alone")
+@then("they went to {regions} only")
 def went_to(context, regions):
     runners = {call.field(b"runner") for call in context.relay.pool.calls}
     assert {REGION_OF[runner] for runner in runners} == set(_names(regions)), runners
@@ -83,7 +83,7 @@
     _break_off(context)
 
 
-@when('a client asks it and the route then allows "{regions}" alone')
+@when('a client asks it and the route then allows "{regions}" only')
 def ask_and_change(context, regions):
     ask(context, 1)
     _allow(context, regions, 2)
@@ -94,7 +94,7 @@
     _break_off(context)
 
 
-@then("it goes on behind event 2 at another runner of {region}")
+@then("it resumes after event 2 at another runner of {region}")
 def goes_on(context, region):
     first, second = context.relay.pool.calls
     assert first.field(b"runner") != second.field(b"runner")
@@ -102,7 +102,7 @@
     assert second.field(b"after-event") == "2"
 
 
-@then("it is refused at once with a time to come back, and nothing was sent")
+@then("it is refused immediately with a retry time, and nothing was sent")
 def refused(context):
     (exchange,) = context.exchanges
     assert exchange.status == 503 and exchange.answered_at_s == exchange.request.received_s
@@ -171,7 +171,7 @@
     context.kept = REGIONS.may_be_kept(_names(route) or None, "zone-1")
 
 
-@when("a client hands a job in there")
+@when("a client submits a job there")
 def hand_in_there(context):
     assert isinstance(context.kept, bool)
 
@@ -181,7 +181,7 @@
     assert context.kept
 
 
-@then("the job is refused with a time to come back, and goes nowhere")
+@then("the job is refused with a retry time, and not forwarded")
 def job_refused(context):
     assert not context.kept
 
@@ -204,7 +204,7 @@
     context.ran = 0
 
 
-@when("a table allows jobs in {region} alone")
+@when("a table allows jobs in {region} only")
 def allow_jobs(context, region):
     context.table_version += 1
     content = f"{context.table_version} {region}".encode()
@@ -213,7 +213,7 @@
     context.fleet.run_for(1.5)
 
 
-@when("a gateway hands in another job of {count:d} items for a region")
+@when("a gateway submits another job of {count:d} items for a region")
 def hand_in(context, count):
     done = context.fleet.submit("gateway-1", "job-2", count)
     assert context.fleet.result_of(done, "an answer to the job").is_ok()
--- a/features/steps/warm_up_steps.py
+++ b/features/steps/warm_up_steps.py
@@ -1,16 +1,16 @@
-"""Steps on runners that warm up."""
+"""Steps for the request rate of runners that are warming up."""
 
 import random
 
 from behave import given, then, when
-from features.support.warm_up_world import KEEPERS, WarmUpWorld
+from features.support.warm_up_world import STORAGE_NODES, WarmUpWorld
 
-FIRST, SECOND = KEEPERS
-COURSES = 100
-COURSE_S = 9.0
+FIRST, SECOND = STORAGE_NODES
+RUNS = 100
+RUN_S = 9.0
 
 
-@given("{gateways:d} gateways and {runners:d} runners, a keeper leading")
+@given("{gateways:d} gateways and {runners:d} runners, with a ledger leader")
 def make_world(context, gateways, runners):
     context.world = WarmUpWorld(1, gateways, runners)
     context.world.lead(FIRST)
@@ -21,46 +21,46 @@
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
     "and {zone} is drained from {begin_s:g} to {end_s:g} seconds"
 )
-def press_with_drain(context, per_s, for_s, zone, begin_s, end_s):
+def load_with_drain(context, per_s, for_s, zone, begin_s, end_s):
     world = context.world
-    world.press(per_s, for_s)
-    world.press_items(20, for_s)
+    world.offer_load(per_s, for_s)
+    world.offer_items(20, for_s)
     world.clock.callLater(begin_s, world.drain, zone, end_s - begin_s)
     world.clock.advance(for_s + 1)
 
 
-def _all_go_cold(world, silent_s):
+def _all_go_cold(world, delay_s):
     for runner in world.runners:
-        world.go_cold(runner, silent_s)
+        world.go_cold(runner, delay_s)
 
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
     "and after {cold_s:g} seconds all runners go cold"
 )
-def press_with_cold(context, per_s, for_s, cold_s):
+def load_with_cold_runners(context, per_s, for_s, cold_s):
     world = context.world
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.callLater(cold_s, _all_go_cold, world, 0.0)
     world.clock.advance(for_s + 1)
 
 
 @when(
-    "no keeper leads, all runners are known to be cold, "
+    "there is no ledger leader, all runners are known to be cold, "
     "and clients ask {per_s:g} times a second for {for_s:g} seconds"
 )
-def press_without_keeper(context, per_s, for_s):
+def load_without_leader(context, per_s, for_s):
     world = context.world
     world.lead("")
     _all_go_cold(world, 0.0)
     world.clock.advance(0.2)
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.advance(for_s + 0.5)
 
 
 @then("no cold runner got more than the bound in any second")
 def within_bound(context):
-    assert context.world.most_over() <= 0, context.world.most_over()
+    assert context.world.max_excess() <= 0, context.world.max_excess()
 
 
 @then("no runner got anything")
@@ -80,8 +80,7 @@
 
 
 @then(
-    "requests that could not be served were refused within {seconds:g} seconds, "
-    "with a time to come back"
+    "requests that could not be served were refused within {seconds:g} seconds, with a retry time"
 )
 def refused_at_once(context, seconds):
     refused = [each for each in context.world.answered if each.status == 503]
@@ -91,15 +90,15 @@
         assert dict(exchange.headers).get(b"retry-after"), exchange.headers
 
 
-def _draw_course(seed):
-    """Return a played course."""
+def _random_run(seed):
+    """Return a world after a random run."""
     draw = random.Random(seed)
     world = WarmUpWorld(seed, draw.choice((3, 12, 40)), draw.choice((2, 6, 9)))
     runners = len(world.runners)
     world.lead(FIRST)
     world.clock.advance(0.1)
-    world.press(runners * draw.choice((4, 9, 14)), COURSE_S)
-    world.press_items(runners * draw.choice((0.1, 3)), COURSE_S)
+    world.offer_load(runners * draw.choice((4, 9, 14)), RUN_S)
+    world.offer_items(runners * draw.choice((0.1, 3)), RUN_S)
     at = world.clock.callLater
     for _ in range(draw.randint(1, 4)):
         runner = draw.choice(world.runners)
@@ -115,21 +114,22 @@
             at(draw.uniform(1, 7), world.cut_off, number)
         elif draw.random() < 0.2:
             at(draw.uniform(1, 7), world.restart, number)
-    world.clock.advance(COURSE_S + 1)
+    world.clock.advance(RUN_S + 1)
     return world
 
 
 @when(
-    "a hundred courses are drawn of runners that go cold, drains, lost keepers, cuts and restarts"
+    "a hundred random runs are made "
+    "with cold runners, drains, lost leaders, partitions and restarts"
 )
-def draw_courses(context):
+def make_random_runs(context):
     context.over = {}
-    for seed in range(1, COURSES + 1):
-        over = _draw_course(seed).most_over()
+    for seed in range(1, RUNS + 1):
+        over = _random_run(seed).max_excess()
         if over > 0:
             context.over[seed] = over
 
 
-@then("in none of them a cold runner got more than the bound in any second")
+@then("in none of them did a cold runner get more than the bound in any second")
 def none_over(context):
     assert not context.over, context.over
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -1,7 +1,7 @@
-"""Relaying gateways before runners that warm up, in virtual time, with two keepers of placements.
+"""Relaying gateways and runners that warm up, in virtual time, with two nodes that place requests.
 
-The gateways, the placement service and the limiter are the product's; runners answer after a while
-and count what they get.
+The gateways, the placement service and the limiter are the product's. The runners are test doubles
+that respond after a fixed time and count the requests that they get.
 """
 
 import random
@@ -40,27 +40,27 @@
 from rainsail.state.cluster_commands import ZoneDrain
 from rainsail.wire.messenger import Messenger
 
-KEEPERS = ("keeper-1", "keeper-2")
+STORAGE_NODES = ("storage-1", "storage-2")
 LINK = LinkConditions(delay_s=0.0009, jitter_s=0.0003)
 SLOTS = 8
 SLOT_TIME_S = 0.7
 RATE_PER_S = 7.0
-LASTS_S = 3.0
+WARM_UP_S = 3.0
 BOUND = WarmUpBound(1.5, 5.0)
-WORD_AFTER_S = 0.15
-"""A runner's word reaches a node within this time."""
+REPORT_WITHIN_S = 0.15
+"""A runner's heartbeat reaches a node within this time."""
 CONNECTED_WITHIN_S = 0.3
 
 
 class TimedPool:
-    """Connections of a gateway: a new one takes a moment, and an answer a slot's time."""
+    """A gateway's connections: opening one takes a random time, a response ``SLOT_TIME_S``."""
 
     def __init__(self, world: "WarmUpWorld", clock: Any) -> None:
         self._world = world
         self._clock = clock
 
     def send(self, address: str, request: Any, listener: Any, fresh: bool = False) -> StandInCall:
-        """Send once connected."""
+        """Deliver a request once the connection is open."""
         call = StandInCall(address, request, listener)
         connects_s = CONNECTED_WITHIN_S * self._world.random.random() ** 8
         self._clock.callLater(connects_s, self._arrive, call)
@@ -83,17 +83,17 @@
         call.listener.answer_ended()
 
     def forget(self, address: str) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
 
     def close_stale(self) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
 
 
 def make_table() -> RoutingTable:
     """Return a table of one stream route to a service whose runners warm up."""
     shares = (ServiceShare(SERVICE, 1.0),)
     route = Route("r", HOST, "/a/", RouteKind.STREAM, shares, 4.0, 0.3, 2, gap_target_s=1.0)
-    service = Service(SERVICE, 100, True, WarmUpTerms(RATE_PER_S, LASTS_S))
+    service = Service(SERVICE, 100, True, WarmUpTerms(RATE_PER_S, WARM_UP_S))
     return RoutingTable(1, (route,), (service,), ClientLimits())
 
 
@@ -148,8 +148,8 @@
         self.transport.close()
 
 
-class Keeper:
-    """A storage node, of which only the placements are there; it also starts items."""
+class PlacementNode:
+    """A storage node that runs only the placement service; it also starts items."""
 
     def __init__(self, world: "WarmUpWorld", name: str) -> None:
         self.name = name
@@ -168,7 +168,7 @@
         )
 
     def start_item(self, record: RunnerRecord) -> None:
-        """Send an item if the runner may get it."""
+        """Send an item if the limiter allows it."""
         now = self._world.clock.seconds()
         if self.registry.is_ready(record.runner) and self.limiter.may_send(record, now):
             self.limiter.sent(record, now)
@@ -177,14 +177,14 @@
 
 @dataclass
 class Runner:
-    """What a runner is, when it is cold, and when requests came."""
+    """A runner's record, the periods in which it was cold, and when requests reached it."""
 
     record: RunnerRecord
     cold: list[tuple[float, float]] = field(default_factory=list)
     sent_s: list[float] = field(default_factory=list)
 
-    def most_while_cold(self) -> int:
-        """Return the most requests of any second in which it was cold throughout."""
+    def max_sent_while_cold(self) -> int:
+        """Return the maximum number of requests within one second while it was cold."""
         most = 0
         for began_s, ended_s in self.cold:
             times = [at_s for at_s in self.sent_s if began_s <= at_s <= ended_s]
@@ -197,7 +197,7 @@
 
 
 class WarmUpWorld:
-    """Gateways, two keepers of which one leads, runners of two zones."""
+    """Gateways, two placement nodes of which one leads, and runners in two zones."""
 
     def __init__(self, seed: int, gateways: int, runners: int) -> None:
         self.random = random.Random(seed)
@@ -205,7 +205,7 @@
         self.network = SimulatedNetwork(self.clock, random.Random(seed + 1), LINK)
         self.leading = ""
         self.answered: list[StandInExchange] = []
-        self.keepers = [Keeper(self, name) for name in KEEPERS]
+        self.placement_nodes = [PlacementNode(self, name) for name in STORAGE_NODES]
         self.gateways = [WarmUpGateway(self, f"gateway-{n}") for n in range(gateways)]
         self.runners = [self._runner(number) for number in range(runners)]
         self._by_address = {each.record.address: each for each in self.runners}
@@ -228,28 +228,28 @@
         return Runner(record)
 
     def registries(self) -> list[RunnerRegistry]:
-        """Return what each node knows of the runners."""
-        return [each.registry for each in (*self.keepers, *self.gateways)]
+        """Return the runner registry of each node."""
+        return [each.registry for each in (*self.placement_nodes, *self.gateways)]
 
     def note_sent(self, address: str) -> None:
-        """A request has reached a runner."""
+        """Record that a request has reached a runner."""
         self._by_address[address].sent_s.append(self.clock.seconds())
 
-    # --- what happens --------------------------------------------------------------------
+    # --- events --------------------------------------------------------------------------
 
-    def lead(self, name: str, told_after_s: float = 0.0) -> None:
-        """Have a keeper lead, or none with an empty name."""
+    def lead(self, name: str, notified_after_s: float = 0.0) -> None:
+        """Make a node the leader, or none with an empty name."""
         self.leading = name
         if name:
-            self.keepers[KEEPERS.index(name)].service.on_leadership_changed()
-            self.clock.callLater(told_after_s, self._tell_leader, name)
+            self.placement_nodes[STORAGE_NODES.index(name)].service.on_leadership_changed()
+            self.clock.callLater(notified_after_s, self._notify_leader, name)
 
-    def _tell_leader(self, name: str) -> None:
+    def _notify_leader(self, name: str) -> None:
         for gateway in self.gateways:
             gateway.follower.on_ledger_leader(name)
 
-    def press(self, per_s: float, for_s: float) -> None:
-        """Have requests come at random, at random gateways."""
+    def offer_load(self, per_s: float, for_s: float) -> None:
+        """Send requests at random times to random gateways, at a mean rate."""
         at_s = self.random.expovariate(per_s)
         number = 0
         while at_s < for_s:
@@ -260,8 +260,8 @@
     def _ask(self, request: str) -> None:
         self.answered.append(self.random.choice(self.gateways).request(request))
 
-    def press_items(self, per_s: float, for_s: float) -> None:
-        """Have the leading keeper start items wherever the limiter lets it."""
+    def offer_items(self, per_s: float, for_s: float) -> None:
+        """Have the leading node start items at random runners, where the limiter allows it."""
         at_s = self.random.expovariate(per_s)
         while at_s < for_s:
             self.clock.callLater(at_s, self._start_item)
@@ -269,43 +269,43 @@
 
     def _start_item(self) -> None:
         if self.leading:
-            keeper = self.keepers[KEEPERS.index(self.leading)]
-            keeper.start_item(self.random.choice(self.runners).record)
+            node = self.placement_nodes[STORAGE_NODES.index(self.leading)]
+            node.start_item(self.random.choice(self.runners).record)
 
-    def go_cold(self, runner: Runner, silent_s: float) -> None:
-        """A runner is cold from now on, and says so a while later."""
+    def go_cold(self, runner: Runner, delay_s: float) -> None:
+        """Make a runner cold; it reports that after a delay."""
         now = self.clock.seconds()
-        runner.cold.append((now, now + LASTS_S))
-        self.clock.callLater(silent_s, self.say, runner)
+        runner.cold.append((now, now + WARM_UP_S))
+        self.clock.callLater(delay_s, self.send_heartbeat, runner)
 
-    def say(self, runner: Runner) -> None:
-        """A runner's word reaches each node after a while of its own."""
+    def send_heartbeat(self, runner: Runner) -> None:
+        """Send a runner's heartbeat to each node, with a random delay each."""
         warm_at_s = max((ended_s for _, ended_s in runner.cold), default=0.0)
         left_s = max(0.0, warm_at_s - self.clock.seconds())
         record = replace(runner.record, sequence=runner.record.sequence + 1, warm_up_left_s=left_s)
         runner.record = record
         for registry in self.registries():
-            after_s = WORD_AFTER_S * self.random.random()
+            after_s = REPORT_WITHIN_S * self.random.random()
             self.clock.callLater(after_s, registry.take, (record,))
 
     def drain(self, zone: str, for_s: float) -> None:
-        """A zone is drained for a while; its runners are cold at the end."""
-        self._tell_drain(ZoneDrain(zone, 1, True))
+        """Drain a zone for a time; its runners are cold afterwards."""
+        self._notify_drain(ZoneDrain(zone, 1, True))
         self.clock.callLater(for_s, self._end_drain, zone)
 
     def _end_drain(self, zone: str) -> None:
-        self._tell_drain(ZoneDrain(zone, 2, False))
+        self._notify_drain(ZoneDrain(zone, 2, False))
         for runner in self.runners:
             if runner.record.zone == zone:
                 self.go_cold(runner, 1.2 * self.random.random())
 
-    def _tell_drain(self, drain: ZoneDrain) -> None:
+    def _notify_drain(self, drain: ZoneDrain) -> None:
         for registry in self.registries():
-            after_s = WORD_AFTER_S * self.random.random()
+            after_s = REPORT_WITHIN_S * self.random.random()
             self.clock.callLater(after_s, registry.take_zone_drains, (drain,))
 
     def restart(self, number: int) -> None:
-        """End a gateway's process and begin another, which knows what the others know."""
+        """Restart a gateway's process; the new one starts with the old one's registry."""
         known = self.gateways[number].registry
         self.gateways[number].stop()
         fresh = WarmUpGateway(self, self.gateways[number].name)
@@ -317,12 +317,12 @@
             fresh.follower.on_ledger_leader(self.leading)
 
     def cut_off(self, number: int) -> None:
-        """Cut a gateway off from the keepers, not from the runners."""
+        """Partition a gateway from the placement nodes, not from the runners."""
         self.network.isolate(self.gateways[number].name)
 
     # --- judging -------------------------------------------------------------------------
 
-    def most_over(self) -> float:
-        """Return by how much the fullest second of a cold runner passes the bound."""
-        most = max(runner.most_while_cold() for runner in self.runners)
+    def max_excess(self) -> float:
+        """Return by how many requests a cold runner's busiest second exceeds the bound."""
+        most = max(runner.max_sent_while_cold() for runner in self.runners)
         return most - BOUND.in_window(RATE_PER_S)
--- a/src/rainsail/routing/__init__.py
+++ b/src/rainsail/routing/__init__.py
@@ -1,1 +1,4 @@
-"""Which runner gets a request, an item, or nothing now: pure decisions that both fronts call."""
+"""Routing decisions: which runner gets a request or a batch item, or whether it is refused.
+
+Both gateway kinds (relaying and native) call these functions. They do no I/O.
+"""
--- a/src/rainsail/routing/choice.py
+++ b/src/rainsail/routing/choice.py
@@ -1,13 +1,13 @@
-"""Chooses the runner of one request: each has a cost in milliseconds, and the cheapest wins.
+"""Chooses the runner for one request: each has a cost in milliseconds, and the lowest cost wins.
 
-The cost adds up the prefill of what the runner probably has not cached of the prompt, how full the
-runner is, the wait behind its queue and its pending prefill, and a little for another zone. A
-random part decides between equals, so that the gateways of a fleet don't all choose one runner.
+The cost is the sum of: prefill of the prompt tokens that the runner has probably not cached, how
+full the runner is, the wait behind its queue and its pending prefill, and a small cost for another
+zone. A random term breaks ties, so that the gateways of a fleet do not all choose one runner.
 
-Pure but for the load and prefix tables that it reads; time and random are handed in.
+Does no I/O: it reads the load and prefix tables; the caller passes the time and the random source.
 
-``gateway.router`` chooses for the native front by other scores: native engines report their cache
-and memory, which are guessed here.
+``gateway.router`` chooses for native gateways with other scores: native engines report their cache
+and memory, which are estimated here.
 """
 
 from collections.abc import Callable, Sequence
@@ -25,40 +25,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceSettings:
-    """The costs, in milliseconds unless said otherwise.
+    """The weights of the cost terms, in milliseconds unless stated otherwise.
 
-    No value was measured by itself. They were chosen for the runners that the users' bench stands
-    for, and measured together with all else that routing does (docs/design/policies.md).
+    They fit the runners that the users' benchmark models; docs/design/policies.md has the results
+    of routing as a whole with them.
     """
 
     prefill_tokens_per_ms: float = 85.0
-    """Speed of prefill where few tokens stand before."""
+    """Prefill speed at the beginning of a prompt, where attention costs little."""
     attention_pairs_per_ms: float = 3.6e6
-    """Prefill of a token takes the longer, the more tokens stand before it: one pair with each."""
+    """Attention speed: prefill of a token costs one pair for each token before it."""
     crowded_ms: float = 40.0
     """Cost of a runner with all slots taken; it grows with the square of the share taken."""
     wait_ms: float = 60.0
-    """Cost of each request that would be in front in the queue."""
+    """Cost of each request ahead in the runner's queue."""
     other_zone_ms: float = 6.0
-    """Cost of a runner in another zone, some milliseconds of network away.
+    """Cost of a runner in another zone: some milliseconds of network latency.
 
-    20 ms instead brought nothing that can be told from noise.
+    With 20 ms the results differ by no more than noise.
     """
     warming_ms: float = 60.0
-    """Cost of a runner that warms up and whose service has no rate for that."""
+    """Cost of a runner that is warming up, for services without a warm-up rate."""
     noise_ms: float = 4.0
-    """The largest random part: less than what another zone costs."""
+    """Upper bound of the random term: less than the cost of another zone."""
     prefill_weight: float = 1.25
-    """What prefill counts beside waiting: it also takes memory, and time from other requests."""
+    """Weight of prefill against waiting: it also takes memory, and time from other requests."""
     affinity_discount: float = 0.5
     """Share of a shared part's prefill that counts at its preferred runner, which may cache it."""
     least_shared_tokens: int = 1500
-    """Parts smaller than this have no preferred runner: their prefill costs less than crowding."""
+    """Smaller parts have no preferred runner: their prefill costs less than a crowded runner."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """What a choice goes by: the request's prompt, and the zone that it came to."""
+    """Input of a choice: the parts of the request's prompt, and the zone of its gateway."""
 
     prompt: tuple[PromptPart, ...]
     zone: str
@@ -76,7 +76,7 @@
         mechanisms: Mechanisms = DEFAULTS,
         is_warming: Callable[[str], bool] = lambda runner: False,
     ) -> None:
-        """``is_warming`` tells whether a runner still warms up."""
+        """``is_warming`` returns whether a runner is still warming up."""
         self._is_warming = is_warming
         self._has_preferred = mechanisms.prompt_homes
         self._loads = loads
@@ -91,9 +91,10 @@
         request: RoutedRequest,
         now: float,
     ) -> RunnerRecord | None:
-        """Return the cheapest runner that was not tried, None when there is none.
+        """Return the runner of the lowest cost that was not tried yet, None when there is none.
 
-        Runners that are ejected, or were full just now, are passed over while others are left.
+        Ejected runners, and those that have just refused a request as full, are used only if no
+        others are left.
         """
         untried = [record for record in records if record.runner not in tried]
         if not untried:
@@ -105,10 +106,10 @@
         return min(candidates, key=lambda record: self._cost_ms(record, request, preferred, now))
 
     def _without_ejected(self, untried: list[RunnerRecord], now: float) -> list[RunnerRecord]:
-        """Return the runners that are not ejected, but half of all at least.
+        """Return the runners that are not ejected, but at least half of all.
 
-        Where more are ejected than that, something else than they is at fault; those whose time is
-        over soonest are taken.
+        If more than half are ejected, the cause is probably not the runners; those whose ejection
+        ends first are then used.
         """
         kept = [each for each in untried if not self._loads.is_ejected(each.runner, now)]
         least = max(1, len(untried) // 2)
@@ -118,18 +119,21 @@
         return by_end[:least]
 
     def has_affinity(self, prompt: tuple[PromptPart, ...]) -> bool:
-        """Tell whether it matters where a prompt goes: a runner may have cached much of it."""
+        """Return whether the prompt has a shared part that is large enough for cache affinity."""
         part = shared_part(prompt)
         return part is not None and part.tokens >= self._settings.least_shared_tokens
 
     def prefill_ms(self, prompt: tuple[PromptPart, ...], runner: str) -> float:
-        """Return how long the prefill of a prompt probably takes a runner."""
+        """Return the estimated prefill time of a prompt at a runner, in milliseconds."""
         missing = self._prefixes.missing_tokens(prompt, runner)
         whole = sum(part.tokens for part in prompt)
         return prefill_time_ms(missing, whole, self._settings)
 
     def _preferred(self, prompt: tuple[PromptPart, ...], runners: list[str]) -> str:
-        """Return the runner that all gateways prefer for a prompt's shared part; empty if none."""
+        """Return the preferred runner of a prompt's shared part, the same at all gateways.
+
+        Empty if there is none.
+        """
         part = shared_part(prompt)
         if not self._has_preferred or part is None:
             return ""
@@ -138,10 +142,10 @@
         return preferred_runner(part.part, runners)
 
     def _affinity_ms(self, prompt: tuple[PromptPart, ...], preferred: str) -> float:
-        """Return what is taken off the cost of prefill at the preferred runner.
+        """Return the reduction of the prefill cost at the preferred runner, in milliseconds.
 
-        Other gateways may have sent it the shared part, though this one has not. What is the
-        request's own it has certainly not cached.
+        Other gateways may have sent the shared part there, even if this one has not. The part that
+        belongs to this request alone cannot be cached there.
         """
         part = shared_part(prompt)
         if part is None or self._prefixes.holds(part.part, preferred):
@@ -178,6 +182,6 @@
 
 
 def prefill_time_ms(missing: int, whole: int, settings: ChoiceSettings) -> float:
-    """Return how long the prefill of the last ``missing`` of ``whole`` tokens of a prompt takes."""
+    """Return the milliseconds that prefill of the last ``missing`` of ``whole`` tokens takes."""
     pairs = missing * (whole - missing / 2)
     return missing / settings.prefill_tokens_per_ms + pairs / settings.attention_pairs_per_ms
--- a/src/rainsail/routing/facts.py
+++ b/src/rainsail/routing/facts.py
@@ -1,11 +1,11 @@
-"""What requests and runners state about themselves that decides where a request goes."""
+"""Inputs of routing: the parts of a request's prompt, and the load that a runner reports."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt: its id and how many tokens it has."""
+    """A part of a prompt: its id, and its length in tokens."""
 
     part: str
     tokens: int
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """The load that a runner reports with an answer, in requests."""
+    """The load that a runner reports with a response, in requests."""
 
     running: int
     waiting: int
--- a/src/rainsail/routing/load.py
+++ b/src/rainsail/routing/load.py
@@ -1,15 +1,15 @@
-"""What one gateway knows of each runner: its load, and whether to leave it out for now.
+"""One gateway's view of each runner: its load, and whether it is ejected.
 
-A runner reports its load with each answer, and so late. Between two reports the gateway adds what
-it has itself sent and seen end since. A runner is ejected, that is left out for a time, after
-failures in a row and when it sends nothing while answers are awaited. The prefill of a long prompt
-occupies a runner and delays all that is sent to it afterwards; gateways announce such prompts to
-each other.
+A runner reports its load with each response, so reports are delayed. Between two reports the
+gateway adds the requests that it has itself sent, and subtracts those that have ended. A runner is
+ejected, that is excluded for a time, after consecutive failures, or when it sends nothing while
+responses are outstanding. Prefill of a long prompt occupies a runner and delays all later requests
+there; gateways announce such prompts to each other.
 
-Times are seconds of the process's clock, handed in; nothing here does I/O.
+Does no I/O; the caller passes the time, in seconds of the process's clock.
 
-``gateway.load_score`` estimates native runners otherwise: their engines report at a steady pace and
-tell urgent requests from items.
+``gateway.load_score`` estimates the load of native runners differently: their engines report
+periodically, and separate online requests from batch items.
 """
 
 from collections.abc import Callable
@@ -18,32 +18,29 @@
 from rainsail.mechanisms import DEFAULTS, Mechanisms
 from rainsail.routing.facts import ServerLoad
 
-REPORT_TRUSTED_S = 0.6
-"""A runner's report of its load keeps its full weight for this long.
+REPORT_FRESH_S = 0.6
+"""A load report keeps its full weight for this long: about the duration of a short request."""
+REPORT_EXPIRED_S = 3.0
+"""From this age on a report has no weight; between the two ages the weight falls linearly.
 
-Not measured; chosen as about the time that a short request takes.
-"""
-REPORT_FORGOTTEN_S = 3.0
-"""From this age on a report counts nothing; in between its weight falls evenly.
-
-Not measured; chosen so that hardly a request of that time is still running.
+At this age few of the requests that were reported are still running.
 """
 EJECT_AFTER_FAILURES = 2
-"""Failures in a row that eject a runner.
+"""Consecutive failures that eject a runner.
 
-Not measured; one failure may be the request's fault, and each further one costs a client time.
+The request may be the cause of a single failure; each further failure delays a client.
 """
-EJECT_FIRST_S = 1.0
-"""The first ejection; it doubles with each further failure in a row.
+FIRST_EJECTION_S = 1.0
+"""Duration of the first ejection; it doubles with each further consecutive failure.
 
-Not measured; chosen so that a runner that failed by chance loses little.
+It is short, so that a runner that failed by chance is soon used again.
 """
-EJECT_LONGEST_S = 8.0
-"""No ejection lasts longer. Not measured; chosen so that a runner that is back is soon tried."""
-FULL_PAUSE_S = 0.15
-"""A runner that refused for being full gets nothing for this long, if others may.
+MAX_EJECTION_S = 8.0
+"""Upper bound of an ejection, so that a recovered runner is soon tried again."""
+FULL_BACKOFF_S = 0.15
+"""A runner that refused a request as full is avoided for this long, if there are others.
 
-Not measured; chosen shorter than most answers, after which it has a free slot.
+Shorter than most responses: by then a slot is probably free.
 """
 
 
@@ -52,31 +49,31 @@
     """One runner as this gateway sees it; times are seconds of the process's clock."""
 
     in_flight: int = 0
-    """Requests of this gateway that are under way there."""
+    """Requests of this gateway that are in flight at the runner."""
     reported: int = 0
-    """Requests that the runner has last reported, running and waiting ones."""
+    """Running and waiting requests in the runner's last report."""
     reported_at_s: float = float("-inf")
     in_flight_at_report: int = 0
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
     ejected_until_s: float = float("-inf")
     full_until_s: float = float("-inf")
     prefill_until_s: float = float("-inf")
-    """When the runner has probably finished the prefill of the prompts that it was sent."""
+    """Estimated end of prefill of all prompts sent to the runner."""
     awaiting_since_s: float | None = None
-    """Since when an answer is awaited and nothing has come; None while none is awaited."""
+    """Since when a response is outstanding without any data; None when none is outstanding."""
     idle_timeout_s: float = 0.0
-    """How long nothing may come."""
+    """A runner with an outstanding response times out after this long without data."""
 
     def estimate(self, now: float) -> float:
-        """Return the requests that the runner probably has, waiting ones included."""
+        """Return the estimated number of requests at the runner, including waiting ones."""
         age_s = now - self.reported_at_s
-        if age_s >= REPORT_FORGOTTEN_S:
+        if age_s >= REPORT_EXPIRED_S:
             return float(self.in_flight)
         updated = max(0, self.reported + self.in_flight - self.in_flight_at_report)
-        if age_s <= REPORT_TRUSTED_S:
+        if age_s <= REPORT_FRESH_S:
             return float(max(updated, self.in_flight))
-        weight = (REPORT_FORGOTTEN_S - age_s) / (REPORT_FORGOTTEN_S - REPORT_TRUSTED_S)
+        weight = (REPORT_EXPIRED_S - age_s) / (REPORT_EXPIRED_S - REPORT_FRESH_S)
         return max(float(self.in_flight), updated * weight)
 
 
@@ -88,25 +85,25 @@
         self._loads: dict[str, RunnerLoad] = {}
         self._outcomes: dict[str, tuple[int, int]] = {}
         self.on_change: Callable[[], None] = lambda: None
-        """Called whenever what is under way has changed."""
+        """Called whenever a number of requests in flight has changed."""
 
     def of(self, runner: str) -> RunnerLoad:
-        """Return a runner's load, made when it is first asked for."""
+        """Return a runner's load; creates an empty one on first use."""
         load = self._loads.get(runner)
         if load is None:
             load = self._loads[runner] = RunnerLoad()
         return load
 
     def forget(self, runner: str) -> None:
-        """Drop a runner that is gone and has nothing under way."""
+        """Drop a runner that has left the fleet, unless it has requests in flight."""
         load = self._loads.get(runner)
         if load is not None and load.in_flight == 0:
             del self._loads[runner]
 
     def runner_restarted(self, runner: str) -> None:
-        """Forget what was known of a runner that has started again, but for what is under way.
+        """Reset the load of a runner that has restarted, except its requests in flight.
 
-        Requests of the incarnation before have yet to end here; their ends are counted.
+        Requests to the previous incarnation have not ended here yet; their ends will be counted.
         """
         former = self._loads.get(runner)
         if former is not None:
@@ -118,13 +115,13 @@
         self._outcomes.pop(runner, None)
 
     def in_flight(self) -> dict[str, int]:
-        """Return what is under way by runner, zeros left out."""
+        """Return the requests in flight by runner, without zeros."""
         return {name: load.in_flight for name, load in self._loads.items() if load.in_flight}
 
     # --- requests ------------------------------------------------------------------------
 
     def sent(self, runner: str, now: float, idle_timeout_s: float) -> None:
-        """A request was sent to a runner, from which something should come within a time."""
+        """Count a request that was sent; the runner should send data within ``idle_timeout_s``."""
         load = self.of(runner)
         load.in_flight += 1
         load.idle_timeout_s = max(load.idle_timeout_s, idle_timeout_s)
@@ -133,7 +130,7 @@
         self.on_change()
 
     def ended(self, runner: str, now: float) -> None:
-        """A request has ended, in whatever way."""
+        """Count the end of a request, whatever its outcome."""
         load = self.of(runner)
         load.in_flight = max(0, load.in_flight - 1)
         if load.in_flight == 0:
@@ -142,20 +139,20 @@
         self.on_change()
 
     def received(self, runner: str, now: float) -> None:
-        """A runner has sent something."""
+        """Note that a runner has sent data."""
         load = self.of(runner)
         if load.awaiting_since_s is not None:
             load.awaiting_since_s = now
 
     def take_report(self, runner: str, report: ServerLoad, now: float) -> None:
-        """Take a runner's own report of its load."""
+        """Record a runner's report of its own load."""
         load = self.of(runner)
         load.reported = report.running + report.waiting
         load.reported_at_s = now
         load.in_flight_at_report = load.in_flight
 
     def add_prefill(self, runner: str, for_s: float, now: float) -> None:
-        """A runner was sent one more prompt, whose prefill takes it a time."""
+        """Add the prefill time of a prompt that was sent to a runner, in seconds."""
         if not self._mechanisms.reading_clock:
             return
         load = self.of(runner)
@@ -164,16 +161,16 @@
     # --- outcomes ------------------------------------------------------------------------
 
     def answered(self, runner: str) -> None:
-        """A runner has answered without a failure."""
+        """Count a successful response; it ends an ejection."""
         self._count_outcome(runner, 1, 0)
         load = self.of(runner)
         load.failures = 0
         load.ejected_until_s = float("-inf")
 
     def failed(self, runner: str, now: float, at_once: bool = False) -> None:
-        """A runner failed; with ``at_once`` the first failure ejects it.
+        """Count a failure; with ``at_once`` the first one ejects the runner.
 
-        It broke an answer off, reported a failure or could not be reached.
+        A failure is a response that was cut off, an error response, or a failed connection.
         """
         self._count_outcome(runner, 0, 1)
         if not self._mechanisms.ejection:
@@ -184,16 +181,16 @@
         if at_once:
             doublings = max(doublings, 0)
         if doublings >= 0:
-            load.ejected_until_s = now + min(EJECT_LONGEST_S, EJECT_FIRST_S * 2**doublings)
+            load.ejected_until_s = now + min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**doublings)
 
     def full(self, runner: str, now: float) -> None:
-        """A runner refused a request for being full."""
-        self.of(runner).full_until_s = now + FULL_PAUSE_S
+        """Note that a runner refused a request because it is full."""
+        self.of(runner).full_until_s = now + FULL_BACKOFF_S
 
     def take_outcomes(self) -> dict[str, tuple[int, int]]:
-        """Return the answers and the failures by runner since the last call.
+        """Return the responses and failures by runner since the last call.
 
-        Runners from which neither came are left out.
+        Runners without either are left out.
         """
         outcomes, self._outcomes = self._outcomes, {}
         return outcomes
@@ -202,19 +199,19 @@
         before = self._outcomes.get(runner, (0, 0))
         self._outcomes[runner] = (before[0] + answered, before[1] + failed)
 
-    # --- runners to leave out ------------------------------------------------------------
+    # --- unavailable runners -------------------------------------------------------------
 
     def eject(self, runner: str, now: float, for_s: float) -> None:
-        """Leave a runner out for a time."""
+        """Eject a runner for ``for_s`` seconds; never shortens an ejection."""
         load = self.of(runner)
         load.ejected_until_s = max(load.ejected_until_s, now + for_s)
 
     def is_ejected(self, runner: str, now: float) -> bool:
-        """Tell whether a runner is left out now."""
+        """Return whether a runner is ejected."""
         return self.of(runner).ejected_until_s > now
 
     def unavailable(self, now: float) -> list[str]:
-        """Return the runners that should get nothing now: ejected, full, or busy with prefill."""
+        """Return the runners to avoid now: ejected, full, or busy with prefill."""
         return [
             name
             for name, load in self._loads.items()
@@ -223,13 +220,13 @@
 
     @property
     def awaits_answers(self) -> bool:
-        """Tell whether an answer is awaited from some runner."""
+        """Whether a response is outstanding at any runner."""
         return any(load.awaiting_since_s is not None for load in self._loads.values())
 
     def timed_out(self, now: float) -> list[str]:
-        """Return the runners from which answers are awaited and nothing has come for too long.
+        """Return the runners with outstanding responses that sent nothing for their idle timeout.
 
-        A runner that is busy with prefill has until its end, and the time beyond it.
+        For a runner that is busy with prefill the timeout begins at the estimated end of prefill.
         """
         if not self._mechanisms.silence:
             return []
--- a/src/rainsail/routing/messages.py
+++ b/src/rainsail/routing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and the ledger's leader on load, ejections and placements."""
+"""Messages between gateways and the ledger's leader about load, ejections and placements."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 @wire_type("RunnerUse")
 @dataclass(frozen=True, slots=True)
 class RunnerUse:
-    """How many requests a gateway has under way at one runner."""
+    """How many requests of a gateway are in flight at one runner."""
 
     runner: str
     running: int
@@ -19,7 +19,7 @@
 @wire_type("RunnerOutcome")
 @dataclass(frozen=True, slots=True)
 class RunnerOutcome:
-    """What came of requests at one runner since a gateway's last report."""
+    """Successes and failures of requests at one runner since a gateway's last report."""
 
     runner: str
     answered: int
@@ -29,9 +29,9 @@
 @wire_record("OnlineUse")
 @dataclass(frozen=True, slots=True)
 class OnlineUse:
-    """A gateway's requests under way by runner, sent one way whenever they have changed.
+    """A gateway's requests in flight by runner; one-way, sent whenever they have changed.
 
-    ``seen`` is the highest number of a placement that the gateway knew of when it counted.
+    ``seen`` is the highest placement number that the counts include.
     """
 
     uses: tuple[RunnerUse, ...]
@@ -42,10 +42,10 @@
 @wire_record("ServiceLoad")
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """The leader's report on a busy service, one way, to a gateway that has just reported.
+    """The leader's report on a busy service; one-way, to a gateway that has just reported.
 
-    ``online`` requests of all gateways are under way on ``slots`` slots, ``own`` of them the
-    gateway's; ``places`` tells that the leader wants to be asked where requests go.
+    ``online`` requests of all gateways are in flight on ``slots`` slots, ``own`` of them from this
+    gateway. ``places`` asks the gateway to have the leader place its requests.
     """
 
     service: str
@@ -58,7 +58,7 @@
 @wire_record("RunnerUnsound")
 @dataclass(frozen=True, slots=True)
 class RunnerUnsound:
-    """The leader ejects a runner that failed too often, one way; ``out_s`` is for how long."""
+    """The leader ejects a runner that failed too often, for ``out_s`` seconds; one-way."""
 
     runner: str
     out_s: float
@@ -69,9 +69,9 @@
 class PlaceRequest:
     """A gateway asks the leader to place a request.
 
-    ``avoid`` are runners that it must not or should not go to; ``most_waiting`` is how many may
-    wait for each slot before the request is better refused (below 0: any number). With ``limited``
-    it may be served in the regions ``regions`` alone.
+    ``avoid`` are runners to exclude. ``most_waiting`` is the number of waiting requests per slot
+    above which the request is refused (below 0: no limit). With ``limited`` it may be served only
+    in ``regions``.
     """
 
     service: str
@@ -83,16 +83,17 @@
 
     @property
     def allowed_regions(self) -> AllowedRegions:
-        """Where the request may be served; None stands for everywhere."""
+        """Regions that may serve the request; None stands for all."""
         return frozenset(self.regions) if self.limited else None
 
 
 @wire_record("Placement")
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request should go, empty when no runner is left; placements count up.
+    """The runner that a request should go to (empty: none available), and the placement's number.
 
-    ``refused``: more wait than the gateway accepts, and the request counts nowhere.
+    Numbers increase with each placement. With ``refused`` more requests wait than the gateway
+    accepts; the request is not counted at any runner.
     """
 
     runner: str
--- a/src/rainsail/routing/outlier_ejection.py
+++ b/src/rainsail/routing/outlier_ejection.py
@@ -1,52 +1,49 @@
-"""Ejects runners that fail more often than others, by the outcomes that all gateways report. Pure.
+"""Ejects runners that fail more often than others, by the outcomes that all gateways report.
 
-A single gateway of many sends a failing runner few requests; all together know it within a few. A
-runner that failed too often is ejected, that is left out for a time, and longer each time. When it
-is back one failure is enough, until it has answered without one for some time.
+A single gateway of many sends few requests to a failing runner; the reports of all gateways
+together reveal it after a few requests. A runner that fails too often is ejected, that is excluded
+for a time, which doubles with each ejection. Afterwards a single failure ejects it again, until it
+has not been ejected for some time.
 
-The ledger's leader owns the state; it is lost with the leadership.
+The ledger's leader owns the state; it is lost with the leadership. Does no I/O.
 
-``gateway.ejection`` goes by one gateway's own failures in a row, as native gateways report no
-outcomes to control.
+``gateway.ejection`` uses one gateway's own consecutive failures instead, as native gateways report
+no outcomes to the control plane.
 """
 
 from dataclasses import dataclass
 from math import exp
 
 DECAY_S = 2.0
-"""In this time the weight of an outcome falls to 1/e.
+"""Within this time the weight of an outcome falls to 1/e.
 
-Not measured; chosen so that a few requests of each of many gateways come together.
+Long enough to combine a few requests from each of many gateways.
 """
 FAILURES_TO_EJECT = 2
-"""Failures within that time that eject a runner. Not measured; one may be the request's fault."""
+"""Failures within that time that eject a runner; the request may be the cause of a single one."""
 FAILED_SHARE_TO_EJECT = 0.3
-"""Share of failures among its outcomes from which on a runner is ejected.
+"""Minimum share of failures among a runner's outcomes for an ejection.
 
-Not measured; chosen so that a busy runner is not ejected for two failures among many answers.
+It keeps a busy runner from being ejected for two failures among many responses.
 """
 FIRST_EJECTION_S = 3.0
-"""The first ejection; it doubles each time. Not measured; chosen as long as a short restart."""
-LONGEST_EJECTION_S = 9.0
-"""No ejection lasts longer. Not measured; chosen so that a runner that is back is soon used."""
-TRUSTED_AGAIN_AFTER_S = 10.0
-"""A runner that was back for this long without being ejected again counts as any other.
+"""Duration of the first ejection, about that of a short restart; it doubles each time."""
+MAX_EJECTION_S = 9.0
+"""Upper bound of an ejection, so that a recovered runner is soon used again."""
+EJECTIONS_RESET_AFTER_S = 10.0
+"""A runner's earlier ejections are forgotten this long after the last one ended.
 
-Not measured; chosen longer than the longest ejection.
+Longer than the longest ejection.
 """
-MOST_EJECTED_SHARE = 1 / 3
-"""If more than this share of a service's runners were ejected, none is left out.
+MAX_EJECTED_SHARE = 1 / 3
+"""If more than this share of a service's runners is ejected, ejections are ignored.
 
-Not measured; chosen since then something else than single runners is at fault, and the others would
-be overloaded.
+The cause is then probably not single runners, and the remaining ones would be overloaded.
 """
 FAILURE_AFTER_EJECTION = 0.6
-"""Decayed failures that eject a runner which was ejected before: one that is some 1 s old at most.
-
-Not measured; chosen so that one failure is enough.
-"""
-HALF_A_FAILURE = 0.5
-"""What ``FAILURES_TO_EJECT`` may have lost by decay when the last of them comes."""
+"""Decayed failures that eject a runner again: a single one, if it is at most about 1 s old."""
+DECAY_ALLOWANCE = 0.5
+"""How much ``FAILURES_TO_EJECT`` failures may have decayed when the last one is reported."""
 
 
 @dataclass(slots=True)
@@ -66,43 +63,43 @@
 
 
 class OutlierDetector:
-    """Decides which runners fail more often than others, by their decayed outcomes."""
+    """Detects runners that fail more often than others, from exponentially decayed outcomes."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all records."""
         self._records.clear()
 
     def forget(self, runner: str) -> None:
-        """Forget a runner that has started again."""
+        """Drop the record of a runner that has restarted."""
         self._records.pop(runner, None)
 
     def record(self, runner: str, answered: int, failed: int, now: float) -> float | None:
-        """Count outcomes; return for how many seconds they eject the runner, None if they don't."""
+        """Count outcomes; return the duration of the ejection in seconds, None if there is none."""
         record = self._records.setdefault(runner, _Record())
         record.add(answered, failed, now)
         if not failed or record.ejected_until_s > now:
             return None
-        if now - record.ejected_until_s > TRUSTED_AGAIN_AFTER_S:
+        if now - record.ejected_until_s > EJECTIONS_RESET_AFTER_S:
             record.ejections = 0
-        needed = FAILURE_AFTER_EJECTION if record.ejections else FAILURES_TO_EJECT - HALF_A_FAILURE
+        needed = FAILURE_AFTER_EJECTION if record.ejections else FAILURES_TO_EJECT - DECAY_ALLOWANCE
         share = record.failed / (record.failed + record.answered)
         if record.failed < needed or share < FAILED_SHARE_TO_EJECT:
             return None
-        out_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**record.ejections)
+        out_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**record.ejections)
         record.ejections += 1
         record.ejected_until_s = now + out_s
         record.answered = record.failed = 0.0
         return out_s
 
     def is_ejected(self, runner: str, now: float) -> bool:
-        """Tell whether a runner is ejected."""
+        """Return whether a runner is ejected."""
         record = self._records.get(runner)
         return record is not None and record.ejected_until_s > now
 
     def not_ejected(self, runners: list[str], now: float) -> list[str]:
-        """Return the runners that are not ejected, all if too many are."""
+        """Return the runners that are not ejected, or all of them if too many are ejected."""
         kept = [runner for runner in runners if not self.is_ejected(runner, now)]
-        return kept if len(kept) >= (1 - MOST_EJECTED_SHARE) * len(runners) else runners
+        return kept if len(kept) >= (1 - MAX_EJECTED_SHARE) * len(runners) else runners
--- a/src/rainsail/routing/placer.py
+++ b/src/rainsail/routing/placer.py
@@ -1,10 +1,13 @@
-"""Places online requests for all gateways, at the ledger's leader. Pure: time and random handed in.
+"""Places online requests for all gateways, at the ledger's leader.
 
-A gateway of many knows little of what the others have sent; choosing by itself it sends requests
-to full runners while slots are free elsewhere. The leader knows what every gateway has under way
-and what items run. It places a request on a free slot; else on one that an item holds, which is
-preempted; else where fewest wait, if the gateway accepts the wait. Among equals a runner of the
-gateway's zone comes first. A runner that warms up gets what its rate allows.
+A single gateway does not know what the others have sent: choosing by itself, it would send requests
+to full runners while slots are free elsewhere. The leader knows the requests of all gateways and
+the running batch items. It places a request on a free slot; otherwise on the slot of an item,
+which is preempted; otherwise at the runner with the shortest queue, if the gateway accepts the
+wait. Among equal runners, one in the gateway's zone is preferred. A runner that is warming up gets
+no more than its rate.
+
+Does no I/O; the caller passes the time and the random source.
 """
 
 from collections.abc import Callable
@@ -18,13 +21,13 @@
 from rainsail.routing.residency import RegionMap
 from rainsail.routing.warm_up_limiter import WarmUpLimiter
 
-MOST_COMPARED = 64
-"""Runners that are compared for one request; of more than these, so many are drawn at random.
+MAX_COMPARED_RUNNERS = 64
+"""Runners that are compared for one request; of more, a random sample of this size is compared.
 
-Not measured; chosen to bound the leader's time for a request in a fleet of thousands of runners.
+Bounds the leader's time for a request in a fleet of thousands of runners.
 """
 FREE_SLOT, PREEMPTS_ITEM, QUEUE = range(3)
-"""What a request finds at a runner, best first."""
+"""Ranks of a runner for a request, best first."""
 
 
 class Placer:
@@ -39,10 +42,10 @@
         warm_ups: WarmUpLimiter,
         regions: RegionMap,
         random: Random,
-        make_room: Callable[[str], None] = lambda runner: None,
+        preempt_items: Callable[[str], None] = lambda runner: None,
     ) -> None:
-        """``items`` counts the items that run at a runner; ``make_room`` preempts some of them."""
-        self._make_room = make_room
+        """``items`` counts the items running at a runner; ``preempt_items`` preempts some."""
+        self._preempt_items = preempt_items
         self._registry = registry
         self._online = online
         self._items = items
@@ -52,7 +55,7 @@
         self._random = random
 
     def place(self, gateway: str, request: PlaceRequest, now: float) -> Placement:
-        """Place a request, or refuse it when more wait than the gateway accepts."""
+        """Place a request, or refuse it if more requests wait than the gateway accepts."""
         allowed = request.allowed_regions
         ready = self._registry.ready(request.service)
         records = [each for each in ready if self._regions.allows(allowed, each.zone)]
@@ -66,11 +69,11 @@
         number = self._online.place(gateway, record.runner, now)
         self._warm_ups.sent(record, now)
         if self._items(record.runner):
-            self._make_room(record.runner)
+            self._preempt_items(record.runner)
         return Placement(record.runner, number, online, slots, refused=False)
 
     def load(self, records: list[RunnerRecord]) -> tuple[int, int]:
-        """Return the requests under way at runners, and their slots."""
+        """Return the total of requests in flight at runners, and of their slots."""
         online = sum(self._online.running(record.runner) for record in records)
         return online, sum(record.slots for record in records)
 
@@ -84,17 +87,17 @@
             if each.runner not in avoided and self._warm_ups.may_send(each, now)
         }
         compared = self._outliers.not_ejected(list(allowed), now)
-        if len(compared) > MOST_COMPARED:
-            compared = self._random.sample(compared, MOST_COMPARED)
+        if len(compared) > MAX_COMPARED_RUNNERS:
+            compared = self._random.sample(compared, MAX_COMPARED_RUNNERS)
         if not compared:
             return None
         best = min(compared, key=lambda runner: self._rank(allowed[runner], request.zone))
         return allowed[best]
 
     def _rank(self, record: RunnerRecord, zone: str) -> tuple[int, float, float, float]:
-        """Return the rank of a runner; the least is best.
+        """Return the rank of a runner; the lowest is best.
 
-        Of runners with a free slot those that warm up come last, since they may get few requests.
+        Of runners with a free slot, those that are warming up come last: their rate is limited.
         """
         slots = max(1, record.slots)
         online = self._online.running(record.runner)
--- a/src/rainsail/routing/prefix_memory.py
+++ b/src/rainsail/routing/prefix_memory.py
@@ -1,7 +1,8 @@
-"""Which runners have probably cached which parts of prompts, by what this gateway has sent.
+"""Estimates which runners have cached which prompt parts, from what this gateway has sent.
 
-A hint only: runners drop what was unused longest, and other gateways' requests are not seen. For a
-part that this gateway has not sent yet, all gateways prefer one runner by rendezvous hashing.
+This is a hint only: runners evict the least recently used parts, and requests of other gateways
+are unknown. For a part that this gateway has not sent yet, rendezvous hashing gives all gateways
+the same preferred runner.
 """
 
 from collections import OrderedDict
@@ -12,14 +13,14 @@
 from rainsail.routing.facts import PromptPart
 
 MAX_PARTS = 4096
-"""Parts that are remembered, those sent last.
+"""Parts that are remembered, the most recently sent ones.
 
-Not measured; chosen to hold all prompts of some minutes in about a megabyte.
+Enough for all prompts of some minutes, in about 1 MB.
 """
 
 
 class PrefixMemory:
-    """Runners by the part that they have probably cached."""
+    """The runners that have probably cached each part."""
 
     def __init__(self, mechanisms: Mechanisms = DEFAULTS, max_parts: int = MAX_PARTS) -> None:
         self._remembers = mechanisms.prefix_memory
@@ -27,7 +28,7 @@
         self._holders: OrderedDict[str, dict[str, None]] = OrderedDict()
 
     def sent(self, prompt: tuple[PromptPart, ...], runner: str) -> None:
-        """Note that a prompt was sent to a runner, which caches its parts."""
+        """Record that a prompt was sent to a runner, which caches its parts."""
         if not self._remembers:
             return
         for part in prompt:
@@ -38,18 +39,19 @@
             self._holders.popitem(last=False)
 
     def forget(self, runner: str) -> None:
-        """Drop a runner that is gone."""
+        """Drop a runner that has left."""
         for holders in self._holders.values():
             holders.pop(runner, None)
 
     def holds(self, part: str, runner: str) -> bool:
-        """Tell whether a runner has cached a part, as far as this gateway knows."""
+        """Return whether a runner has cached a part, as far as this gateway knows."""
         return runner in self._holders.get(part, ())
 
     def missing_tokens(self, prompt: tuple[PromptPart, ...], runner: str) -> int:
-        """Return how many tokens a runner has probably not cached.
+        """Return the number of tokens that a runner has probably not cached.
 
-        A cache holds beginnings of prompts: no part counts as cached behind one that is not.
+        Caches hold prefixes of prompts: after the first missing part, all further parts count as
+        missing.
         """
         missing = 0
         unbroken = True
@@ -61,10 +63,10 @@
 
 
 def preferred_runner(part: str, runners: list[str]) -> str:
-    """Return the runner at which all gateways prefer to have a part cached."""
+    """Return the runner that all gateways prefer for a part, by rendezvous hashing."""
     return max(runners, key=lambda runner: xxhash.xxh64_intdigest(f"{part} {runner}".encode()))
 
 
 def shared_part(prompt: tuple[PromptPart, ...]) -> PromptPart | None:
-    """Return the largest part that other requests may share: any but the last."""
+    """Return the largest part that other requests may share (any but the last), None if none."""
     return max(prompt[:-1], key=lambda part: part.tokens, default=None)
--- a/src/rainsail/routing/residency.py
+++ b/src/rainsail/routing/residency.py
@@ -1,7 +1,7 @@
-"""Where a request may be served, cached and stored. Pure.
+"""Data residency: the regions in which a request may be served, cached and stored. Does no I/O.
 
-A route and a tenant may each name regions; both bind. A request of both may thus be left without
-any region: it is refused at once, though the table is valid.
+A route and a tenant may each name regions; a request must satisfy both limits. If their
+intersection is empty, the request is refused immediately, although the routing table is valid.
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 
 def allowed_regions(*limits: frozenset[str]) -> AllowedRegions:
-    """Return the regions that all of some limits allow; an empty limit allows all."""
+    """Return the intersection of limits; an empty limit allows all regions."""
     named = [limit for limit in limits if limit]
     if not named:
         return None
@@ -19,20 +19,20 @@
 
 
 class RegionMap:
-    """The region of each zone, as the settings name them."""
+    """The region of each zone, from the settings."""
 
     def __init__(self, regions: Mapping[str, str]) -> None:
-        """``regions`` has the region of each zone of the fleet, by the zone's name."""
+        """``regions`` maps the name of each zone of the fleet to its region."""
         self._regions = dict(regions)
 
     def allows(self, allowed: AllowedRegions, zone: str) -> bool:
-        """Tell whether a request may go to a zone; under a limit never to an unknown one."""
+        """Return whether a request may go to a zone; with a limit, never to an unknown zone."""
         return allowed is None or self._regions.get(zone) in allowed
 
     def may_be_kept(self, allowed: AllowedRegions, zone: str) -> bool:
-        """Tell whether every zone may keep what a client of ``zone`` has sent.
+        """Return whether every zone may store the data of a client of ``zone``.
 
-        What it sent may also lie in its own region.
+        The client's own region is always allowed.
         """
         if allowed is None:
             return True
--- a/src/rainsail/routing/token_bucket.py
+++ b/src/rainsail/routing/token_bucket.py
@@ -1,8 +1,8 @@
-"""A token bucket whose level may go below zero once, so that large requests get through. Pure."""
+"""A token bucket whose level may become negative, so that large requests can be admitted."""
 
 
 class TokenBucket:
-    """Tokens gather at ``rate`` per second up to ``burst``; a bucket starts full."""
+    """Refills at ``rate`` tokens per second up to ``burst``; a bucket starts full."""
 
     __slots__ = ("_level", "_updated_s", "burst", "rate")
 
@@ -18,21 +18,21 @@
         self._updated_s = now_s
 
     def set_rate(self, rate: float, burst: float, now_s: float) -> None:
-        """Take a new rate and burst; the level does not rise by it."""
+        """Change rate and burst; the level does not rise."""
         self._advance(now_s)
         self.rate = rate
         self.burst = burst
         self._level = min(self._level, burst)
 
     def level(self, now_s: float) -> float:
-        """Return the tokens that are there, less than 0 in debt."""
+        """Return the available tokens, below 0 while the bucket is in debt."""
         self._advance(now_s)
         return self._level
 
     def wait_s(self, tokens: float, now_s: float, ahead: float = 0.0) -> float:
         """Return the seconds until ``tokens`` can be taken after ``ahead`` others (0: now).
 
-        More than ``burst`` can be taken from a full bucket; the debt delays what comes after.
+        A full bucket admits more than ``burst``; the debt delays later requests.
         """
         self._advance(now_s)
         missing = ahead + min(tokens, self.burst) - self._level
@@ -41,10 +41,10 @@
         return missing / self.rate if self.rate > 0.0 else float("inf")
 
     def take(self, tokens: float, now_s: float) -> None:
-        """Take tokens, into debt if need be; ask ``wait_s`` first."""
+        """Take tokens, if necessary into debt; callers check ``wait_s`` first."""
         self._advance(now_s)
         self._level -= tokens
 
     def give_back(self, tokens: float) -> None:
-        """Return tokens that were taken and not used."""
+        """Refund tokens that were taken and not used."""
         self._level = min(self.burst, self._level + tokens)
