--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,15 +1,15 @@
-"""Steps on tenants' quotas over gateways of which only the quota client runs."""
+"""Steps for tenants' quotas over gateways that run only the quota client."""
 
 import random
 
 from behave import given, then, when
-from features.support.quota_world import KEEPERS, TENANT, QuotaWorld
+from features.support.quota_world import STORAGE_NODES, TENANT, QuotaWorld
 
 from rainsail.tenancy.tenants import Identity, RateLimit
 
-FIRST, SECOND = KEEPERS
-COURSES = 1000
-COURSE_S = 14.0
+FIRST, SECOND = STORAGE_NODES
+RUNS = 1000
+RUN_S = 14.0
 
 
 @given("{count:d} gateways and a limit of {rate:g} a second and a burst of {burst:g}")
@@ -20,36 +20,36 @@
 
 
 @when("clients ask {per_s:g} times a second for {for_s:g} seconds")
-def press(context, per_s, for_s):
+def offer_load(context, per_s, for_s):
     context.asked_for_s = for_s
-    context.world.press(per_s, for_s)
+    context.world.offer_load(per_s, for_s)
     context.world.clock.advance(for_s + 1)
 
 
-@when("clients ask {per_s:g} times a second for {for_s:g} seconds before any keeper is known")
-def press_alone(context, per_s, for_s):
+@when("clients ask {per_s:g} times a second for {for_s:g} seconds before any allocator is known")
+def load_without_allocator(context, per_s, for_s):
     context.world = QuotaWorld(2, len(context.world.gateways), context.world.limit)
-    press(context, per_s, for_s)
+    offer_load(context, per_s, for_s)
 
 
-@when("clients ask {low:g} and {high:g} times a second by turns for {for_s:g} seconds")
+@when("clients ask {low:g} and {high:g} times a second alternately for {for_s:g} seconds")
 def swing(context, low, high, for_s):
     world = context.world
     until_s = world.clock.seconds() + for_s
     while world.clock.seconds() < until_s:
         for per_s, seconds in ((low, 3.6), (high, 2.4)):
-            world.press(per_s, seconds)
+            world.offer_load(per_s, seconds)
             world.clock.advance(seconds)
     world.clock.advance(1)
 
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
-    "and after {lost_s:g} seconds no keeper answers"
+    "and after {lost_s:g} seconds no allocator answers"
 )
-def lose_keeper(context, per_s, for_s, lost_s):
+def lose_allocator(context, per_s, for_s, lost_s):
     world = context.world
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.advance(lost_s)
     world.lead("")
     world.clock.advance(for_s - lost_s + 1)
@@ -57,11 +57,11 @@
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
-    "and the keeper changes after {first:g} and {second:g} seconds"
+    "and the allocator changes after {first:g} and {second:g} seconds"
 )
-def change_keepers(context, per_s, for_s, first, second):
+def change_allocator(context, per_s, for_s, first, second):
     world = context.world
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.advance(first)
     world.lead(SECOND, 0.3)
     world.clock.advance(second - first)
@@ -71,17 +71,17 @@
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
-    "and all is dark from {dark:g} to {light:g} seconds"
+    "and all processes are down from {dark:g} to {light:g} seconds"
 )
 def all_dark(context, per_s, for_s, dark, light):
     world = context.world
-    world.press(per_s, dark)
+    world.offer_load(per_s, dark)
     world.clock.advance(dark)
     world.lead("")
     world.clock.advance(light - dark)
     for number in range(len(world.gateways)):
         world.restart(number)
-    world.press(per_s, for_s - light)
+    world.offer_load(per_s, for_s - light)
     world.clock.advance(0.3)
     world.lead(FIRST)
     world.clock.advance(for_s - light + 1)
@@ -89,11 +89,11 @@
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
-    "and {count:d} gateways are cut off after {cut_s:g} seconds"
+    "and {count:d} gateways are partitioned after {cut_s:g} seconds"
 )
 def cut_off(context, per_s, for_s, count, cut_s):
     world = context.world
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.advance(cut_s)
     for gateway in world.gateways[:count]:
         world.network.isolate(gateway.name)
@@ -106,45 +106,45 @@
 )
 def lower(context, per_s, for_s, after_s, rate, burst):
     world = context.world
-    world.press(per_s, for_s)
+    world.offer_load(per_s, for_s)
     world.clock.advance(after_s)
     world.set_limit(RateLimit(rate, burst))
     context.lowered_s = world.clock.seconds()
     world.clock.advance(for_s - after_s + 1)
 
 
-@when("a thousand courses are drawn of pressing clients, lost keepers, cuts and restarts")
-def draw_courses(context):
+@when("a thousand random runs are made with excess load, lost allocators, partitions and restarts")
+def make_random_runs(context):
     context.over = []
-    for seed in range(COURSES):
-        over = _drawn_course(seed)
+    for seed in range(RUNS):
+        over = _random_run(seed)
         if over > 0:
             context.over.append((seed, over))
 
 
-def _drawn_course(seed):
-    """Play one course; return by how much its fullest window is over what is allowed."""
+def _random_run(seed):
+    """Make one random run; return by how much its busiest window exceeds the bound."""
     draw = random.Random(seed)
     rate = draw.choice((1.0, 4.0, 12.0))
     limit = RateLimit(rate, rate * draw.choice((1.0, 1.0, 2.0)))
     world = QuotaWorld(seed, draw.choice((3, 8, 20)), limit)
     world.lead(FIRST)
     few = world.gateways[: draw.choice((1, 3, 20))]
-    world.press(rate * draw.choice((1.5, 4.0, 10.0)), COURSE_S, draw.choice((None, few)))
+    world.offer_load(rate * draw.choice((1.5, 4.0, 10.0)), RUN_S, draw.choice((None, few)))
     until_s = 0.0
-    while until_s < COURSE_S:
+    while until_s < RUN_S:
         step_s = draw.uniform(0.5, 4.0)
         until_s += step_s
         world.clock.advance(step_s)
-        _drawn_event(draw, world)
+        _random_event(draw, world)
     world.clock.advance(1.0)
-    return world.most_over(limit)
+    return world.max_excess(limit)
 
 
-def _drawn_event(draw, world):
-    """Bring a fault about; gateways restart while there is a keeper, which changes once a window.
+def _random_event(draw, world):
+    """Inject a random fault, but only while an allocator leads; it changes once a window at most.
 
-    A keeper's change and a restart of many gateways in one window are a scenario of their own.
+    Another scenario covers a change of the allocator and a restart of many gateways in one window.
     """
     if not world.leading:
         return
@@ -165,7 +165,7 @@
                 world.restart(number)
 
 
-@when("{count:d} requests are admitted and given back again one by one")
+@when("{count:d} requests are admitted and refunded one by one")
 def give_back(context, count):
     world = context.world
     client = world.gateways[0].client
@@ -186,18 +186,18 @@
     assert len(world.admissions.admitted_s) == before + count, world.admissions
 
 
-@then("no window is over what the terms allow")
+@then("no window exceeds the quota terms")
 def none_over(context):
     world = context.world
     assert world.admissions.admitted_s
-    over = world.most_over(world.limit)
+    over = world.max_excess(world.limit)
     assert over <= 0, over
 
 
-@then("no window that begins after {after_s:g} seconds is over what the new limit allows")
+@then("no window that begins after {after_s:g} seconds exceeds the new limit")
 def none_over_after(context, after_s):
     world = context.world
-    over = world.most_over(world.limit, context.lowered_s)
+    over = world.max_excess(world.limit, context.lowered_s)
     assert over <= 0, over
 
 
@@ -207,18 +207,18 @@
     assert count >= rate * context.asked_for_s, count
 
 
-@then("of what the limit allows at most 1 in {part:d} was refused")
+@then("of the requests within the limit, at most 1 in {part:d} was refused")
 def few_refused(context, part):
     admissions = context.world.admissions
     allowed = len(admissions.admitted_s) + admissions.refused_within
     assert admissions.refused_within <= allowed / part, (admissions.refused_within, allowed)
 
 
-@then("nothing that the limit allows was refused")
+@then("no request within the limit was refused")
 def none_refused(context):
     assert context.world.admissions.refused_within == 0, context.world.admissions.refused_within
 
 
-@then("in none of them a window is over what the terms allow")
-def none_over_drawn(context):
+@then("no window of these runs exceeds the quota terms")
+def none_over_in_runs(context):
     assert context.over == [], context.over
--- a/features/steps/tenancy_lent_shares_steps.py
+++ b/features/steps/tenancy_lent_shares_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the lent shares of one tenant's rate."""
+"""Steps for the lent shares of one tenant's rate."""
 
 import random
 from unittest import mock
@@ -17,17 +17,17 @@
 
 
 class CheckedShares:
-    """A tenant's lent shares beside plain shares that are added up anew at every step."""
+    """A tenant's lent shares, checked against a model that recomputes its sums at every step."""
 
     def __init__(self) -> None:
         self.lent = TenantShares()
         self.shares: dict[str, GatewayShare] = {}
         self.now_s = 0.0
         self.errors: list[float] = []
-        self.most_lent = 0.0
+        self.max_lent = 0.0
 
     def report(self, gateway: str, demand: float) -> None:
-        """Let a gateway report and get its fair part of what is free."""
+        """Report a gateway's demand and grant it its fair part of the free rate."""
         self.lent.drop_expired(self.now_s)
         for name in list(self.shares):
             self.shares[name].drop_expired(self.now_s)
@@ -47,13 +47,13 @@
         self.lent.add(gateway, grant)
         share.add(grant)
         lent = sum(each.outstanding() for each in self.shares.values())
-        self.most_lent = max(self.most_lent, lent)
+        self.max_lent = max(self.max_lent, lent)
 
 
 @given(
-    "the lent shares of {gateways:d} gateways under {reports:d} random reports with lost answers"
+    "the lent shares of {gateways:d} gateways under {reports:d} random reports with lost replies"
 )
-def make_book(context, gateways, reports):
+def make_shares(context, gateways, reports):
     draw = random.Random(7)
     context.checked = CheckedShares()
     for _ in range(reports):
@@ -62,18 +62,18 @@
         context.checked.report(f"gateway-{draw.randrange(gateways)}", demand)
 
 
-@then("at every step the sums of the lent shares were those of adding up anew")
+@then("at every step the sums of the lent shares equalled recomputed sums")
 def sums_agree(context):
     assert len(context.checked.errors) == 6000
     assert max(context.checked.errors) < CLOSE, max(context.checked.errors)
 
 
-@then("the lent shares never passed what may be lent")
+@then("the lent shares never exceeded the lendable rate")
 def never_beyond(context):
-    assert 0.9 * LENDABLE < context.checked.most_lent <= LENDABLE + CLOSE
+    assert 0.9 * LENDABLE < context.checked.max_lent <= LENDABLE + CLOSE
 
 
-@when("all grants of the lent shares have run out")
+@when("all grants of the lent shares have expired")
 def run_out(context):
     context.checked.lent.drop_expired(context.checked.now_s + SHARE_S)
 
@@ -87,17 +87,17 @@
     assert lent.others_demand("gateway-1") < CLOSE
 
 
-def _looks_per_lend(gateways: int) -> float:
+def _reads_per_lend(gateways: int) -> float:
     lender = QuotaLender(ShareTerms(SHARE_S, 0.01, 0.2))
     lender.begin(-100.0)
     limits = {TENANT: TenantSpec(1000.0, 1000.0)}
     demands = (TenantDemand(TENANT, 5.0, 0.0),)
-    looks = 0
+    reads = 0
     plain = GatewayShare.outstanding
 
     def counted(share):
-        nonlocal looks
-        looks += 1
+        nonlocal reads
+        reads += 1
         return plain(share)
 
     with mock.patch.object(GatewayShare, "outstanding", counted):
@@ -105,15 +105,15 @@
             for number in range(gateways):
                 report = QuotaReport(0, f"gateway-{number}", 1.0, demands)
                 lender.lend(report, limits, second + number / gateways)
-    return looks / (8 * gateways)
+    return reads / (8 * gateways)
 
 
 @when("20 and 400 gateways report demand of one tenant to the quota lender for 8 seconds")
 def report_demand(context):
-    context.looks = (_looks_per_lend(20), _looks_per_lend(400))
+    context.reads = (_reads_per_lend(20), _reads_per_lend(400))
 
 
-@then("a lend looks at no more shares among 400 gateways than among 20")
-def looks_alike(context):
-    few, many = context.looks
-    assert 0 < many <= few + 1.0, context.looks
+@then("a lend reads no more shares among 400 gateways than among 20")
+def reads_alike(context):
+    few, many = context.reads
+    assert 0 < many <= few + 1.0, context.reads
--- a/features/steps/tenant_key_steps.py
+++ b/features/steps/tenant_key_steps.py
@@ -1,4 +1,4 @@
-"""Steps on API keys at a gateway."""
+"""Steps for API keys at a gateway."""
 
 import json
 import random
@@ -52,7 +52,7 @@
     context.exchange = context.keyed.request(bearer(KEYS[tenant]))
 
 
-@when('a client states "{fields}" beside the key of tenant "{tenant}"')
+@when('a client sends "{fields}" with the key of tenant "{tenant}"')
 def send_with(context, tenant, fields):
     context.exchange = context.keyed.request(bearer(KEYS[tenant]), *_fields(fields))
 
@@ -74,18 +74,18 @@
         context.exchange = context.keyed.request(bearer(KEYS[tenant]), request=name)
 
 
-@when('the keys of tenant "{tenant}" are taken away')
+@when('the keys of tenant "{tenant}" are removed')
 def take_away(context, tenant):
     left = [{**each, "keys": []} if each["name"] == tenant else each for each in TENANTS]
     context.keyed.put_table(2, left)
 
 
-@when("the runner's connection breaks under it")
+@when("the runner's connection breaks during the request")
 def breaks(context):
     context.keyed.calls[-1].listener.answer_failed("connection reset")
 
 
-@when("{count:d} drawn credentials are sent")
+@when("{count:d} random credentials are sent")
 def fuzz(context, count):
     draw = random.Random(7)
     alphabet = [bytes((code,)) for code in (*range(0x20, 0x7F), 0x09, *range(0x80, 0x100))]
@@ -98,10 +98,10 @@
         context.statuses.append(exchange.status)
 
 
-@when("an operator sends a table whose tenants are {spoiled}")
-def spoil(context, spoiled):
+@when("an operator sends a table whose tenants are {defect}")
+def spoil(context, defect):
     first, second = json.loads(json.dumps(TENANTS))
-    match spoiled:
+    match defect:
         case "two with one key":
             second["keys"] = [KEY]
         case "two of one name":
@@ -115,7 +115,7 @@
         case "one whose key is a number":
             first["keys"] = [1234567]
         case _:
-            raise AssertionError(spoiled)
+            raise AssertionError(defect)
     context.read = read_table(table_content(1, [first, second]))
 
 
@@ -143,7 +143,7 @@
     assert (name.encode(), value.encode()) in call.request.headers, call.request.headers
 
 
-@then("the client gets {status:d} at once, and no runner got anything")
+@then("the client gets {status:d} immediately, and no runner got anything")
 def refused(context, status):
     exchange = context.exchange
     assert exchange.status == status and exchange.ended, exchange
@@ -176,7 +176,7 @@
     assert context.keyed.calls == []
 
 
-@then("the last of them gets 429 and a time to come back, and was not sent")
+@then("the last of them gets 429 and a retry time, and was not sent")
 def over_quota(context):
     exchange = context.exchange
     assert exchange.status == 429, exchange
--- a/features/support/quota_world.py
+++ b/features/support/quota_world.py
@@ -1,4 +1,4 @@
-"""Gateways that admit requests of one limited tenant, in virtual time, over two keepers."""
+"""Gateways that admit requests of one limited tenant, in virtual time, with two allocators."""
 
 import random
 from collections import deque
@@ -16,18 +16,18 @@
 from rainsail.wire.messenger import Messenger
 
 TENANT = "tenant-1"
-KEEPERS = ("keeper-1", "keeper-2")
+STORAGE_NODES = ("storage-1", "storage-2")
 GATEWAY_LINK = LinkConditions(delay_s=0.0009, jitter_s=0.0003)
 
 
 @dataclass
 class Admissions:
-    """What was asked, and when it was admitted or refused."""
+    """Counts of requests and refusals, and the times of admissions."""
 
     asked: int = 0
     refused: int = 0
     refused_within: int = 0
-    """Refused, though one bucket over all gateways would have admitted it."""
+    """Refused, although a single bucket for all gateways would have admitted it."""
     admitted_s: list[float] = None  # type: ignore[assignment]
 
     def __post_init__(self) -> None:
@@ -35,7 +35,7 @@
 
 
 class QuotaGateway:
-    """A gateway's process, of which only the quota client is there."""
+    """A gateway's process that runs only the quota client."""
 
     def __init__(self, world: "QuotaWorld", name: str) -> None:
         self.name = name
@@ -52,7 +52,7 @@
 
 
 class QuotaWorld:
-    """Gateways, two keepers of which one leads, and a count of what was admitted."""
+    """Gateways, two storage nodes with an allocator each, of which one leads, and admissions."""
 
     def __init__(self, seed: int, gateways: int, limit: RateLimit) -> None:
         self.random = random.Random(seed)
@@ -66,33 +66,33 @@
         self.leading = ""
         self.led_since_s = 0.0
         self.services: dict[str, QuotaService] = {}
-        for name in KEEPERS:
-            self._start_keeper(name)
+        for name in STORAGE_NODES:
+            self._start_storage_node(name)
         self.gateways = [QuotaGateway(self, f"gateway-{i}") for i in range(1, gateways + 1)]
         self._ideal = TokenBucket(limit.rate_per_s, limit.burst, 0.0)
 
-    def _start_keeper(self, name: str) -> None:
+    def _start_storage_node(self, name: str) -> None:
         messenger = Messenger(self.network.transport(name), self.clock)
-        keeper = QuotaAllocator(self.terms)
+        allocator = QuotaAllocator(self.terms)
         leads = lambda: self.leading == name  # noqa: E731
-        self.services[name] = QuotaService(messenger, self.clock, keeper, leads)
+        self.services[name] = QuotaService(messenger, self.clock, allocator, leads)
 
-    # --- what happens --------------------------------------------------------------------
+    # --- events --------------------------------------------------------------------------
 
-    def lead(self, name: str, told_after_s: float = 0.0) -> None:
-        """Have a keeper lead, or none with an empty name; gateways hear of it a little later."""
+    def lead(self, name: str, notified_after_s: float = 0.0) -> None:
+        """Make a node the leader, or none with an empty name; gateways are notified later."""
         self.leading = name
         if name:
             self.led_since_s = self.clock.seconds()
             self.services[name].leadership_changed(True)
-            self.clock.callLater(told_after_s, self._tell, name)
+            self.clock.callLater(notified_after_s, self._notify, name)
 
-    def _tell(self, name: str) -> None:
+    def _notify(self, name: str) -> None:
         for gateway in self.gateways:
             gateway.client.set_allocator(name)
 
     def restart(self, number: int) -> None:
-        """Have a gateway's process end and another begin; it knows the keeper at once."""
+        """Restart a gateway's process; the new one knows the allocator's address immediately."""
         self.gateways[number].stop()
         name = self.gateways[number].name
         self.gateways[number] = QuotaGateway(self, name)
@@ -110,7 +110,7 @@
     # --- requests ------------------------------------------------------------------------
 
     def request(self, gateway: QuotaGateway) -> None:
-        """Have a client ask; count what comes of it."""
+        """Send a client's request and count its outcome."""
         now = self.clock.seconds()
         within = self._ideal.wait_s(1.0, now) <= 0
         if within:
@@ -126,8 +126,10 @@
         self.admissions.refused += 1
         self.admissions.refused_within += within
 
-    def press(self, per_s: float, for_s: float, gateways: list[QuotaGateway] | None = None) -> None:
-        """Have requests come at random at a rate, at random ones of some gateways."""
+    def offer_load(
+        self, per_s: float, for_s: float, gateways: list[QuotaGateway] | None = None
+    ) -> None:
+        """Send requests at random times, at a mean rate, to random ones of some gateways."""
         now = self.clock.seconds()
         at_s = now + self.random.expovariate(per_s)
         while at_s < now + for_s:
@@ -139,8 +141,8 @@
 
     # --- judging -------------------------------------------------------------------------
 
-    def most_over(self, limit: RateLimit, since_s: float = 0.0) -> float:
-        """Return by how much the fullest window passes what the terms allow; below 0: not."""
+    def max_excess(self, limit: RateLimit, since_s: float = 0.0) -> float:
+        """Return by how many requests the busiest window exceeds the terms; below 0: not at all."""
         allowed = limit.rate_per_s * self.terms.window_s + limit.burst
         allowed = allowed * (1 + self.terms.overshoot) + self.terms.slack
         window: deque[float] = deque()
--- a/features/tenancy/keys.feature
+++ b/features/tenancy/keys.feature
@@ -1,13 +1,13 @@
-Feature: A request runs for the tenant whose key it states, and no key travels on
+Feature: A request runs for the tenant of its API key, and no key is forwarded
 
   Scenario: A runner gets the tenant and not the key
     Given a gateway whose table has tenants
     When a client sends a request with the key of tenant "a"
     Then a runner got it as tenant "a", without any key
 
-  Scenario Outline: What a client says of its tenant is dropped
+  Scenario Outline: Tenant headers of a client are dropped
     Given a gateway whose table has tenants
-    When a client states "<fields>" beside the key of tenant "a"
+    When a client sends "<fields>" with the key of tenant "a"
     Then a runner got it as tenant "a", without any key
 
     Examples:
@@ -17,10 +17,10 @@
       | Rainsail-Tenant: a                        |
       | Connection: Rainsail-Tenant               |
 
-  Scenario Outline: A key that is nobody's gets 401 at once and nothing runs
+  Scenario Outline: An unknown key gets 401 immediately and nothing runs
     Given a gateway whose table has tenants
     When a client sends a request with the fields "<fields>"
-    Then the client gets 401 at once, and no runner got anything
+    Then the client gets 401 immediately, and no runner got anything
 
     Examples:
       | fields                                                          |
@@ -33,41 +33,41 @@
       | Authorization: Bearer key-of-a-1; Authorization: Bearer nobody  |
       | Authorization: Bearer key-of-a-1; authorization: Bearer key-of-a-1 |
 
-  Scenario: Nobody is refused for a key before a table is known
+  Scenario: No request is refused for its key before a table is known
     Given a gateway that knows no table yet
     When a client sends a request with the fields "Authorization: Bearer nobody"
     And 0.8 seconds pass at the gateway without a table
     Then the client has 503 and never 401, and no runner got anything
 
-  Scenario: A public route wants no key, and passes none on
+  Scenario: A public route needs no key, and forwards none
     Given a gateway whose table has tenants
     When a client sends a request to the public route with the key of tenant "a"
     Then a runner got it as no tenant, without any key
 
-  Scenario: Without tenants a client's credentials are the runner's business
+  Scenario: Without tenants a client's credentials are forwarded to the runner
     Given a gateway whose table has no tenants
     When a client sends a request with the fields "Authorization: Basic abc"
     Then a runner got the field "Authorization" as "Basic abc"
 
-  Scenario: A key that is taken away counts for the next request, not for one under way
+  Scenario: Removing a key affects the next request, not one in flight
     Given a gateway whose table has tenants
     When a client sends a request with the key of tenant "a"
-    And the keys of tenant "a" are taken away
-    And the runner's connection breaks under it
+    And the keys of tenant "a" are removed
+    And the runner's connection breaks during the request
     Then the request went to a second runner as tenant "a"
     And a further request with the key of tenant "a" gets 401
 
-  Scenario: Keys are trusted for a limited time where the operator says so
+  Scenario: Keys are trusted for a limited time if the operator sets one
     Given a gateway whose table has tenants and which trusts keys for 5 seconds
     When a client sends a request with the key of tenant "a"
-    Then the client gets 503 at once, and no runner got anything
+    Then the client gets 503 immediately, and no runner got anything
 
-  Scenario Outline: Tenants that contradict each other are refused, and no key is told
-    When an operator sends a table whose tenants are <spoiled>
+  Scenario Outline: Conflicting tenants are refused, and no key is disclosed
+    When an operator sends a table whose tenants are <defect>
     Then it is refused naming "<name>", and no key is in the fault
 
     Examples:
-      | spoiled                      | name    |
+      | defect                       | name    |
       | two with one key             | a and b |
       | two of one name              | a       |
       | one without a name           | name    |
@@ -75,12 +75,12 @@
       | one with a key of two lines  | a       |
       | one whose key is a number    | keys    |
 
-  Scenario: No bytes in the place of a key get in or bring the gateway down
+  Scenario: No bytes in place of a key are accepted or crash the gateway
     Given a gateway whose table has tenants
-    When 2000 drawn credentials are sent
+    When 2000 random credentials are sent
     Then each got 401, and no runner got anything
 
-  Scenario: A tenant over its quota gets 429 with the time to come back
+  Scenario: A tenant over its quota gets 429 with a retry time
     Given a gateway whose table has tenants
     When a client sends 3 requests with the key of tenant "b"
-    Then the last of them gets 429 and a time to come back, and was not sent
+    Then the last of them gets 429 and a retry time, and was not sent
--- a/src/rainsail/tenancy/__init__.py
+++ b/src/rainsail/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: who asks, how much each may ask, and who goes first when not all can be served."""
+"""Tenants: authentication by API key, request quotas, and fair queueing between tenants."""
--- a/src/rainsail/tenancy/fair_queue.py
+++ b/src/rainsail/tenancy/fair_queue.py
@@ -1,4 +1,4 @@
-"""Weighted fair queueing between tenants by virtual finish times counted in tokens."""
+"""Weighted fair queueing between tenants by virtual finish times, measured in tokens."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -16,10 +16,10 @@
 
 
 class FairQueue(Generic[Item]):
-    """One first-in-first-out queue per tenant; the tenant with the least finish time is next.
+    """One first-in-first-out queue per tenant; the tenant with the earliest finish time is next.
 
-    A tenant's finish time starts from the queue's virtual time when it comes back from being
-    idle, so that idle time earns no credit and a flood delays only its sender.
+    The finish time of a tenant that was idle starts from the queue's virtual time, so that idle
+    time earns no credit, and a burst delays only the tenant that sent it.
     """
 
     def __init__(self) -> None:
@@ -33,25 +33,28 @@
         return self._size
 
     def queued(self, tenant: str) -> int:
-        """Return how many items of a tenant wait."""
+        """Return the number of waiting items of a tenant."""
         return len(self._queues.get(tenant, ()))
 
     def queued_cost(self, tenant: str) -> float:
-        """Return the cost of all items of a tenant that wait."""
+        """Return the total cost of a tenant's waiting items."""
         return self._costs.get(tenant, 0.0)
 
     def tenants(self) -> list[str]:
-        """Return the tenants that have items waiting."""
+        """Return the tenants that have waiting items."""
         return list(self._queues)
 
     def push(self, tenant: str, weight: float, cost: float, item: Item) -> None:
-        """Add an item at the end of its tenant's queue."""
+        """Append an item to its tenant's queue."""
         self._queues.setdefault(tenant, deque()).append(_Entry(item, cost, weight))
         self._costs[tenant] = self._costs.get(tenant, 0.0) + cost
         self._size += 1
 
     def pop(self, eligible: Callable[[Item], bool]) -> Item | None:
-        """Take the next item whose tenant's head is eligible; None when there is none."""
+        """Remove and return the next item that is eligible, None when there is none.
+
+        Only the first item of each tenant's queue is considered.
+        """
         order = sorted((self._head_finish(tenant), tenant) for tenant in self._queues)
         for finish, tenant in order:
             queue = self._queues[tenant]
@@ -80,12 +83,12 @@
             self._virtual = 0.0
 
     def heads(self) -> Iterator[Item]:
-        """Yield the first item of each tenant."""
+        """Yield the first item of each tenant's queue."""
         for queue in self._queues.values():
             yield queue[0].item
 
     def remove(self, tenant: str, item: Item) -> bool:
-        """Take an item out of its place; return False when it was not waiting."""
+        """Remove an item from its tenant's queue; return False if it was not waiting."""
         queue = self._queues.get(tenant)
         if queue is None:
             return False
--- a/src/rainsail/tenancy/lender.py
+++ b/src/rainsail/tenancy/lender.py
@@ -1,10 +1,13 @@
-"""Lends gateways shares of each tenant's token rate: pure, time is handed in.
+"""Lends gateways shares of each tenant's token rate, for a limited time (a lease).
 
-A tenant's rate R is split in two. ``reserve * R`` is kept for minimum shares: each gateway may use
-``minimum_share`` without asking, so a quiet gateway can start at once. The rest is lent by the
-group's leader, to each gateway by its demand, for a limited time. What is lent and not yet surely
-run out never sums to more than ``(1 - reserve) * R``, so minimum and lent shares together never
-pass R. A new leader does not know what the old one lent and lends nothing until that has run out.
+A tenant's rate R is split in two. ``reserve * R`` is reserved for minimum shares: each gateway may
+use ``minimum_share`` without a lease, so that an idle gateway can admit requests immediately. The
+group's leader lends the rest to the gateways in proportion to their demand. The shares that may
+not have expired yet never sum to more than ``(1 - reserve) * R``, so minimum and lent shares
+together never exceed R. A new leader does not know what the previous one lent; it lends nothing
+until those shares have expired.
+
+Does no I/O; the caller passes the time.
 """
 
 from dataclasses import dataclass
@@ -17,15 +20,15 @@
 """Weight of the newest report in a gateway's smoothed demand (1.0: only the newest)."""
 
 GATEWAY_COUNT_SLACK = 2
-"""Minimum shares stay within the reserve while gateways' counts differ by up to this factor."""
+"""Minimum shares stay within the reserve if a gateway's count of gateways is off by this factor."""
 
 SMALLEST_RATE = 1e-9
-"""Tokens a second below which a rate counts as none."""
+"""Lower bound of a rate as a divisor, in tokens per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShareTerms:
-    """How long a share holds (seconds), clock-rate margin, and the reserve's part of the rate."""
+    """Duration of a share (seconds), clock-rate margin, and the reserved fraction of the rate."""
 
     share_s: float
     clock_rate_margin: float
@@ -33,7 +36,7 @@
 
     @property
     def trusted_after_s(self) -> float:
-        """Seconds after which the leader may lend a share again."""
+        """Seconds after which a lent share has expired at every gateway, despite clock skew."""
         return self.share_s * (1.0 + self.clock_rate_margin)
 
 
@@ -43,23 +46,23 @@
 
 
 class QuotaLender:
-    """The leader's book of lent shares."""
+    """The leader's record of lent shares."""
 
     def __init__(self, terms: ShareTerms) -> None:
         self._terms = terms
-        self._lent: dict[str, TenantShares] = {}
+        self._shares_by_tenant: dict[str, TenantShares] = {}
         self._lends_from_s = 0.0
 
     def begin(self, now_s: float) -> None:
-        """Start a leadership: lend nothing until what an earlier leader lent has run out."""
-        self._lent.clear()
+        """Start a leadership: lend nothing until the shares of earlier leaders have expired."""
+        self._shares_by_tenant.clear()
         self._lends_from_s = now_s + self._terms.trusted_after_s
 
     def lend(self, report: QuotaReport, limits: dict[str, TenantSpec], now_s: float) -> QuotaShares:
-        """Take a report and return the shares lent; tenants without a limit get none.
+        """Record a report and return the lent shares; tenants without a limit get none.
 
-        While nothing may be lent the reply is empty with ``valid_s`` 0: a gateway keeps what
-        it holds until that runs out, and its minimum shares.
+        While nothing may be lent, the reply is empty with ``valid_s`` 0. The gateway then keeps
+        its lent shares until they expire, and its minimum shares.
         """
         if now_s < self._lends_from_s:
             return QuotaShares((), 0.0)
@@ -73,17 +76,17 @@
     def _lend_one(
         self, report: QuotaReport, demand: TenantDemand, limit: TenantSpec, now_s: float
     ) -> QuotaShare:
-        book = self._lent.setdefault(demand.tenant, TenantShares())
-        book.drop_expired(now_s)
+        shares = self._shares_by_tenant.setdefault(demand.tenant, TenantShares())
+        shares.drop_expired(now_s)
         gateway = report.gateway
         wanted = _rate(demand, report.period_s)
-        before = book.demand_of(gateway)
+        before = shares.demand_of(gateway)
         own_demand = wanted if before is None else _smooth(before, wanted)
-        book.note_demand(gateway, own_demand)
+        shares.note_demand(gateway, own_demand)
         lendable = limit.tokens_per_second * (1.0 - self._terms.reserve_fraction)
-        fair = _fair_part(lendable, own_demand, book.others_demand(gateway))
-        granted = max(0.0, min(fair, lendable - book.others_hold(gateway)))
-        book.add(gateway, Grant(granted, now_s + self._terms.trusted_after_s))
+        fair = _fair_part(lendable, own_demand, shares.others_demand(gateway))
+        granted = max(0.0, min(fair, lendable - shares.others_hold(gateway)))
+        shares.add(gateway, Grant(granted, now_s + self._terms.trusted_after_s))
         burst = limit.burst_tokens * granted / max(limit.tokens_per_second, SMALLEST_RATE)
         return QuotaShare(demand.tenant, granted, burst)
 
--- a/src/rainsail/tenancy/lent_shares.py
+++ b/src/rainsail/tenancy/lent_shares.py
@@ -1,18 +1,19 @@
-"""What is lent of one tenant's rate, with running sums: a lend costs the same among any number.
+"""The lent shares of one tenant's rate, with running sums.
 
-Every grant holds equally long, so grants run out in the order in which they were made.
+The sums make the cost of a lend independent of the number of gateways. All grants have the same
+duration, so they expire in the order in which they were made.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
 RESUM_PERIOD = 1024
-"""Changes after which the running sums are added up afresh, so that rounding can't build up."""
+"""Changes after which the running sums are recomputed, so that rounding errors do not build up."""
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A rate lent in tokens a second, and when it has surely run out (leader's clock)."""
+    """A lent rate in tokens per second, and when it has expired for certain (leader's clock)."""
 
     tokens_per_second: float
     expires_s: float
@@ -20,9 +21,9 @@
 
 @dataclass(slots=True)
 class GatewayShare:
-    """What one gateway may hold of one tenant's rate, and its demand in tokens a second.
+    """The grants that one gateway may hold of a tenant's rate, and its demand in tokens per second.
 
-    A reply may be lost, so a smaller grant does not replace a larger one before that runs out.
+    A reply may be lost, so a smaller grant replaces a larger one only after the larger has expired.
     """
 
     grants: list[Grant]
@@ -33,11 +34,11 @@
         return max((grant.tokens_per_second for grant in self.grants), default=0.0)
 
     def drop_expired(self, now_s: float) -> None:
-        """Forget the grants that have run out."""
+        """Drop the grants that have expired."""
         self.grants = [grant for grant in self.grants if grant.expires_s > now_s]
 
     def add(self, grant: Grant) -> None:
-        """Note a grant; it covers earlier ones that are no larger."""
+        """Record a grant; it replaces earlier ones that are not larger."""
         self.grants = [
             each for each in self.grants if each.tokens_per_second > grant.tokens_per_second
         ]
@@ -55,7 +56,7 @@
         self._changes = 0
 
     def drop_expired(self, now_s: float) -> None:
-        """Forget what has run out by now, and gateways that hold nothing more."""
+        """Drop expired grants, and gateways without grants."""
         while self._expiries and self._expiries[0][0] <= now_s:
             _, gateway = self._expiries.popleft()
             share = self._shares.get(gateway)
@@ -71,12 +72,12 @@
             del self._shares[gateway]
 
     def demand_of(self, gateway: str) -> float | None:
-        """Return a gateway's demand as last noted, None when it holds nothing."""
+        """Return a gateway's last recorded demand, None when it is unknown."""
         share = self._shares.get(gateway)
         return None if share is None else share.demand
 
     def note_demand(self, gateway: str, demand: float) -> None:
-        """Set a gateway's demand; one that is new to the book holds nothing yet."""
+        """Set a gateway's demand; a new gateway starts without grants."""
         share = self._shares.setdefault(gateway, GatewayShare([], 0.0))
         self._demand += demand - share.demand
         share.demand = demand
--- a/src/rainsail/tenancy/local_share.py
+++ b/src/rainsail/tenancy/local_share.py
@@ -1,32 +1,34 @@
-"""What a gateway admits while no quota keeper answers. Pure: time is handed in.
+"""Admission at a gateway while no quota allocator answers.
 
-The gateway goes on with the share of each tenant's requests that it had lately, as the keeper told
-it, or with an equal part while it was never told. The shares of all gateways add up to one, so
-together they stay within the quota; one request more is allowed to each, so that a share is never
-too small for any. Buckets stay from one absence of the keeper to the next: what one gave is not
-there again at once.
+The gateway uses its latest share of each tenant's requests, as reported by the allocator, or an
+equal part if it has no report. The shares of all gateways add up to one, so together they stay
+within the quota. Each gateway may admit one more request, so that no share is too small to admit
+any. Buckets persist between two failures of the allocator, so that tokens taken during the first
+one are not available again immediately.
+
+Does no I/O; the caller passes the time.
 """
 
 from rainsail.routing.token_bucket import TokenBucket
 from rainsail.tenancy.quota_terms import QuotaTerms
 from rainsail.tenancy.tenants import RateLimit
 
-LEAST_BURST = 1.0
-LEAST_GATEWAYS = 32
-"""An equal part is never larger than that of so many gateways: a view may be of the past."""
+MIN_BURST = 1.0
+MIN_GATEWAYS = 32
+"""An equal part assumes at least this many gateways, as the known count may be out of date."""
 
 
 class LocalShares:
-    """A bucket for each tenant, of this gateway's share."""
+    """A token bucket per tenant, sized by this gateway's share."""
 
     def __init__(self, terms: QuotaTerms) -> None:
         self._terms = terms
         self._shares: dict[str, float] = {}
         self._buckets: dict[str, TokenBucket] = {}
-        self.gateways = LEAST_GATEWAYS
+        self.gateways = MIN_GATEWAYS
 
-    def told(self, tenant: str, share: float) -> None:
-        """Take the keeper's word of this gateway's share."""
+    def update_share(self, tenant: str, share: float) -> None:
+        """Record this gateway's share of a tenant's requests, as reported by the allocator."""
         self._shares[tenant] = share
 
     def admit(self, tenant: str, limit: RateLimit, now: float) -> float:
@@ -38,9 +40,9 @@
         return wait_s
 
     def _bucket(self, tenant: str, limit: RateLimit, now: float) -> TokenBucket:
-        share = self._shares.get(tenant, 1.0 / max(LEAST_GATEWAYS, self.gateways))
+        share = self._shares.get(tenant, 1.0 / max(MIN_GATEWAYS, self.gateways))
         rate = share * limit.rate_per_s
-        burst = share * self._terms.unaccounted(limit) + LEAST_BURST
+        burst = share * self._terms.unaccounted(limit) + MIN_BURST
         bucket = self._buckets.get(tenant)
         if bucket is None:
             bucket = self._buckets[tenant] = TokenBucket(rate, burst, now)
--- a/src/rainsail/tenancy/messages.py
+++ b/src/rainsail/tenancy/messages.py
@@ -1,4 +1,4 @@
-"""Messages about quotas between gateways and the quota keeper."""
+"""Messages about quotas between gateways and the quota allocator."""
 
 from dataclasses import dataclass
 
@@ -11,9 +11,9 @@
 class QuotaNeed:
     """What a gateway needs of one tenant's quota.
 
-    The limit is that of the table by which the gateway asks, since a keeper may know no table yet.
-    ``wanted`` requests wait for a decision; ``spent`` were admitted without the keeper, less those
-    that were granted and then not run (so it may be below 0).
+    The limit comes from the gateway's routing table, as the allocator may not have a table yet.
+    ``wanted`` requests wait for a decision. ``spent`` requests were admitted without the allocator,
+    minus those that were granted but not run (so it may be below 0).
     """
 
     tenant: str
@@ -26,7 +26,7 @@
 @wire_record("QuotaAsk")
 @dataclass(frozen=True, slots=True)
 class QuotaAsk:
-    """Asks the keeper to admit requests."""
+    """Asks the allocator to admit requests."""
 
     table_version: int
     needs: tuple[QuotaNeed, ...]
@@ -35,10 +35,10 @@
 @wire_type("QuotaGrant")
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """What the keeper grants of one tenant's quota.
+    """The allocator's grant of one tenant's quota.
 
-    ``retry_after_s`` is when the next request will probably be granted; ``share`` the part of the
-    tenant's requests that come through the asking gateway.
+    ``retry_after_s`` is the estimated time until the next request can be granted; ``share`` is the
+    fraction of the tenant's requests that come through this gateway.
     """
 
     tenant: str
@@ -50,6 +50,6 @@
 @wire_record("QuotaGrants")
 @dataclass(frozen=True, slots=True)
 class QuotaGrants:
-    """The keeper's answer, a grant for each need."""
+    """The allocator's reply: a grant for each need."""
 
     grants: tuple[QuotaGrant, ...]
--- a/src/rainsail/tenancy/quota_allocator.py
+++ b/src/rainsail/tenancy/quota_allocator.py
@@ -1,8 +1,10 @@
-"""The quota keeper: one bucket for each tenant over all gateways. Pure: time is handed in.
+"""The quota allocator: one token bucket per tenant for all gateways.
 
-The leader of the ledger keeps the quotas, so there is one keeper at a time. It remembers nothing
-durable: a new keeper begins with buckets that are filled only as far as the terms allow for what
-the one before it may just have granted.
+It runs at the leader of the ledger, so only one allocator is active at a time. It stores nothing
+durably. A new allocator does not know what the previous one has just granted, so its buckets start
+only as full as the quota terms allow in that case.
+
+Does no I/O; the caller passes the time.
 """
 
 from dataclasses import dataclass, field
@@ -13,20 +15,20 @@
 from rainsail.tenancy.quota_terms import QuotaTerms
 from rainsail.tenancy.tenants import RateLimit
 
-SHARE_MEMORY_S = 10.0
-"""How far back requests count in a gateway's share of a tenant's requests."""
+SHARE_DECAY_S = 10.0
+"""Time constant of the decay of requests in a gateway's share of a tenant's requests."""
 
 
 @dataclass(slots=True)
 class DecayingCount:
-    """A sum in which what is old counts less and less."""
+    """A sum with exponential decay."""
 
     value: float = 0.0
     at_s: float = 0.0
 
     def add(self, amount: float, now: float) -> float:
-        """Add, and return the sum."""
-        self.value = self.value * exp((self.at_s - now) / SHARE_MEMORY_S) + amount
+        """Add an amount; return the decayed sum."""
+        self.value = self.value * exp((self.at_s - now) / SHARE_DECAY_S) + amount
         self.at_s = now
         return self.value
 
@@ -39,25 +41,25 @@
     by_gateway: dict[str, DecayingCount] = field(default_factory=dict)
 
     def share(self, gateway: str, asked: float, now: float) -> float:
-        """Return a gateway's share of the requests, ``asked`` new ones counted in."""
+        """Return a gateway's share of the requests, including its ``asked`` new ones."""
         own = self.by_gateway.setdefault(gateway, DecayingCount()).add(asked, now)
         whole = self.whole.add(asked, now)
         return min(1.0, own / whole) if whole > 0 else 0.0
 
 
 class QuotaAllocator:
-    """Grants tenants' requests to gateways, first come, first served."""
+    """Grants gateways the requests of tenants, in order of arrival."""
 
     def __init__(self, terms: QuotaTerms) -> None:
         self._terms = terms
         self._quotas: dict[str, _TenantQuota] = {}
 
     def begin(self) -> None:
-        """Forget everything: another keeper has granted meanwhile."""
+        """Drop all buckets: another allocator has granted requests in the meantime."""
         self._quotas.clear()
 
     def grant(self, gateway: str, ask: QuotaAsk, now: float) -> QuotaGrants:
-        """Decide on what a gateway needs."""
+        """Return the grants for a gateway's needs."""
         grants = [self._grant_one(gateway, ask.table_version, need, now) for need in ask.needs]
         return QuotaGrants(tuple(grants))
 
@@ -72,7 +74,7 @@
         return QuotaGrant(need.tenant, granted, quota.bucket.wait_s(1.0, now), share)
 
     def _quota(self, tenant: str, version: int, limit: RateLimit, now: float) -> _TenantQuota:
-        """Return a tenant's quota under the newest limit that was heard of."""
+        """Return a tenant's quota, with the limit of the newest table version seen."""
         quota = self._quotas.get(tenant)
         capacity = self._terms.capacity(limit)
         if quota is None:
--- a/src/rainsail/tenancy/quota_client.py
+++ b/src/rainsail/tenancy/quota_client.py
@@ -1,7 +1,7 @@
-"""A gateway's side of the quotas: it asks the keeper for each request of a limited tenant.
+"""The gateway side of quotas: asks the allocator to admit each request of a limited tenant.
 
-Requests that come while a question is under way go out together with the next one. While no keeper
-answers, the gateway decides by its own share, and tells the keeper afterwards what it admitted.
+Requests that arrive while a call is outstanding are batched into the next call. While no allocator
+answers, the gateway decides by its own share, and later reports to the allocator what it admitted.
 """
 
 from collections import deque
@@ -19,16 +19,16 @@
 from rainsail.tenancy.tenants import Identity, RateLimit
 from rainsail.wire.messenger import Messenger
 
-ANSWER_WITHIN_S = 0.12
-"""Longer than a busy keeper takes, and short beside any target for a first byte."""
-ASK_AGAIN_AFTER_S = 0.2
-"""Pause after an answer that did not come; meanwhile the gateway decides by itself."""
-LONGEST_RETRY_AFTER_S = 1.0
-LONGEST_CLOSED_S = 0.05
-"""A tenant over its quota is refused for this long at most without asking again."""
+REPLY_TIMEOUT_S = 0.12
+"""Longer than a busy allocator takes, and short compared with any time-to-first-byte target."""
+ASK_RETRY_AFTER_S = 0.2
+"""Pause after a call without a reply; meanwhile the gateway decides by its own share."""
+MAX_RETRY_AFTER_S = 1.0
+MAX_CLOSED_S = 0.05
+"""A tenant over its quota is refused without a call to the allocator for at most this long."""
 
 Decided = Callable[[float], None]
-"""Called with 0 when a request is admitted, otherwise with the seconds until it may come back."""
+"""Called with 0 when a request is admitted, otherwise with the seconds until it may be retried."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 class QuotaClient:
-    """Decides on requests; every decision is made once, at the latest when an answer is late."""
+    """Decides on requests, each exactly once, at the latest when the allocator's reply is late."""
 
     def __init__(
         self, messenger: Messenger, clock: Clock, terms: QuotaTerms, metrics: NodeMetrics
@@ -47,7 +47,7 @@
         self._clock = clock
         self._metrics = metrics
         self._local = LocalShares(terms)
-        self._keeper = ""
+        self._allocator = ""
         self._ask_after_s = float("-inf")
         self._asking = False
         self._planned = False
@@ -58,16 +58,16 @@
         self.table_version = 0
 
     def set_allocator(self, address: str) -> None:
-        """Ask this node from now on; empty when none is known."""
-        self._keeper = address
+        """Set the address of the node that runs the allocator; empty when none is known."""
+        self._allocator = address
         self._ask_after_s = float("-inf")
 
     def set_gateways(self, count: int) -> None:
-        """Note how many gateways there are."""
+        """Set the number of gateways."""
         self._local.gateways = count
 
     def admit(self, identity: Identity, decided: Decided) -> None:
-        """Decide on a request, now or as soon as the keeper has answered."""
+        """Decide on a request, now or as soon as the allocator has replied."""
         if not identity.limit.limits:
             decided(0.0)
             return
@@ -76,8 +76,8 @@
         if closed_s > 0:
             self._decide(decided, tenant, closed_s, "closed")
             return
-        if not self._keeper or now < self._ask_after_s:
-            self._decide_alone(tenant, identity.limit, decided)
+        if not self._allocator or now < self._ask_after_s:
+            self._decide_locally(tenant, identity.limit, decided)
             return
         waiting = self._waiting.setdefault(tenant, _Waiting(identity.limit))
         waiting.limit = identity.limit
@@ -87,25 +87,25 @@
     def _decide(self, decided: Decided, tenant: str, wait_s: float, source: str) -> None:
         outcome = "admitted" if wait_s <= 0 else "refused"
         self._metrics.count("quota_decisions", outcome=outcome, by=source)
-        decided(min(wait_s, LONGEST_RETRY_AFTER_S))
+        decided(min(wait_s, MAX_RETRY_AFTER_S))
 
     def give_back(self, identity: Identity) -> None:
-        """A request that was admitted has not run and never will: it doesn't count."""
+        """Refund a request that was admitted but will never run."""
         if identity.limit.limits:
             self._spend(identity.tenant, identity.limit, -1)
 
     def _spend(self, tenant: str, limit: RateLimit, amount: int) -> None:
-        """Note what the keeper is to hear with the next question."""
+        """Add to the amount that the next call reports to the allocator."""
         self._spent[tenant] = self._spent.get(tenant, 0) + amount
         self._limits[tenant] = limit
 
-    def _decide_alone(self, tenant: str, limit: RateLimit, decided: Decided) -> None:
+    def _decide_locally(self, tenant: str, limit: RateLimit, decided: Decided) -> None:
         wait_s = self._local.admit(tenant, limit, self._clock.seconds())
         if wait_s <= 0:
             self._spend(tenant, limit, 1)
         self._decide(decided, tenant, wait_s, "gateway")
 
-    # --- asking --------------------------------------------------------------------------
+    # --- calls to the allocator ----------------------------------------------------------
 
     def _plan_ask(self) -> None:
         if not self._planned and not self._asking:
@@ -125,7 +125,7 @@
         needs += [self._need(tenant, self._limits[tenant], 0, spent[tenant]) for tenant in spent]
         self._asking = True
         ask = QuotaAsk(self.table_version, tuple(needs))
-        reply = self._messenger.call(self._keeper, ask, ANSWER_WITHIN_S)
+        reply = self._messenger.call(self._allocator, ask, REPLY_TIMEOUT_S)
         reply.addCallback(self._take_reply, asked, ask)
 
     @staticmethod
@@ -137,7 +137,7 @@
     ) -> None:
         self._asking = False
         if result.is_error():
-            self._no_answer(asked, ask)
+            self._ask_failed(asked, ask)
         else:
             for grant in result.ok.grants:
                 self._take_grant(grant, asked.get(grant.tenant))
@@ -145,12 +145,12 @@
             self._plan_ask()
 
     def _take_grant(self, grant: QuotaGrant, waiting: _Waiting | None) -> None:
-        self._local.told(grant.tenant, grant.share)
+        self._local.update_share(grant.tenant, grant.share)
         if waiting is None:
             return
         granted = grant.granted
         if granted < len(waiting.decisions):
-            closed_s = min(LONGEST_CLOSED_S, grant.retry_after_s)
+            closed_s = min(MAX_CLOSED_S, grant.retry_after_s)
             self._closed_until_s[grant.tenant] = self._clock.seconds() + closed_s
         for place, decided in enumerate(waiting.decisions):
             wait_s = 0.0
@@ -158,10 +158,10 @@
                 wait_s = grant.retry_after_s + (place - granted) / waiting.limit.rate_per_s
             self._decide(decided, grant.tenant, wait_s, "keeper")
 
-    def _no_answer(self, asked: dict[str, _Waiting], ask: QuotaAsk) -> None:
-        """Decide by the own share what the keeper did not, and what has come since."""
+    def _ask_failed(self, asked: dict[str, _Waiting], ask: QuotaAsk) -> None:
+        """Decide by the own share on all requests of the failed call, and on later ones."""
         self._metrics.count("quota_asks_unanswered")
-        self._ask_after_s = self._clock.seconds() + ASK_AGAIN_AFTER_S
+        self._ask_after_s = self._clock.seconds() + ASK_RETRY_AFTER_S
         for need in ask.needs:
             if need.spent:
                 limit = RateLimit(need.rate_per_s, need.burst)
@@ -170,4 +170,4 @@
         for group in (asked, later):
             for tenant, waiting in group.items():
                 for decided in waiting.decisions:
-                    self._decide_alone(tenant, waiting.limit, decided)
+                    self._decide_locally(tenant, waiting.limit, decided)
--- a/src/rainsail/tenancy/quota_service.py
+++ b/src/rainsail/tenancy/quota_service.py
@@ -1,4 +1,4 @@
-"""The quota keeper as nodes reach it: it answers while this node leads the ledger."""
+"""Serves the quota allocator to other nodes while this node leads the ledger."""
 
 from collections.abc import Callable
 
@@ -10,23 +10,27 @@
 
 
 class QuotaService:
-    """Serves a keeper over the messenger."""
+    """Serves a quota allocator over the messenger."""
 
     def __init__(
-        self, messenger: Messenger, clock: Clock, keeper: QuotaAllocator, leads: Callable[[], bool]
+        self,
+        messenger: Messenger,
+        clock: Clock,
+        allocator: QuotaAllocator,
+        leads: Callable[[], bool],
     ) -> None:
-        """``leads`` tells whether this node leads under its lease: then no other keeper grants."""
+        """``leads`` returns whether this node holds the leader lease: no other node then grants."""
         self._clock = clock
-        self._keeper = keeper
+        self._allocator = allocator
         self._leads = leads
         messenger.serve(QuotaAsk, self._grant)
 
     def leadership_changed(self, leads: bool) -> None:
-        """Begin anew with each leadership."""
+        """Reset the allocator at the start of each leadership."""
         if leads:
-            self._keeper.begin()
+            self._allocator.begin()
 
     def _grant(self, source: str, ask: QuotaAsk) -> QuotaGrants | Fault:
         if not self._leads():
             return Fault(FaultCode.NOT_LEADER, "tenancy.grant", "another node leads")
-        return self._keeper.grant(source, ask, self._clock.seconds())
+        return self._allocator.grant(source, ask, self._clock.seconds())
--- a/src/rainsail/tenancy/quota_terms.py
+++ b/src/rainsail/tenancy/quota_terms.py
@@ -1,37 +1,38 @@
-"""How closely quotas are kept over a fleet, and how what may be exceeded is divided up.
+"""The tolerance of quotas over a fleet, and how it is divided.
 
-In each window of ``window_s`` a tenant's admitted requests must stay within
-``(rate x window + burst) x (1 + overshoot) + slack``, over all gateways. One bucket at the keeper
-stays within ``rate x window + burst``. What is allowed beyond that makes up for what a new keeper
-does not know, and for what gateways admit while no keeper answers: each gets half of it.
+In each window of ``window_s`` a tenant's admitted requests over all gateways must stay within
+``(rate x window + burst) x (1 + overshoot) + slack``. The bucket at the allocator alone stays
+within ``rate x window + burst``. The tolerance beyond that covers the grants that a new allocator
+does not know of, and the requests that gateways admit while no allocator answers: half for each.
 """
 
 from dataclasses import dataclass
 
 from rainsail.tenancy.tenants import RateLimit
 
-KEEPER_SLACK_SHARE = 0.25
-"""Share of the slack by which the keeper's bucket is larger than a tenant's burst: requests that
-came in one order may arrive in another."""
+ALLOCATOR_SLACK_SHARE = 0.25
+"""Share of the slack that is added to a tenant's burst in the allocator's bucket, as requests may
+reach the allocator in another order than the gateways."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTerms:
-    """The operator's bound on what a tenant may be admitted in any window."""
+    """The operator's bound on the requests of a tenant that are admitted in any window."""
 
     window_s: float = 5.0
     overshoot: float = 0.1
     slack: float = 20.0
 
     def capacity(self, limit: RateLimit) -> float:
-        """Return how many requests the keeper may admit at one moment."""
-        return limit.burst + KEEPER_SLACK_SHARE * self.slack
+        """Return the maximum number of requests that the allocator may admit at one instant."""
+        return limit.burst + ALLOCATOR_SLACK_SHARE * self.slack
 
     def unaccounted(self, limit: RateLimit) -> float:
-        """Return what may be admitted at one moment without knowing what was before.
+        """Return the number of requests that may be admitted without knowing earlier grants.
 
-        A new keeper may, and besides it all gateways together that have no keeper.
+        A new allocator may admit as many, and so may all gateways together while no allocator
+        answers.
         """
         window = limit.rate_per_s * self.window_s + limit.burst
-        allowed = self.overshoot * window + (1.0 - KEEPER_SLACK_SHARE) * self.slack
+        allowed = self.overshoot * window + (1.0 - ALLOCATOR_SLACK_SHARE) * self.slack
         return min(self.capacity(limit), allowed / 2)
--- a/src/rainsail/tenancy/tenants.py
+++ b/src/rainsail/tenancy/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants of a routing table, and on whose behalf a request comes.
+"""The tenants of a routing table, and identification of a request's tenant by its API key.
 
-API keys are kept as SHA-256 digests. A request's key is looked up by its digest, so the time of a
-look-up tells nothing of how much of a key was guessed.
+API keys are stored as SHA-256 digests. A request's key is looked up by its digest, so the time of
+a look-up does not reveal how much of a key was guessed correctly.
 """
 
 from collections.abc import Iterable
@@ -16,20 +16,20 @@
 
 
 def digest_of(key: bytes) -> KeyDigest:
-    """Return what is kept of an API key."""
+    """Return the digest under which an API key is stored."""
     return sha256(key).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """How many requests a tenant may make: ``rate_per_s`` and a burst on top; a rate of 0: any."""
+    """A tenant's request limit: ``rate_per_s`` with a burst; a rate of 0 means no limit."""
 
     rate_per_s: float = 0.0
     burst: float = 0.0
 
     @property
     def limits(self) -> bool:
-        """Tell whether there is a limit at all."""
+        """Whether there is a limit."""
         return self.rate_per_s > 0.0
 
 
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant.
+    """A tenant.
 
-    ``priority`` goes before that of a route, 0 is most urgent (None: not set). Its requests may be
-    served in the regions ``allowed_regions`` alone (empty: in all).
+    ``priority`` overrides that of a route; 0 is the most urgent (None: not set). Its requests may
+    be served only in the regions ``allowed_regions`` (empty: in all).
     """
 
     name: str
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """On whose behalf a request runs.
+    """The tenant of a request, with its limits.
 
-    ``tenant`` is the tenant's name, empty on a public route and where the table has no tenants.
-    ``keyed`` tells that the table has tenants, so that clients' keys must not travel on.
+    ``tenant`` is the tenant's name, empty on a public route and if the table has no tenants.
+    ``keyed`` means that the table has tenants, so that clients' keys must not be forwarded.
     """
 
     tenant: str = ""
@@ -72,19 +72,19 @@
 
 
 class TenantError(ValueError):
-    """Tenants that contradict each other or can't be spoken for; names tenants, never a key."""
+    """Invalid or conflicting tenants; the message names tenants, but never contains a key."""
 
 
 class TenantDirectory:
-    """The tenants of one table by key."""
+    """The tenants of one table, by API key."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
-        """Raise ``TenantError`` when two tenants share a name or a key."""
+        """Raise ``TenantError`` if two tenants share a name or a key."""
         self.tenants: dict[str, Tenant] = {}
         self._by_key: dict[KeyDigest, Tenant] = {}
         for tenant in tenants:
             if tenant.name in self.tenants:
-                raise TenantError(f"two tenants are called {tenant.name}")
+                raise TenantError(f"two tenants have the name {tenant.name}")
             self.tenants[tenant.name] = tenant
             for key in tenant.keys:
                 other = self._by_key.setdefault(key, tenant)
@@ -92,12 +92,12 @@
                     raise TenantError(f"tenants {other.name} and {tenant.name} share a key")
 
     def allowed_regions(self, tenant: str) -> frozenset[str]:
-        """Return the regions of a tenant by its name; empty stands for all."""
+        """Return the allowed regions of a tenant by its name; empty means all."""
         known = self.tenants.get(tenant)
         return frozenset() if known is None else known.allowed_regions
 
     def identify(self, key: KeyDigest | None) -> Identity | None:
-        """Return on whose behalf the bearer of a key asks, None when nobody has the key."""
+        """Return the identity for a key, None when no tenant has the key."""
         tenant = None if key is None else self._by_key.get(key)
         if tenant is None:
             return None
@@ -111,14 +111,14 @@
     priority: int | None = None,
     allowed_regions: Iterable[str] = (),
 ) -> Tenant:
-    """Return a checked tenant; ``TenantError`` says what is wrong with it."""
+    """Return a validated tenant; raise ``TenantError`` with the reason if it is invalid."""
     if not name or not all(" " <= each <= LAST_VISIBLE for each in name) or name != name.strip():
-        raise TenantError(f"the tenant's name {name!r} can't stand in a header")
+        raise TenantError(f"the tenant's name {name!r} is not valid in an HTTP header")
     if limit.rate_per_s < 0 or limit.burst < 0:
         raise TenantError(f"tenant {name}: a rate or burst is below 0")
     digests = set()
     for key in keys:
         if not key or not all(FIRST_VISIBLE <= each <= LAST_VISIBLE for each in key):
-            raise TenantError(f"tenant {name}: a key can't stand in a header")
+            raise TenantError(f"tenant {name}: a key is not valid in an HTTP header")
         digests.add(digest_of(key.encode()))
     return Tenant(name, frozenset(digests), limit, priority, frozenset(allowed_regions))
