--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the account of nodes' logs."""
+"""Steps for the analysis of nodes' logs by the ``account`` command."""
 
 import contextlib
 import io
@@ -49,9 +49,9 @@
 
 @when(
     'item "{item}" runs at "{runner}" from second {begin:g} to {end:g} '
-    "and gives way after event {last:d}"
+    "and is preempted after event {last:d}"
 )
-def run_cut(context, item, runner, begin, end, last):
+def run_preempted(context, item, runner, begin, end, last):
     _sent(context, item, runner, begin)
     fields = {"job": context.job, "item": item, "runner": runner, "last_event": last}
     _add(context, end, "item_gave_way", **fields)
@@ -73,7 +73,7 @@
 
 @when(
     'item "{item}" starts at "{runner}" at second {begin:g} '
-    "and its leader is heard last at second {last:g}"
+    "and its leader logs its last line at second {last:g}"
 )
 def run_lost(context, item, runner, begin, last):
     _sent(context, item, runner, begin)
@@ -95,13 +95,13 @@
     _add(context, second, "request_completed", node="gateway-1", **fields, **times)
 
 
-@when('a request is refused at second {second:g} since "{reason}"')
+@when('a request is refused at second {second:g} because of "{reason}"')
 def request_refused(context, second, reason):
     fields = {"route": ROUTE, "runners": "", "sends": 0, "reason": reason, "took_ms": 1}
     _add(context, second, "request_refused", node="gateway-1", **fields)
 
 
-@when("the log's last line is cut off")
+@when("the log's last line is truncated")
 def cut_off(context):
     _add(context, 19, "item_sent", item="a2")
     text = context.log_path.read_text()
@@ -120,22 +120,22 @@
 
 @then(
     'of item "{name}" {waiting:g} s are waiting, {running:g} s running '
-    "and {cut:g} s cut and waiting"
+    "and {cut:g} s waiting after preemptions"
 )
 def item_split(context, name, waiting, running, cut):
     item = _item(context, name)
-    found = (item.waiting_s, item.running_s, sum(item.pauses_s(after_cuts=True)))
+    found = (item.waiting_s, item.running_s, sum(item.pauses_s(after_preemptions=True)))
     assert [round(value, 6) for value in found] == [waiting, running, cut], found
 
 
-@step("{cuts:d} run was cut, {moved:d} moved at once and {again:d} events ran again")
-def cut_counts(context, cuts, moved, again):
+@step("{cuts:d} run was preempted, {moved:d} moved immediately and {again:d} events were repeated")
+def preemption_counts(context, cuts, moved, again):
     found = _account(context).summary()["items"]
     counts = (found["cuts"], found["cuts_moved_at_once"], found["repeated_events"])
     assert counts == (cuts, moved, again), counts
 
 
-@then("{lost:g} s were spent waiting after a loss")
+@then("{lost:g} s were spent waiting after an interruption")
 def lost_time(context, lost):
     assert _account(context).summary()["items"]["lost_and_waiting_s"] == lost
 
@@ -161,7 +161,8 @@
 
 
 @then(
-    'of the route\'s requests {completed:d} was completed and {refused:d} refused since "{reason}"'
+    "of the route's requests {completed:d} was completed "
+    'and {refused:d} refused because of "{reason}"'
 )
 def route_counts(context, completed, refused, reason):
     route = _account(context).summary()["routes"][ROUTE]
@@ -170,7 +171,7 @@
 
 
 def _command(*words):
-    """Run the command line; return its exit code, its output and what it said of errors."""
+    """Run the command line; return its exit code, output and error output."""
     output, errors = io.StringIO(), io.StringIO()
     code = 0
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(errors):
@@ -181,7 +182,7 @@
     return code, output.getvalue(), errors.getvalue()
 
 
-@then("the command ends with code {code:d} and names the damaged line {number:d}")
+@then("the command ends with code {code:d} and reports the damaged line {number:d}")
 def damaged_line(context, code, number):
     context.command = _command(str(context.log_path), "--json")
     assert context.command[0] == code, context.command
@@ -193,8 +194,8 @@
     assert _command(str(context.log_path))[0] == code
 
 
-@then("it still tells {count:d} item that is done")
-def still_told(context, count):
+@then("it still reports {count:d} item that is done")
+def still_reported(context, count):
     assert json.loads(context.command[1])["items"]["done"] == count
 
 
--- a/features/support/process_account.py
+++ b/features/support/process_account.py
@@ -1,4 +1,4 @@
-"""Tells what a process has done so far, for the message of a wait that was in vain."""
+"""Describes the state of a process, for the error message of a wait that timed out."""
 
 from pathlib import Path
 
@@ -6,10 +6,10 @@
 
 
 def process_account(process_id: int, log: str) -> str:
-    """Return its state, its use of the machine, and the last lines of its log."""
+    """Return the process's state, processor time and page faults, and the end of its log."""
     folder = Path(f"/proc/{process_id}")
     try:
-        # The command's name, in brackets, may hold blanks.
+        # The command's name, in brackets, may contain blanks.
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
         waits_in = (folder / "wchan").read_text()
     except OSError as error:
--- a/src/rainsail/account/__init__.py
+++ b/src/rainsail/account/__init__.py
@@ -1,1 +1,1 @@
-"""Accounts for where items and requests lost their time, from the logs of many nodes."""
+"""Log analysis: where batch items and online requests spent their time, from nodes' logs."""
--- a/src/rainsail/account/item_times.py
+++ b/src/rainsail/account/item_times.py
@@ -1,4 +1,4 @@
-"""Where the time of each batch item went."""
+"""The timeline of each batch item: waiting, running, preempted and interrupted."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -6,30 +6,31 @@
 from rainsail.account.log_lines import LogLine
 
 MOVED_WITHIN_S = 0.5
-"""An item that runs elsewhere so soon after it was cut freed nothing that the fleet lacked."""
+"""A preemption is a mere move if the item runs elsewhere within this time: the fleet had free
+slots."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One run at a runner; times are the log's seconds."""
+    """One run at a runner; times are seconds since the first midnight of the logs."""
 
     runner: str
     begin_s: float
     end_s: float
-    cut: bool
-    """It ended since online work needed the slot."""
+    preempted: bool
+    """It ended because online work needed the slot."""
     broken: bool
-    """It ended without the whole answer and was not cut."""
+    """It ended without the complete response and was not preempted."""
 
     @property
     def length_s(self) -> float:
-        """How long it lasted."""
+        """Duration in seconds."""
         return self.end_s - self.begin_s
 
 
 @dataclass(slots=True)
 class ItemTimes:
-    """One item from the acceptance of its job to its end."""
+    """The timeline of one item, from the acceptance of its job to its end."""
 
     item: str
     job: str
@@ -41,7 +42,7 @@
 
     @property
     def running_s(self) -> float:
-        """Time on slots."""
+        """Total time on slots."""
         return sum(run.length_s for run in self.runs)
 
     @property
@@ -50,27 +51,31 @@
         return self.runs[0].begin_s - self.accepted_s if self.runs else 0.0
 
     @property
-    def cuts(self) -> int:
-        """Runs that were cut."""
-        return sum(run.cut for run in self.runs)
+    def preemptions(self) -> int:
+        """Number of preempted runs."""
+        return sum(run.preempted for run in self.runs)
 
-    def pauses_s(self, after_cuts: bool) -> list[float]:
-        """Return the times between a run and the next: after cuts, or after broken runs."""
+    def pauses_s(self, after_preemptions: bool) -> list[float]:
+        """Return the times from a run to the next, after preempted or after broken runs."""
         pairs = zip(self.runs, self.runs[1:], strict=False)
-        return [after.begin_s - before.end_s for before, after in pairs if before.cut == after_cuts]
+        return [
+            after.begin_s - before.end_s
+            for before, after in pairs
+            if before.preempted == after_preemptions
+        ]
 
     @property
-    def moved_at_once(self) -> int:
-        """Cuts after which the item ran elsewhere at once."""
-        return sum(pause_s <= MOVED_WITHIN_S for pause_s in self.pauses_s(after_cuts=True))
+    def moved_immediately(self) -> int:
+        """Number of preemptions after which the item ran elsewhere within ``MOVED_WITHIN_S``."""
+        return sum(pause_s <= MOVED_WITHIN_S for pause_s in self.pauses_s(after_preemptions=True))
 
     def in_time(self, within_s: float) -> bool:
-        """Tell whether the item was done within a time of its acceptance."""
+        """Return whether the item was done within ``within_s`` of its acceptance."""
         return self.done and self.ended_s is not None and self.ended_s <= self.accepted_s + within_s
 
 
 def item_times(lines: Iterable[LogLine]) -> list[ItemTimes]:
-    """Return the items that ran or ended, in the order in which they did first."""
+    """Return the items that ran or ended, in the order of their first such event."""
     return _ItemReader().read(lines)
 
 
@@ -88,18 +93,18 @@
                 case "job_proposed":
                     self._accepted_s.setdefault(line.text("job"), line.at_s)
                 case "item_sent":
-                    self._sent(line)
+                    self._begin_run(line)
                 case "item_gave_way":
-                    self._run_over(line, cut=True, broken=False)
+                    self._end_run(line, preempted=True, broken=False)
                 case "item_run_ended":
-                    self._run_over(line, cut=False, broken=True)
+                    self._end_run(line, preempted=False, broken=True)
                 case "item_ended":
-                    self._run_over(line, cut=False, broken=False)
+                    self._end_run(line, preempted=False, broken=False)
                     times = self._of(line)
                     times.ended_s = line.at_s
                     times.done = bool(line.fields.get("done"))
                 case "ledger_leadership" if line.fields.get("leads"):
-                    self._runs_lost()
+                    self._end_open_runs()
             self._node_seen_s[line.text("node")] = line.at_s
         return list(self._items.values())
 
@@ -108,31 +113,31 @@
         accepted_s = self._accepted_s.get(job, line.at_s)
         return self._items.setdefault(item, ItemTimes(item, job, accepted_s))
 
-    def _sent(self, line: LogLine) -> None:
+    def _begin_run(self, line: LogLine) -> None:
         times = self._of(line)
         if line.text("item") in self._open:
-            self._run_over(line, cut=False, broken=True)
+            self._end_run(line, preempted=False, broken=True)
         self._open[times.item] = line
         known = self._last_event.get(times.item)
         after = line.number("after_event")
         if known is not None:
             times.repeated_events += max(0, round(known - (after or 0.0)))
 
-    def _runs_lost(self) -> None:
-        """End the runs of an earlier leader, at the last that was heard of it."""
+    def _end_open_runs(self) -> None:
+        """End the open runs of the previous leader at the time of its last log line."""
         for item, begun in self._open.items():
             seen_s = self._node_seen_s.get(begun.text("node"), begun.at_s)
             end_s = max(begun.at_s, seen_s)
-            run = Run(begun.text("runner"), begun.at_s, end_s, cut=False, broken=True)
+            run = Run(begun.text("runner"), begun.at_s, end_s, preempted=False, broken=True)
             self._items[item].runs.append(run)
         self._open.clear()
 
-    def _run_over(self, line: LogLine, cut: bool, broken: bool) -> None:
+    def _end_run(self, line: LogLine, preempted: bool, broken: bool) -> None:
         times = self._of(line)
         last_event = line.number("last_event")
         if last_event is not None:
             self._last_event[times.item] = last_event
         begun = self._open.pop(times.item, None)
         if begun is not None:
-            run = Run(begun.text("runner"), begun.at_s, line.at_s, cut, broken)
+            run = Run(begun.text("runner"), begun.at_s, line.at_s, preempted, broken)
             times.runs.append(run)
--- a/src/rainsail/account/log_lines.py
+++ b/src/rainsail/account/log_lines.py
@@ -1,4 +1,4 @@
-"""Reading nodes' log lines, damaged ones told apart."""
+"""Reads nodes' log lines, and reports damaged ones."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DamagedLine:
-    """A line that should be a log line and can't be read."""
+    """A line with an object that is not a valid log line."""
 
     file: str
     number: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """The lines of all files in order of time, and what was damaged."""
+    """The lines of all files in order of time, and the damaged lines."""
 
     lines: tuple[LogLine, ...]
     damaged: tuple[DamagedLine, ...]
@@ -56,8 +56,8 @@
 def read_logs(paths: Iterable[Path]) -> Log:
     """Read log files.
 
-    Lines without an object are passed over: tools and runtimes write some. An object that is cut
-    off or lacks a time or an event is damaged; the rest of its file is still read.
+    Lines without a JSON object are skipped, as tools and runtimes write some. A line is damaged if
+    its object is truncated or lacks a time or an event; the rest of its file is still read.
 
     Raises:
         UnreadableLogError: A file can't be opened.
@@ -92,9 +92,9 @@
     try:
         fields = json.loads(text)
     except ValueError as error:
-        raise ValueError(f"no whole JSON object ({error})") from error
+        raise ValueError(f"invalid or truncated JSON object ({error})") from error
     if not isinstance(fields, dict) or not isinstance(fields.get("event"), str):
-        raise ValueError("no event is named")
+        raise ValueError("the field 'event' is missing or is not a string")
     return LogLine(_seconds(fields.get("at")), fields["event"], fields)
 
 
@@ -104,11 +104,11 @@
         hours, minutes, seconds = str(at).split(":")
         return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
     except ValueError:
-        raise ValueError(f"no time of day: {at!r}") from None
+        raise ValueError(f"the field 'at' is not a time of day: {at!r}") from None
 
 
 def _in_order(lines: list[LogLine]) -> list[LogLine]:
-    """Sort by time; lines that lie before a midnight come before those behind it."""
+    """Sort by time; if the logs span a midnight, the lines before it come first."""
     times = sorted(line.at_s for line in lines)
     if times and times[-1] - times[0] > HALF_A_DAY_S:
         lines = [
--- a/src/rainsail/account/occupancy.py
+++ b/src/rainsail/account/occupancy.py
@@ -1,4 +1,4 @@
-"""The slots that items and online requests take over time, with the moments that changed them."""
+"""Slots used by items and online requests over time, with events that may explain changes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """Something that changed who decides, or what is there."""
+    """A change of the leader, the routing table, or the set of nodes and runners."""
 
     at_s: float
     node: str
@@ -22,20 +22,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
-    """Slots taken on average in each second; second i begins at ``begin_s`` + i."""
+    """Average number of slots in use per second; second i begins at ``begin_s`` + i."""
 
     begin_s: float
     items: tuple[float, ...]
     online: tuple[float, ...]
     waiting: tuple[float, ...]
-    """Items that were accepted, had not ended and did not run."""
+    """Items that were accepted, had not ended and were not running."""
     moments: tuple[Moment, ...]
 
 
 def occupancy(
     lines: Iterable[LogLine], items: list[ItemTimes], requests: list[RequestTimes]
 ) -> Occupancy:
-    """Return who held the runners that run items."""
+    """Return the use of those runners that run items."""
     runners = {run.runner for item in items for run in item.runs}
     online = [each for each in requests if runners.intersection(each.runners)]
     running = [(run.begin_s, run.end_s) for item in items for run in item.runs]
--- a/src/rainsail/account/plot.py
+++ b/src/rainsail/account/plot.py
@@ -1,4 +1,4 @@
-"""The occupancy of the slots and the waiting items as a picture."""
+"""Plots the slots in use and the waiting items over time."""
 
 from pathlib import Path
 
@@ -10,8 +10,8 @@
 
 
 def draw(taken: Occupancy, slots: float | None, path: Path) -> None:
-    """Write a PNG file."""
-    # Only this command draws; the library takes a second to load.
+    """Write the plot to ``path`` as a PNG file; ``slots`` draws a line at the total."""
+    # Imported here as only this command plots, and the import takes a second.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(WIDTH_INCHES, HEIGHT_INCHES), layout="constrained")
--- a/src/rainsail/account/report.py
+++ b/src/rainsail/account/report.py
@@ -1,9 +1,9 @@
-"""The account of a log as numbers, for people and as JSON."""
+"""The figures of the log analysis, as plain values for printing and JSON."""
 
 from statistics import median
 from typing import Any
 
-from rainsail.account.item_bound import most_in_time
+from rainsail.account.item_bound import max_in_time
 from rainsail.account.item_times import ItemTimes, item_times
 from rainsail.account.log_lines import Log
 from rainsail.account.occupancy import Occupancy, occupancy
@@ -11,7 +11,7 @@
 
 
 class Account:
-    """Everything that the account command tells."""
+    """The result of the ``account`` command: timelines, routes, occupancy and their summary."""
 
     def __init__(self, log: Log, due_s: float | None, slots: float | None) -> None:
         self.log = log
@@ -23,7 +23,7 @@
         self._due_s = due_s
 
     def summary(self) -> dict[str, Any]:
-        """Return the account as plain values; times are seconds."""
+        """Return the figures as plain values; times are seconds."""
         return {
             "damaged": [str(each) for each in self.log.damaged],
             "items": self._items(),
@@ -39,27 +39,31 @@
     def _items(self) -> dict[str, Any]:
         items = self.items
         ended = [item for item in items if item.ended_s is not None]
-        after_cuts = [pause for item in items for pause in item.pauses_s(after_cuts=True)]
-        after_losses = [pause for item in items for pause in item.pauses_s(after_cuts=False)]
+        after_preemptions = [
+            pause for item in items for pause in item.pauses_s(after_preemptions=True)
+        ]
+        after_interruptions = [
+            pause for item in items for pause in item.pauses_s(after_preemptions=False)
+        ]
         found: dict[str, Any] = {
             "ran": len(items),
             "ended": len(ended),
             "done": sum(item.done for item in items),
             "runs": sum(len(item.runs) for item in items),
-            "cuts": sum(item.cuts for item in items),
-            "cuts_moved_at_once": sum(item.moved_at_once for item in items),
+            "cuts": sum(item.preemptions for item in items),
+            "cuts_moved_at_once": sum(item.moved_immediately for item in items),
             "broken_runs": sum(run.broken for item in items for run in item.runs),
             "repeated_events": sum(item.repeated_events for item in items),
             "median_waiting_s": _median([item.waiting_s for item in items if item.runs]),
             "median_running_s": _median([item.running_s for item in ended]),
             "waiting_s": _sum(item.waiting_s for item in items),
             "running_s": _sum(item.running_s for item in items),
-            "cut_and_waiting_s": _sum(after_cuts),
-            "lost_and_waiting_s": _sum(after_losses),
+            "cut_and_waiting_s": _sum(after_preemptions),
+            "lost_and_waiting_s": _sum(after_interruptions),
         }
         if self._due_s is not None:
             in_time = sum(item.in_time(self._due_s) for item in items)
-            bound = most_in_time(items, self.occupancy, self._due_s, self.slots)
+            bound = max_in_time(items, self.occupancy, self._due_s, self.slots)
             found["in_time"] = in_time
             found["bound"] = bound
             found["share_of_bound"] = round(in_time / bound, 3) if bound else None
@@ -80,7 +84,7 @@
             "items": len(items),
             "first_end_s": round(min(ends_s), 2) if ends_s else None,
             "last_end_s": round(max(ends_s), 2) if ends_s else None,
-            "cuts": sum(item.cuts for item in items),
+            "cuts": sum(item.preemptions for item in items),
         }
         if self._due_s is not None:
             found["in_time"] = sum(item.in_time(self._due_s) for item in items)
--- a/src/rainsail/account/request_times.py
+++ b/src/rainsail/account/request_times.py
@@ -1,4 +1,4 @@
-"""How online requests ended, and how long they waited for their first event."""
+"""Outcomes of online requests, and their times to the first event."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimes:
-    """One request at a gateway; times are the log's seconds."""
+    """One request at a gateway; times are seconds since the first midnight of the logs.
+
+    ``first_s`` is the time from the beginning to the first event, None if there was none.
+    """
 
     route: str
     runners: tuple[str, ...]
@@ -26,7 +29,7 @@
 
 @dataclass(slots=True)
 class RouteTimes:
-    """The requests of one route, added up."""
+    """The totals of one route's requests."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
@@ -34,7 +37,7 @@
     sent_again: int = 0
 
     def first_quantile_s(self, share: float) -> float | None:
-        """Return the time to the first event that a share of the answers kept."""
+        """Return the quantile of the times to the first event, None without any."""
         ordered = sorted(self.first_s)
         if not ordered:
             return None
@@ -67,7 +70,7 @@
 
 
 def by_route(requests: Iterable[RequestTimes]) -> dict[str, RouteTimes]:
-    """Add requests up by route."""
+    """Return the totals by route."""
     routes: dict[str, RouteTimes] = {}
     for request in requests:
         route = routes.setdefault(request.route, RouteTimes())
