--- a/features/quarantine/decisions.feature
+++ b/features/quarantine/decisions.feature
@@ -1,77 +1,77 @@
-Feature: What is held is a decision of the root group, and reaches every sending node
+Feature: Holds are decided by the root group and reach every sending node
 
-  Scenario: The leading controller dies between the second end and the third
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And the fatal body has ended 2 runners
+  Scenario: The leading controller fails between the second and the third crash
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And the fatal body has crashed 2 runners
     When the leading controller loses power
-    And the fatal body comes each 0.7 s for 10 s, at one gateway after the other
-    Then at most 4 runners have ended
+    And the fatal body is sent every 0.7 s for 10 s, at each gateway in turn
+    Then at most 4 runners have crashed
     And the fatal body is held
 
-  Scenario: All gateways start anew
+  Scenario: All gateways restart
     Given the fatal body is held
     When all gateways lose power and start again
-    And the fatal body comes each 0.7 s for 5 s, at one gateway after the other
+    And the fatal body is sent every 0.7 s for 5 s, at each gateway in turn
     Then no runner has run it
 
   Scenario: All machines lose power
     Given the fatal body is held
     When all machines lose power and start again
-    And the fatal body comes each 0.7 s for 5 s, at one gateway after the other
+    And the fatal body is sent every 0.7 s for 5 s, at each gateway in turn
     Then no runner has run it
 
-  Scenario: A gateway that was cut off
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And gateway 3 is cut off from all others
-    And the fatal body has been held meanwhile
-    When gateway 3 is joined again, and 3 s go by
+  Scenario: A gateway that was partitioned
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And gateway 3 is partitioned from all others
+    And the fatal body has been held in the meantime
+    When gateway 3 is reconnected, and 3 s go by
     And a client sends the fatal body at gateway 3
-    Then it is answered 502 within 50 ms, without a time to come back
+    Then it is answered 502 within 50 ms, without a retry time
 
-  Scenario: An operator lets a request go
+  Scenario: An operator releases a request
     Given the fatal body is held
-    When an operator lets it go, and it is harmless now
+    When an operator releases it, and it is harmless now
     And a client sends the fatal body
     Then the client is served
 
-  Scenario: A release that waited at a controller which stood still doesn't let go what was held anew
-    # Guards against: a request that ends runners let go by an order whose operator has left.
+  Scenario: A release that was delayed at a paused controller does not release a request that was held again
+    # Guards against: a delayed order, whose operator has disconnected, that releases a fatal request.
     Given the fatal body is held
-    When an operator's release waits at a controller until he has left, and is read then
+    When an operator's release is processed at a controller after the operator has disconnected
     And a client sends the fatal body
     Then no runner has run it
     And the fatal body is held
 
-  # Guards against: an interface that doesn't hand over whether its operator still waits.
-  Scenario: A controller knows that the operator of a release has left
+  # Guards against: an operator API that does not report the disconnection of its client.
+  Scenario: A controller notices that the operator of a release has disconnected
     Given a controller's own interface whose releases of held requests are watched
     When an operator sends a release there
     Then the order is awaited
     When the operator closes the connection
     Then the order is not awaited any more
 
-  Scenario: A held request that is answered somewhere is let go
+  Scenario: A held request that is answered at some runner is released
     Given the fatal body is held
-    When it is harmless now, and a gateway that has not heard of it gets an answer
+    When it is harmless now, and a gateway that has not been notified gets a response
     And a client sends the fatal body
     Then the client is served
 
-  Scenario: A held request is let go after a time, and held again at its next end
+  Scenario: A hold expires, and the request is held again at its next crash
     Given the fatal body is held
     When 601 s go by
-    And the fatal body comes each 0.7 s for 10 s, at one gateway after the other
-    Then one more runner has ended
+    And the fatal body is sent every 0.7 s for 10 s, at each gateway in turn
+    Then one more runner has crashed
     And the fatal body is held
     When 3000 s go by
-    And the fatal body comes each 0.7 s for 5 s, at one gateway after the other
-    Then no more runner has ended
+    And the fatal body is sent every 0.7 s for 5 s, at each gateway in turn
+    Then no further runner has crashed
 
-  Scenario: Many bodies that end runners take bounded memory
+  Scenario: Many fatal bodies take bounded memory
     When 200 bodies are held one after the other
-    Then 64 are remembered, the newest ones
-    When words on 3000 ends of runners with 50 requests each come to a controller
-    Then it remembers at most 300 ends
+    Then 64 are kept, the newest ones
+    When reports on 3000 crashes with 50 requests each reach a controller
+    Then it keeps at most 300 crashes
 
-  Scenario: Nodes report answers to suspects for a while
-    Given a node that was told of a suspect
-    Then an answer to it is news 599 s later, and none is 601 s later
+  Scenario: Nodes report responses to suspects for a limited time
+    Given a node that watches a suspect
+    Then it reports a response to it 599 s later, but not 601 s later
--- a/features/quarantine/innocent_requests.feature
+++ b/features/quarantine/innocent_requests.feature
@@ -1,66 +1,66 @@
-Feature: Requests that ended no runner are not held
+Feature: Requests that crashed no runner are not held
 
-  All that runs at a runner when it ends is suspect. What was answered whole anywhere has ended no
-  runner, and an end at which a held request ran is explained. A connection that ends is no end of a
-  runner: its address has to refuse connections.
+  All requests that are running at a runner when it crashes are suspects. A request that is completed
+  at any runner is cleared, and a crash at which a held request was running is explained. The end of a
+  connection alone is not a crash: the runner's address has to refuse connections.
 
-  Scenario: The same question of many clients, beside the fatal body
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And one body comes each 0.2 s for 20 s, at any gateway
-    When the fatal body comes each 0.7 s for 15 s, at one gateway after the other
-    Then the fatal body alone was ever held
-    And the body that came often was served but where a runner ended under it
+  Scenario: The same body from many clients, in parallel with the fatal body
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And one body is sent every 0.2 s for 20 s, at random gateways
+    When the fatal body is sent every 0.7 s for 15 s, at each gateway in turn
+    Then only the fatal body was ever held
+    And the frequent body was served, except when a runner crashed while running it
 
-  Scenario: A body that comes seldom, each time beside the fatal body
-    Given a fleet with one runner, which ends when it runs the fatal body
-    When the seldom body is there at each of the first 3 ends
-    Then both bodies are held, since nothing tells them apart
+  Scenario: A rare body, sent each time together with the fatal body
+    Given a fleet with one runner, which crashes when it runs the fatal body
+    When the rare body is running at each of the first 3 crashes
+    Then both bodies are held, as they cannot be told apart
     When 601 s go by
-    And a client sends the seldom body
+    And a client sends the rare body
     Then the client is served
 
-  Scenario: Runners that end by themselves
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And others send 20 requests a second for 60 s
-    And one body comes each 0.2 s for 60 s, at any gateway
-    When some runner ends each 1 s for 60 s
+  Scenario: Runners that crash without a fatal request
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And other clients send 20 requests a second for 60 s
+    And one body is sent every 0.2 s for 60 s, at random gateways
+    When some runner crashes every 1 s for 60 s
     Then nothing was ever held
 
   Scenario: Machines that lose power, a third of them at a time
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And one body comes each 0.2 s for 40 s, at any gateway
-    When the runners of a zone lose power each 5 s for 30 s
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And one body is sent every 0.2 s for 40 s, at random gateways
+    When the runners of a zone lose power every 5 s for 30 s
     Then nothing was ever held
 
-  Scenario: Runners that break answers off and live on
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And runners break 30 of 100 events off
-    When one body comes each 0.2 s for 30 s, at any gateway
+  Scenario: Runners that abort responses and keep running
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And runners abort responses at 30 of 100 events
+    When one body is sent every 0.2 s for 30 s, at random gateways
     And 31 s go by
     Then nothing was ever held
 
-  Scenario Outline: A body whose answers each runner breaks off, and lives on<noticed>
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
+  Scenario Outline: A body whose responses are aborted by runners that keep running<noticed>
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
     And <probes>
-    And runners break 100 of 100 events off
-    When one body comes each 0.2 s for 10 s, at any gateway
+    And runners abort responses at 100 of 100 events
+    When one body is sent every 0.2 s for 10 s, at random gateways
     And 11 s go by
     Then <outcome> was ever held
 
     Examples:
-      | noticed                              | probes                                | outcome   |
-      |                                      | probes tell what is there             | nothing   |
-      | , if each lost connection were an end | each probe says that nothing is there | something |
+      | noticed                                | probes                                  | outcome   |
+      |                                        | probes report what is there             | nothing   |
+      | , if each lost connection were a crash | each probe reports a refused connection | something |
 
   Scenario: Runners that are stopped as planned
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And one body comes each 0.2 s for 40 s, at any gateway
-    When some runner says that it leaves and ends 0.5 s later, each 1 s for 30 s
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And one body is sent every 0.2 s for 40 s, at random gateways
+    When some runner announces its shutdown and exits 0.5 s later, every 1 s for 30 s
     Then nothing was ever held
 
-  Scenario: An answer at another gateway clears a suspect
-    Given a fleet of 3 gateways whose runners end when they run the fatal body
-    And the fatal body has ended 2 runners
+  Scenario: A response at another gateway clears a suspect
+    Given a fleet of 3 gateways whose runners crash when they run the fatal body
+    And the fatal body has crashed 2 runners
     When the fatal body is harmless now, and is answered at another gateway
-    And it ends runners again, 2 of them
+    And it crashes 2 more runners
     Then nothing was ever held
--- a/features/quarantine/soak.feature
+++ b/features/quarantine/soak.feature
@@ -1,25 +1,25 @@
-Feature: Under random faults fatal bodies stop reaching runners, and no other body is held
+Feature: Under random faults fatal bodies are held, and no other body is
 
-  Each course has four gateways, eight runners, one or two fatal bodies, bodies that come often and
-  others, while runners, zones, gateways, controllers and the ledger's nodes end, freeze and are cut off.
+  Each run has four gateways, eight runners, one or two fatal bodies, frequent bodies and others, while
+  runners, zones, gateways, controllers and the ledger's nodes crash, freeze and are partitioned.
 
-  Scenario Outline: Course <seed>
-    When the course of seed <seed> is played
-    Then nothing was broken, and a fatal body was judged
+  Scenario Outline: Random run with seed <seed>
+    When a random run with seed <seed> is made
+    Then no guarantee was broken, and a fatal body was checked
 
-    Examples: each of these held a body that came often, before nodes reported answers to each suspect
+    Examples: each of these holds a frequent body if nodes do not report responses to each suspect
       | seed |
       | 7    |
       | 11   |
       | 38   |
 
-  Scenario Outline: The courses catch a fleet in which <defect>
+  Scenario Outline: The random runs detect a fleet in which <defect>
     Given a fleet in which <defect>
-    When the courses of seeds 7, 11, 38 and 2 are played
-    Then something was broken
+    When random runs with seeds 7, 11, 38 and 2 are made
+    Then a guarantee was broken
 
     Examples:
-      | defect                                        |
-      | nobody tells controllers what ended a runner  |
-      | answers clear nobody                          |
-      | held requests are sent all the same           |
+      | defect                                 |
+      | no node reports crashes to controllers |
+      | responses clear no suspect             |
+      | held requests are sent nevertheless    |
--- a/features/steps/quarantine_soak_steps.py
+++ b/features/steps/quarantine_soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on random courses of a fleet with fatal bodies, in virtual time."""
+"""Steps for random runs of a fleet with fatal bodies, in virtual time."""
 
 from unittest import mock
 
@@ -9,13 +9,17 @@
 from rainsail.quarantine.suspects import SuspectTracker
 
 DEFECTS = {
-    "nobody tells controllers what ended a runner": (
+    "no node reports crashes to controllers": (
         QuarantineAgent,
         "_report",
-        lambda agent, inquiry: None,
+        lambda agent, check: None,
     ),
-    "answers clear nobody": (SuspectTracker, "answered", lambda book, fingerprint, now: None),
-    "held requests are sent all the same": (
+    "responses clear no suspect": (
+        SuspectTracker,
+        "answered",
+        lambda tracker, fingerprint, now: None,
+    ),
+    "held requests are sent nevertheless": (
         QuarantineAgent,
         "holds",
         lambda agent, fingerprint: False,
@@ -37,23 +41,23 @@
     context.add_cleanup(patch.stop)
 
 
-@when("the course of seed {seed:d} is played")
+@when("a random run with seed {seed:d} is made")
 def play(context, seed):
     context.soaks = [_play(seed)]
 
 
-@when("the courses of seeds {seeds} are played")
+@when("random runs with seeds {seeds} are made")
 def play_some(context, seeds):
     context.soaks = [_play(int(seed)) for seed in seeds.replace(" and ", ", ").split(", ")]
 
 
-@then("nothing was broken, and a fatal body was judged")
+@then("no guarantee was broken, and a fatal body was checked")
 def nothing_broken(context):
     (soak,) = context.soaks
     assert not soak.violations, soak.violations
     assert soak.counts["fatal bodies judged"], soak.counts
 
 
-@then("something was broken")
+@then("a guarantee was broken")
 def broken(context):
     assert any(soak.violations for soak in context.soaks)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that end the runners that run them, in virtual time."""
+"""Steps for requests that crash the runners that run them, in virtual time."""
 
 from unittest import mock
 
@@ -18,11 +18,11 @@
 from rainsail.state.quarantine import QuarantineState
 
 SEED = 7
-ENDS_ALLOWED = 3
+CRASHES_ALLOWED = 3
 FATAL_ITEM = 2
 SETTLES_S = 3.0
 COMMON_BODY = b"the same question"
-SELDOM_BODY = b"seldom"
+RARE_BODY = b"seldom"
 LEAVES_BEFORE_S = 0.5
 
 
@@ -37,14 +37,14 @@
 # --- givens ----------------------------------------------------------------------------------
 
 
-@given("a fleet of {gateways:d} gateways whose runners end when they run the fatal body")
+@given("a fleet of {gateways:d} gateways whose runners crash when they run the fatal body")
 def make_fleet(context, gateways):
     context.fleet = FatalRequestFleet(SEED, gateways)
 
 
 @given(
     "a fleet of {gateways:d} gateways before a split of two services, "
-    "of which one bears the fatal body, seed {seed:d}"
+    "of which one answers the fatal body, seed {seed:d}"
 )
 def make_split_fleet(context, gateways, seed):
     context.fleet = FatalRequestFleet(seed, gateways, immune_service="other")
@@ -56,7 +56,7 @@
     assert 200 in answers[-10:], answers
 
 
-@given("a fleet with one runner, which ends when it runs the fatal body")
+@given("a fleet with one runner, which crashes when it runs the fatal body")
 def make_small_fleet(context):
     context.fleet = FatalRequestFleet(SEED, runners=1)
 
@@ -68,7 +68,7 @@
     note_runs(context)
 
 
-@given("the fatal body is held, but one gateway has not heard of it")
+@given("the fatal body is held, but one gateway has not been notified")
 def held_but_for_one(context):
     make_fleet(context, 3)
     cut_off(context, 3)
@@ -77,14 +77,14 @@
     note_runs(context)
 
 
-@given("the fatal body has been held meanwhile")
+@given("the fatal body has been held in the meantime")
 def held_meanwhile(context):
     hold(context.fleet, ["gateway-1", "gateway-2"])
     note_runs(context)
 
 
 def hold(fleet, names):
-    """Have the fatal body end runners until some nodes hold it."""
+    """Send the fatal body until the given nodes hold it."""
     for turn in range(12):
         fleet.request(names[turn % len(names)], FATAL_BODY)
         fleet.run_for(0.7)
@@ -93,48 +93,48 @@
 
 
 def note_runs(context):
-    """Note how often the fatal body has run, and ended runners, so far."""
+    """Record how often the fatal body has run, and crashed runners, so far."""
     runners = context.fleet.runners
     context.runs_before = len(runners.fatal_runs)
-    context.ends_before = len(runners.ends)
+    context.crashes_before = len(runners.crashes)
 
 
-@given("the fatal body has ended {count:d} runners")
+@given("the fatal body has crashed {count:d} runners")
 def ended_some(context, count):
     fleet = context.fleet
-    while len(fleet.runners.ends) < count:
+    while len(fleet.runners.crashes) < count:
         fleet.request("gateway-1", FATAL_BODY)
         fleet.run_for(1.0)
-    assert len(fleet.runners.ends) == count, fleet.runners.ends
+    assert len(fleet.runners.crashes) == count, fleet.runners.crashes
     fleet.run_for(SETTLES_S)
 
 
-@given("gateway {number:d} is cut off from all others")
+@given("gateway {number:d} is partitioned from all others")
 def cut_off(context, number):
     context.fleet.isolate(f"gateway-{number}")
 
 
-@given("runners break {count:d} of 100 events off")
+@given("runners abort responses at {count:d} of 100 events")
 def break_off(context, count):
-    context.fleet.runners.broken_share = count / 100
+    context.fleet.runners.abort_share = count / 100
 
 
 # --- requests --------------------------------------------------------------------------------
 
 
-@step("others send {count:d} requests a second for {seconds:g} s")
+@step("other clients send {count:d} requests a second for {seconds:g} s")
 def others_send(context, count, seconds):
     fleet = context.fleet
     fleet.send_others(1 / count, fleet.clock.seconds() + seconds)
 
 
-@step("one body comes each {period_s:g} s for {seconds:g} s, at any gateway")
+@step("one body is sent every {period_s:g} s for {seconds:g} s, at random gateways")
 def same_sent(context, period_s, seconds):
     fleet = context.fleet
     fleet.send_same(COMMON_BODY, period_s, fleet.clock.seconds() + seconds)
 
 
-@step("the fatal body comes each {period_s:g} s for {seconds:g} s, at one gateway after the other")
+@step("the fatal body is sent every {period_s:g} s for {seconds:g} s, at each gateway in turn")
 def fatal_comes(context, period_s, seconds):
     fleet = context.fleet
     until_s = fleet.clock.seconds() + seconds
@@ -147,7 +147,7 @@
 
 
 @when(
-    "{count:d} copies of the fatal body come each {period_s:g} s for {seconds:g} s, "
+    "{count:d} copies of the fatal body are sent every {period_s:g} s for {seconds:g} s, "
     "one at each gateway"
 )
 def copies_come(context, count, period_s, seconds):
@@ -169,9 +169,9 @@
     send_and_wait(context, f"gateway-{number}", FATAL_BODY)
 
 
-@when("a client sends the seldom body")
+@when("a client sends the rare body")
 def client_sends_seldom(context):
-    send_and_wait(context, "gateway-1", SELDOM_BODY)
+    send_and_wait(context, "gateway-1", RARE_BODY)
 
 
 def send_and_wait(context, gateway, body):
@@ -181,7 +181,7 @@
     fleet.run_for(2.0)
 
 
-@when("a client sends the fatal body there, and the gateway hears of it before the runner is found")
+@when("a client sends the fatal body there, and the gateway is notified before a runner is chosen")
 def heard_while_waiting(context):
     fleet = context.fleet
     waiting = []
@@ -195,31 +195,31 @@
     waiting[0](None)
 
 
-@when("the seldom body is there at each of the first {count:d} ends")
+@when("the rare body is running at each of the first {count:d} crashes")
 def seldom_beside(context, count):
     fleet = context.fleet
     for _ in range(count):
-        fleet.request("gateway-2", SELDOM_BODY)
+        fleet.request("gateway-2", RARE_BODY)
         fleet.request("gateway-1", FATAL_BODY)
         fleet.run_for(SETTLES_S)
-    assert len(fleet.runners.ends) == count, fleet.runners.ends
+    assert len(fleet.runners.crashes) == count, fleet.runners.crashes
 
 
 @given("the fatal body is held as an item too")
 def held_item(context):
-    """Items have paths of their own, and so a fingerprint of their own."""
+    """Items have paths of their own, and thus other fingerprints than online requests."""
     make_fleet(context, 3)
-    hand_in(context, "earlier", 2, fatal=1)
+    submit_job(context, "earlier", 2, fatal=1)
     held = lambda: bool(context.fleet.decided().requests)  # noqa: E731
     context.fleet.run_until(held, "the item is held")
     context.fleet.run_for(SETTLES_S)
     note_runs(context)
 
 
-@when("a job of {count:d} items that begins with the fatal body is handed in")
+@when("a job of {count:d} items that begins with the fatal body is submitted")
 def job_beginning_fatal(context, count):
-    """The item's path is that of the one that is held."""
-    hand_in(context, "job", count, fatal=0, number_of_fatal=1)
+    """The fatal item has the same path as the held one."""
+    submit_job(context, "job", count, fatal=0, number_of_fatal=1)
 
 
 @when("the ledger's leader loses power")
@@ -229,14 +229,14 @@
     fleet.leader("storage")
 
 
-@when("a job with the fatal body among its {count:d} items is handed in")
+@when("a job with the fatal body among its {count:d} items is submitted")
 def job_with_fatal_item(context, count):
     context.fleet.run_for(1.0)
-    hand_in(context, "job", count, fatal=FATAL_ITEM)
+    submit_job(context, "job", count, fatal=FATAL_ITEM)
 
 
-def hand_in(context, job, count, fatal, number_of_fatal=None):
-    """Hand a job in; its path numbers items as they come, but for the fatal one if told."""
+def submit_job(context, job, count, fatal, number_of_fatal=None):
+    """Submit a job; item paths have consecutive numbers, except the fatal one if given."""
     paths = {fatal: number_of_fatal} if number_of_fatal is not None else {}
     items = tuple(
         RelayedItem(
@@ -265,18 +265,18 @@
     served(context)
 
 
-@when("it ends runners again, {count:d} of them")
+@when("it crashes {count:d} more runners")
 def ends_again(context, count):
     fleet = context.fleet
     fleet.runners.fatal_bodies.add(FATAL_BODY)
-    before = len(fleet.runners.ends)
-    while len(fleet.runners.ends) < before + count:
+    before = len(fleet.runners.crashes)
+    while len(fleet.runners.crashes) < before + count:
         fleet.request("gateway-3", FATAL_BODY)
         fleet.run_for(1.0)
     fleet.run_for(SETTLES_S)
 
 
-@when("it is harmless now, and a gateway that has not heard of it gets an answer")
+@when("it is harmless now, and a gateway that has not been notified gets a response")
 def answered_unheard(context):
     fleet = context.fleet
     fleet.runners.fatal_bodies.clear()
@@ -292,33 +292,36 @@
     fleet.run_for(SETTLES_S)
 
 
-@when("some runner ends each {period_s:g} s for {seconds:g} s")
+@when("some runner crashes every {period_s:g} s for {seconds:g} s")
 def runners_end(context, period_s, seconds):
     fleet = context.fleet
     for turn in range(round(seconds / period_s)):
         runner = fleet.runners.runners[turn % len(fleet.runners.runners)]
-        fleet.runners.end(runner, runner.lives)
+        fleet.runners.crash(runner, runner.incarnation)
         fleet.run_for(period_s)
 
 
-@when("the runners of a zone lose power each {period_s:g} s for {seconds:g} s")
+@when("the runners of a zone lose power every {period_s:g} s for {seconds:g} s")
 def zone_dark(context, period_s, seconds):
     fleet = context.fleet
     for turn in range(round(seconds / period_s)):
         for runner in fleet.runners.runners:
             if runner.number % 3 == turn % 3:
-                fleet.runners.go_dark(runner, 2.0)
+                fleet.runners.lose_power(runner, 2.0)
         fleet.run_for(period_s)
 
 
-@when("some runner says that it leaves and ends 0.5 s later, each {period_s:g} s for {seconds:g} s")
+@when(
+    "some runner announces its shutdown and exits 0.5 s later, "
+    "every {period_s:g} s for {seconds:g} s"
+)
 def planned_ends(context, period_s, seconds):
     fleet = context.fleet
     for turn in range(round(seconds / period_s)):
         runner = fleet.runners.runners[turn % len(fleet.runners.runners)]
-        fleet.runners.say(runner, RunnerState.DRAINING)
+        fleet.runners.send_heartbeat(runner, RunnerState.DRAINING)
         fleet.run_for(LEAVES_BEFORE_S)
-        fleet.runners.end(runner, runner.lives)
+        fleet.runners.crash(runner, runner.incarnation)
         fleet.run_for(period_s - LEAVES_BEFORE_S)
 
 
@@ -356,14 +359,14 @@
     fleet.run_for(SETTLES_S)
 
 
-@when("gateway {number:d} is joined again, and {seconds:g} s go by")
+@when("gateway {number:d} is reconnected, and {seconds:g} s go by")
 def join_again(context, number, seconds):
     fleet = context.fleet
     fleet.rejoin(f"gateway-{number}")
     fleet.run_for(seconds)
 
 
-@when("an operator lets it go, and it is harmless now")
+@when("an operator releases it, and it is harmless now")
 def operator_releases(context):
     fleet = context.fleet
     fleet.runners.fatal_bodies.clear()
@@ -374,7 +377,7 @@
     fleet.run_for(0.5)
 
 
-@when("an operator's release waits at a controller until he has left, and is read then")
+@when("an operator's release is processed at a controller after the operator has disconnected")
 def late_release(context):
     fleet = context.fleet
     controller = fleet.controller(sorted(fleet.names("controller"))[0])
@@ -386,18 +389,16 @@
 # --- outcomes --------------------------------------------------------------------------------
 
 
-@then(
-    "at most {most:d} of its runs began later than {seconds:g} s after it had ended a third runner"
-)
+@then("at most {most:d} of its runs started later than {seconds:g} s after its third crash")
 def few_late_runs(context, most, seconds):
     runners = context.fleet.runners
-    assert len(runners.ends) >= ENDS_ALLOWED, runners.ends
-    allowed_until_s = runners.ends[ENDS_ALLOWED - 1] + seconds
+    assert len(runners.crashes) >= CRASHES_ALLOWED, runners.crashes
+    allowed_until_s = runners.crashes[CRASHES_ALLOWED - 1] + seconds
     late = [run for run in runners.fatal_runs if run.at_s > allowed_until_s]
-    assert len(late) <= most, (len(runners.ends), len(late), runners.ends[:6], late[:6])
+    assert len(late) <= most, (len(runners.crashes), len(late), runners.crashes[:6], late[:6])
 
 
-@then("the others were served but for streams that a runner's end broke")
+@then("the other clients were served, except for streams that a crash broke off")
 def others_served(context):
     fleet = context.fleet
     fleet.run_for(5.0)
@@ -409,38 +410,38 @@
 
 @then("the other {count:d} items are done")
 def other_items_done(context, count):
-    job = handed_in(context)
+    job = submitted_job(context)
     assert set(job.unlisted) == {context.fatal_item}, job.unlisted
     assert len(job.items) == count + 1
 
 
-@then("at most {most:d} runners have ended")
+@then("at most {most:d} runners have crashed")
 def ended_at_most(context, most):
-    assert 1 <= len(context.fleet.runners.ends) <= most, context.fleet.runners.ends
+    assert 1 <= len(context.fleet.runners.crashes) <= most, context.fleet.runners.crashes
 
 
 @then("all {count:d} items are done")
 def all_items_done(context, count):
-    job = handed_in(context)
+    job = submitted_job(context)
     assert [outcome.done for outcome in job.listed] == [True] * count, job.listed
 
 
-def handed_in(context):
-    """Return the last job as the ledger's leader keeps it."""
+def submitted_job(context):
+    """Return the last job, as stored at the ledger's leader."""
     fleet = context.fleet
     jobs = fleet.nodes[fleet.leader("storage")].role.state.jobs.values()
     return next(job for job in jobs if job.client_id == context.job)
 
 
-@then("all {count:d} items are listed, and the fatal one alone as given up")
+@then("all {count:d} items are listed, and only the fatal one as given up")
 def fatal_given_up(context, count):
-    job = handed_in(context)
+    job = submitted_job(context)
     assert not job.unlisted, job.unlisted
     given_up = [each.index for each in job.listed if not each.done]
     assert (len(job.listed), given_up) == (count, [context.fatal_item]), job.listed
 
 
-@then("it is answered 502 within 50 ms, without a time to come back")
+@then("it is answered 502 within 50 ms, without a retry time")
 def answered_at_once(context):
     exchange = context.exchange
     assert exchange.status == 502 and exchange.ended, exchange
@@ -464,25 +465,25 @@
     assert held == [FATAL], held
 
 
-@then("the fatal body alone was ever held")
+@then("only the fatal body was ever held")
 def alone_held(context):
     known = [each.fingerprint for each in context.fleet.decided().requests]
     assert known == [FATAL], known
     assert context.fleet.decided().revision == 1
 
 
-@then("both bodies are held, since nothing tells them apart")
+@then("both bodies are held, as they cannot be told apart")
 def both_held(context):
     held = {each.fingerprint for each in context.fleet.decided().requests if each.held}
-    assert held == {FATAL, fingerprint(SELDOM_BODY)}, held
+    assert held == {FATAL, fingerprint(RARE_BODY)}, held
 
 
-@given("probes tell what is there")
+@given("probes report what is there")
 def sound_probes(context):
     pass
 
 
-@given("each probe says that nothing is there")
+@given("each probe reports a refused connection")
 def refusing_probes(context):
     refused = lambda pool, address, told: told(Reach.REFUSED)  # noqa: E731
     patch = mock.patch.object(RunnerPool, "probe", refused)
@@ -502,7 +503,7 @@
     assert fleet.decided().revision == 0, fleet.decided()
 
 
-@then("the body that came often was served but where a runner ended under it")
+@then("the frequent body was served, except when a runner crashed while running it")
 def common_served(context):
     fleet = context.fleet
     fleet.run_for(5.0)
@@ -511,20 +512,24 @@
     assert len(served) >= 0.9 * len(exchanges), (len(served), len(exchanges))
 
 
-@then("at most {count:d} runners have ended")
+@then("at most {count:d} runners have crashed")
 def at_most_ended(context, count):
-    assert len(context.fleet.runners.ends) <= count, context.fleet.runners.ends
+    assert len(context.fleet.runners.crashes) <= count, context.fleet.runners.crashes
 
 
-@then("one more runner has ended")
+@then("one more runner has crashed")
 def one_more(context):
-    assert len(context.fleet.runners.ends) == context.ends_before + 1, context.fleet.runners.ends
-    context.ends_before += 1
+    assert len(context.fleet.runners.crashes) == context.crashes_before + 1, (
+        context.fleet.runners.crashes
+    )
+    context.crashes_before += 1
 
 
-@then("no more runner has ended")
+@then("no further runner has crashed")
 def no_more(context):
-    assert len(context.fleet.runners.ends) == context.ends_before, context.fleet.runners.ends
+    assert len(context.fleet.runners.crashes) == context.crashes_before, (
+        context.fleet.runners.crashes
+    )
 
 
 # --- bounds ----------------------------------------------------------------------------------
@@ -537,34 +542,34 @@
         context.state.hold(fingerprint(b"%d" % number))
 
 
-@then("{count:d} are remembered, the newest ones")
+@then("{count:d} are kept, the newest ones")
 def newest_remembered(context, count):
     requests = context.state.snapshot().requests
     assert len(requests) == count
     assert requests[-1].fingerprint == fingerprint(b"199")
 
 
-@when("words on {ends:d} ends of runners with {count:d} requests each come to a controller")
+@when("reports on {ends:d} crashes with {count:d} requests each reach a controller")
 def many_ends(context, ends, count):
-    context.book = SuspectTracker()
+    context.tracker = SuspectTracker()
     for end in range(ends):
         bodies = [fingerprint(b"%d %d" % (end, number)) for number in range(count)]
-        context.book.ended(f"runner-{end}", bodies, float(end), float(end))
+        context.tracker.crashed(f"runner-{end}", bodies, float(end), float(end))
     context.per_end = count
 
 
-@then("it remembers at most {ends:d} ends")
+@then("it keeps at most {ends:d} crashes")
 def ends_remembered(context, ends):
-    assert context.book.count <= ends * context.per_end, context.book.count
+    assert context.tracker.count <= ends * context.per_end, context.tracker.count
 
 
-@given("a node that was told of a suspect")
+@given("a node that watches a suspect")
 def told_of_suspect(context):
-    context.book = QuarantineView()
-    context.book.watch((FATAL,), 0.0)
+    context.view = QuarantineView()
+    context.view.watch((FATAL,), 0.0)
 
 
-@then("an answer to it is news {before_s:d} s later, and none is {after_s:d} s later")
+@then("it reports a response to it {before_s:d} s later, but not {after_s:d} s later")
 def news_for_a_while(context, before_s, after_s):
-    assert context.book.wants_answers(before_s) and context.book.wants_answer(FATAL)
-    assert not context.book.wants_answers(after_s)
+    assert context.view.wants_answers(before_s) and context.view.wants_answer(FATAL)
+    assert not context.view.wants_answers(after_s)
--- a/features/support/aborting_runner.py
+++ b/features/support/aborting_runner.py
@@ -1,4 +1,4 @@
-"""A runner that begins an answer, and breaks it off when it is told to; over plain sockets."""
+"""A runner on plain sockets that starts a response and aborts it on command."""
 
 import contextlib
 import socket
@@ -6,9 +6,9 @@
 import threading
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
-"""``SO_LINGER`` by which a close is a reset."""
+"""``SO_LINGER`` value that makes a close send a reset."""
 BODY_BYTES = 512 * 1024
-"""So many that a gateway passes the first ones on before the end."""
+"""Enough that a gateway forwards the first bytes before the response ends."""
 HEAD = b"HTTP/1.1 200 OK\r\n"
 FRAMINGS = {
     "without a length": (b"\r\n", b""),
@@ -18,7 +18,7 @@
 
 
 class AbortingRunner:
-    """Takes connections one after the other in a thread and begins the same answer on each."""
+    """Accepts connections in a thread and starts the same response on each."""
 
     def __init__(self, ip: str, port: int, framing: str) -> None:
         fields, before_body = FRAMINGS[framing]
@@ -47,7 +47,7 @@
         connection.sendall(HEAD + identity + self._after_identity)
 
     def break_off(self, how: str) -> None:
-        """End the answers under way: by a reset, or by a close in order."""
+        """Abort the responses in progress, by a reset or by an orderly close."""
         for connection in self._connections:
             if how == "resets":
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
@@ -57,7 +57,7 @@
         self._connections.clear()
 
     def close(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and close every connection."""
         self._listening.shutdown(socket.SHUT_RDWR)
         self._listening.close()
         self.break_off("closes")
@@ -70,6 +70,6 @@
 
 
 def _shut_down(connection: socket.socket) -> None:
-    """Close in order; the other side may have ended the connection already."""
+    """Shut down in order; the peer may have closed the connection already."""
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
--- a/features/support/crashing_runners.py
+++ b/features/support/crashing_runners.py
@@ -1,5 +1,7 @@
-"""Runners in virtual time: they answer with streams, one body ends the runner that begins to run
-it, and a runner that has ended is back a while later."""
+"""Runners in virtual time that respond with streams.
+
+One body crashes the runner that starts to run it; a crashed runner restarts after a time.
+"""
 
 import random
 from collections.abc import Callable
@@ -17,18 +19,18 @@
 STREAM_FIELDS = (*EVENT_STREAM_FIELDS, (b"transfer-encoding", b"chunked"))
 NETWORK_S = 0.001
 CONNECT_TIMEOUT_S = 0.3
-BEGINS_AFTER_S = 0.02
-DIES_AFTER_S = 0.1
+START_AFTER_S = 0.02
+CRASH_AFTER_S = 0.1
 EVENT_PERIOD_S = 0.1
 EVENTS = 5
-BACK_AFTER_S = 1.5
+RESTART_AFTER_S = 1.5
 HEARTBEAT_PERIOD_S = 1.0
 SLOTS = 8
 
 
 @dataclass(frozen=True)
 class FatalRun:
-    """When a fatal body began to run, and the node that had sent it."""
+    """When a fatal body started to run, and the node that sent it."""
 
     at_s: float
     sender: str
@@ -37,31 +39,31 @@
 
 @dataclass
 class CrashingRunner:
-    """One address and the incarnation there; ``ends`` are the moments at which one ended."""
+    """A runner at a fixed address, with its incarnation and the times of its crashes."""
 
     number: int
-    lives: int = 1
+    incarnation: int = 1
     is_up: bool = True
-    is_dark: bool = False
+    has_no_power: bool = False
     has_left: bool = False
     sequence: int = 0
     calls: list[StandInCall] = field(default_factory=list)
     ran_fatal: bytes = b""
-    ends: list[float] = field(default_factory=list)
+    crashes: list[float] = field(default_factory=list)
 
     @property
     def address(self) -> str:
-        """Its address, whatever incarnation is there."""
+        """The address, the same for all incarnations."""
         return f"10.9.0.{self.number}:80"
 
     @property
     def runner(self) -> str:
-        """The id: every second runner comes back under the one that it had."""
-        return f"runner-{self.number}" + (f"-{self.lives}" if self.number % 2 else "")
+        """The runner id; every second runner keeps it when it restarts."""
+        return f"runner-{self.number}" + (f"-{self.incarnation}" if self.number % 2 else "")
 
 
 class CrashingRunners:
-    """All runners of a fleet; each pool that this makes is one node's connections to them."""
+    """All runners of a fleet; a ``RunnerPool`` is one node's connections to them."""
 
     def __init__(
         self,
@@ -70,10 +72,10 @@
         tell: Callable[[RunnerRecord], None],
         immune_service: str = "",
     ) -> None:
-        """``tell`` gets each heartbeat.
+        """``tell`` receives each heartbeat.
 
-        With an ``immune_service`` the runners with even numbers are of that one, and answer a fatal
-        body as any other.
+        With an ``immune_service`` the runners with even numbers belong to it, and respond to a
+        fatal body as to any other.
         """
         self._immune_service = immune_service
         self.clock = clock
@@ -81,31 +83,31 @@
         self.runners = [CrashingRunner(number) for number in range(1, count + 1)]
         self.fatal_runs: list[FatalRun] = []
         self.fatal_bodies = {FATAL_BODY}
-        self.broken_share = 0.0
-        """Of other requests so many are broken off by a runner that lives on."""
+        self.abort_share = 0.0
+        """Probability that a runner aborts a response at an event and keeps running."""
         self._draw = random.Random(count)
-        self.fatal_ends: dict[bytes, list[float]] = {}
-        """When a runner ended under each fatal body."""
+        self.fatal_crashes: dict[bytes, list[float]] = {}
+        """The times of the crashes caused by each fatal body."""
         for runner in self.runners:
-            self._beat(runner, runner.lives)
+            self._send_heartbeats(runner, runner.incarnation)
 
     @property
-    def ends(self) -> list[float]:
-        """The moments at which a runner ended, in order."""
-        return sorted(moment for runner in self.runners for moment in runner.ends)
+    def crashes(self) -> list[float]:
+        """The times of all crashes, in order."""
+        return sorted(moment for runner in self.runners for moment in runner.crashes)
 
     def at(self, address: str) -> CrashingRunner:
         """Return the runner of an address."""
         return next(runner for runner in self.runners if runner.address == address)
 
-    def _beat(self, runner: CrashingRunner, life: int) -> None:
-        if not runner.is_up or runner.lives != life or runner.has_left:
+    def _send_heartbeats(self, runner: CrashingRunner, incarnation: int) -> None:
+        if not runner.is_up or runner.incarnation != incarnation or runner.has_left:
             return
-        self.say(runner, RunnerState.READY)
-        self.clock.callLater(HEARTBEAT_PERIOD_S, self._beat, runner, life)
+        self.send_heartbeat(runner, RunnerState.READY)
+        self.clock.callLater(HEARTBEAT_PERIOD_S, self._send_heartbeats, runner, incarnation)
 
-    def say(self, runner: CrashingRunner, state: RunnerState) -> None:
-        """Have a runner say what it is about to do."""
+    def send_heartbeat(self, runner: CrashingRunner, state: RunnerState) -> None:
+        """Send a runner's heartbeat with a state."""
         runner.has_left = state != RunnerState.READY
         runner.sequence += 1
         self._tell(
@@ -127,18 +129,18 @@
     # --- requests ------------------------------------------------------------------------
 
     def take(self, call: StandInCall) -> None:
-        """A request arrives."""
+        """Handle a request that arrives."""
         runner = self.at(call.address)
         if call.cancelled:
             return
-        if runner.is_dark:
+        if runner.has_no_power:
             self.clock.callLater(CONNECT_TIMEOUT_S, self._not_connected, call, "timed out")
             return
         if not runner.is_up:
             self._not_connected(call, "refused")
             return
         runner.calls.append(call)
-        self.clock.callLater(BEGINS_AFTER_S, self._begin, runner, call)
+        self.clock.callLater(START_AFTER_S, self._begin, runner, call)
 
     @staticmethod
     def _not_connected(call: StandInCall, reason: str) -> None:
@@ -153,7 +155,7 @@
             run = FatalRun(self.clock.seconds(), call.sender, call.request.body)
             self.fatal_runs.append(run)
             runner.ran_fatal = call.request.body
-            self.clock.callLater(DIES_AFTER_S, self.end, runner, runner.lives)
+            self.clock.callLater(CRASH_AFTER_S, self.crash, runner, runner.incarnation)
             return
         first = int(call.field(b"after-event") or 0) + 1
         self.clock.callLater(EVENT_PERIOD_S, self._send_event, runner, call, first)
@@ -164,7 +166,7 @@
         call.listener.answer_data(event(number))
         if call not in runner.calls:
             return
-        if self._draw.random() < self.broken_share:
+        if self._draw.random() < self.abort_share:
             runner.calls.remove(call)
             call.listener.answer_failed("connection reset")
             return
@@ -174,36 +176,38 @@
         runner.calls.remove(call)
         call.listener.answer_ended()
 
-    # --- ends ----------------------------------------------------------------------------
+    # --- crashes -------------------------------------------------------------------------
 
-    def end(self, runner: CrashingRunner, life: int, back_after_s: float = BACK_AFTER_S) -> None:
-        """End a runner: each connection to it closes in order."""
-        if not runner.is_up or runner.lives != life:
+    def crash(
+        self, runner: CrashingRunner, incarnation: int, restart_after_s: float = RESTART_AFTER_S
+    ) -> None:
+        """Crash a runner: each connection to it is closed in order."""
+        if not runner.is_up or runner.incarnation != incarnation:
             return
         runner.is_up = False
-        runner.ends.append(self.clock.seconds())
+        runner.crashes.append(self.clock.seconds())
         if runner.ran_fatal:
-            self.fatal_ends.setdefault(runner.ran_fatal, []).append(self.clock.seconds())
+            self.fatal_crashes.setdefault(runner.ran_fatal, []).append(self.clock.seconds())
             runner.ran_fatal = b""
         calls, runner.calls = runner.calls, []
         for call in calls:
             if not call.cancelled:
                 call.listener.answer_failed("connection closed")
-        self.clock.callLater(back_after_s, self._come_back, runner)
+        self.clock.callLater(restart_after_s, self._restart, runner)
 
-    def go_dark(self, runner: CrashingRunner, for_s: float) -> None:
-        """Cut a runner's power: nothing is heard of it, connections neither close nor open."""
+    def lose_power(self, runner: CrashingRunner, for_s: float) -> None:
+        """Cut a runner's power: it sends nothing, and connections neither close nor open."""
         runner.is_up = False
-        runner.is_dark = True
+        runner.has_no_power = True
         runner.calls.clear()
-        self.clock.callLater(for_s, self._come_back, runner)
+        self.clock.callLater(for_s, self._restart, runner)
 
-    def _come_back(self, runner: CrashingRunner) -> None:
-        runner.is_dark = runner.has_left = False
+    def _restart(self, runner: CrashingRunner) -> None:
+        runner.has_no_power = runner.has_left = False
         runner.is_up = True
-        runner.lives += 1
+        runner.incarnation += 1
         runner.sequence = 0
-        self._beat(runner, runner.lives)
+        self._send_heartbeats(runner, runner.incarnation)
 
 
 class RunnerPool:
@@ -217,7 +221,7 @@
         self.probes = 0
 
     def close(self) -> None:
-        """End the node's process: nothing of it is heard any more."""
+        """Stop the node's process: it receives nothing more."""
         self._closed = True
         for call in self._calls:
             call.cancelled = True
@@ -225,7 +229,7 @@
     def send(
         self, address: str, request: OutgoingRequest, listener: Any, fresh: bool = False
     ) -> StandInCall:
-        """Hand a request over."""
+        """Send a request to a runner."""
         call = StandInCall(address, request, listener, self._sender)
         if self._closed:
             return call
@@ -234,17 +238,17 @@
         return call
 
     def probe(self, address: str, told: Callable[[Reach], None]) -> None:
-        """Tell whether a runner takes connections."""
+        """Report whether a runner accepts connections."""
         self.probes += 1
         runner = self._runners.at(address)
-        if runner.is_dark:
+        if runner.has_no_power:
             self._runners.clock.callLater(CONNECT_TIMEOUT_S, told, Reach.SILENT)
             return
         reach = Reach.OPEN if runner.is_up else Reach.REFUSED
         self._runners.clock.callLater(NETWORK_S, told, reach)
 
     def forget(self, address: str) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
 
     def close_stale(self) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
--- a/features/support/fatal_request_fleet.py
+++ b/features/support/fatal_request_fleet.py
@@ -1,4 +1,4 @@
-"""A relaying fleet in virtual time whose runners end when they begin to run one body."""
+"""A relaying fleet in virtual time whose runners crash when they start to run a fatal body."""
 
 import random
 from dataclasses import replace
@@ -30,7 +30,7 @@
 
 
 class RequestProtocol(PlainProtocol):
-    """Reads the id of a request from a header."""
+    """Reads the request id from a header."""
 
     def describe(self, request: HttpRequest) -> RequestFacts:
         """Return the facts of a request without a prompt."""
@@ -40,10 +40,10 @@
 
 
 def read_table(content: bytes) -> Any:
-    """Read a version: resumable streams, and jobs, of one service.
+    """Parse a table: resumable streams, and jobs, of one service.
 
-    ``7/other`` is version 7, in which half of the work goes to a service ``other``, and streams may
-    run once only.
+    ``7/other`` is version 7, in which half of the load goes to a service ``other``, and streams are
+    not repeatable.
     """
     version, _, other = content.decode().partition("/")
     names = [SERVICE, other] if other else [SERVICE]
@@ -73,7 +73,7 @@
 
 
 class FatalRequestFleet(RelayedFleet):
-    """Controllers, storage nodes and relaying gateways before runners that die."""
+    """Controllers, storage nodes and relaying gateways, with runners that crash."""
 
     def __init__(
         self,
@@ -82,11 +82,11 @@
         runners: int = RUNNERS,
         immune_service: str = "",
     ) -> None:
-        """``immune_service`` gets half of the work; its runners bear every body."""
+        """``immune_service`` gets half of the load; no body crashes its runners."""
         self._immune_service = immune_service
         self.relays: dict[str, RelayGateway] = {}
         self.jobs: dict[str, JobClient] = {}
-        self.runner_pools: dict[str, _LatePool] = {}
+        self.runner_pools: dict[str, _LazyPool] = {}
         self.runners: CrashingRunners | None = None
         self.exchanges: list[StandInExchange] = []
         self._draw = random.Random(seed)
@@ -99,7 +99,7 @@
         self.run_for(2.0)
 
     def put_table(self, version: int) -> None:
-        """Put a table in force."""
+        """Activate a routing table."""
         controller = self.controller(self.names("controller")[0])
         content = f"{version}/{self._immune_service}" if self._immune_service else str(version)
         done = controller.tables.replace(version, content.encode())
@@ -110,9 +110,9 @@
         return read_table(content)
 
     def make_pool(self, base: NodeBase) -> Any:
-        """Return connections to the runners, which are there a moment later."""
+        """Return connections to the runners, which are created later."""
         name = base.settings.node.name
-        pool = self.runner_pools[name] = _LatePool(self, name)
+        pool = self.runner_pools[name] = _LazyPool(self, name)
         return pool
 
     def crash(self, name: str) -> None:
@@ -146,7 +146,7 @@
         return gateway
 
     def _heartbeat(self, record: Any) -> None:
-        """Hand a runner's word to a controller that is there."""
+        """Pass a runner's heartbeat to a random running controller."""
         names = [name for name in self.names("controller") if self.controller(name) is not None]
         if names:
             self.controller(self._draw.choice(sorted(names))).reports.take(record)
@@ -154,7 +154,7 @@
     # --- clients -------------------------------------------------------------------------
 
     def request(self, gateway: str, body: bytes, path: str = PATH) -> StandInExchange:
-        """Have a client send a request with an id of its own."""
+        """Send a client's request with a unique id."""
         self._sent += 1
         fields = ((b"request", f"request-{self._sent}".encode()),)
         seconds = self.nodes[gateway].clock.seconds()
@@ -169,14 +169,14 @@
         return self._draw.choice(sorted(self.names("gateway")))
 
     def send_others(self, period_s: float, until_s: float) -> None:
-        """Send requests with a body of their own each, at gateways drawn at random."""
+        """Send requests with distinct bodies at random gateways."""
         if self.clock.seconds() >= until_s:
             return
         self.request(self.any_gateway(), f"body {self._sent}".encode())
         self.clock.callLater(period_s, self.send_others, period_s, until_s)
 
     def send_same(self, body: bytes, period_s: float, until_s: float) -> None:
-        """Send one body again and again, at gateways drawn at random."""
+        """Send the same body periodically at random gateways."""
         if self.clock.seconds() >= until_s:
             return
         self.request(self.any_gateway(), body)
@@ -185,15 +185,15 @@
     # --- the list of held requests -------------------------------------------------------
 
     def held_at(self, name: str) -> frozenset[bytes]:
-        """Return the fingerprints that a node keeps from runners."""
+        """Return the fingerprints of the requests that a node holds back."""
         return self.nodes[name].base.follower.quarantine.held
 
     def decided(self) -> Any:
-        """Return what the root group has decided, as its leader has applied it."""
+        """Return the list of held requests, as applied by the root group's leader."""
         return self.nodes[self.leader("controller")].role.state.quarantine.snapshot()
 
     def run_until_held(self, fingerprint: bytes, names: list[str]) -> None:
-        """Run until some nodes keep a request from runners."""
+        """Run until the given nodes hold a request back."""
         self.run_until(
             lambda: all(fingerprint in self.held_at(name) for name in names), "the request is held"
         )
@@ -207,8 +207,8 @@
         ]
 
 
-class _LatePool:
-    """A node's connections, made when the runners are."""
+class _LazyPool:
+    """A node's connections, created on first use, when the runners exist."""
 
     def __init__(self, fleet: FatalRequestFleet, sender: str) -> None:
         self._fleet = fleet
@@ -222,7 +222,7 @@
         return getattr(self._pool, name)
 
     def close_stale(self) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
 
     def forget(self, address: str) -> None:
-        """No connection rests here."""
+        """Do nothing: this pool keeps no idle connections."""
--- a/src/rainsail/quarantine/__init__.py
+++ b/src/rainsail/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps requests that end the runners they run at away from further runners."""
+"""Quarantine: requests that crash the runners they run at are held back from further runners."""
--- a/src/rainsail/quarantine/agent.py
+++ b/src/rainsail/quarantine/agent.py
@@ -1,8 +1,9 @@
-"""A sending node's part: it obeys the list of held requests and reports what ended runners.
+"""The quarantine at a sending node: enforces the list of held requests and reports crashes.
 
-A connection that ends says little: runners reset connections, links are cut, machines lose power.
-A runner has ended on its own if its address, reached a moment later, refuses connections. An
-address that says nothing is behind a cut or without power, and no request is to blame for that.
+The end of a connection alone does not mean a crash: runners also reset connections, networks
+partition, and machines lose power. A runner counts as crashed if its address refuses connections
+shortly afterwards. An address that does not answer at all is behind a partition or without power,
+which no request can cause.
 """
 
 from collections.abc import Callable
@@ -19,24 +20,24 @@
 from rainsail.runtime.clock import Clock
 from rainsail.wire.messenger import Messenger
 
-PROBES_AFTER_S = (0.05, 0.5)
-"""When a runner's address is tried after a connection to it has ended. A process that closes its
-connections in order may take connections for a moment more."""
-MOST_REPORTED = 256
-"""So many requests are reported of one runner's end."""
+PROBE_DELAYS_S = (0.05, 0.5)
+"""Delays of the probes of a runner's address after a connection to it has ended. A process that
+shuts down in order may accept connections for a short time after it has closed others."""
+MAX_REPORTED = 256
+"""Maximum number of requests that are reported for one crash."""
 
 
 class AddressProbe(Protocol):
-    """Tries whether an address takes connections."""
+    """Checks whether an address accepts connections."""
 
     def probe(self, address: str, told: Callable[[Reach], None]) -> None:
-        """Open a connection, close it again, and tell what came of it."""
+        """Open a connection, close it again, and pass the result to ``told``."""
         ...
 
 
 @dataclass(slots=True)
-class _Inquiry:
-    """Whether a runner has ended, and which of this node's requests it had then."""
+class _CrashCheck:
+    """A pending check whether a runner has crashed, with the requests that it was running."""
 
     record: RunnerRecord
     began_s: float
@@ -60,80 +61,80 @@
         self._follower = follower
         self._connections = connections
         self._metrics = metrics
-        self._book = follower.quarantine
-        self._inquiries: dict[str, _Inquiry] = {}
+        self._view = follower.quarantine
+        self._crash_checks: dict[str, _CrashCheck] = {}
         messenger.serve(RequestsWatched, self._watch)
 
-    # --- obeying -------------------------------------------------------------------------
+    # --- enforcement ---------------------------------------------------------------------
 
     @property
     def holds_any(self) -> bool:
-        """Tell whether some request is held."""
-        return bool(self._book.held)
+        """Whether any request is held."""
+        return bool(self._view.held)
 
     def holds(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request must not reach a runner."""
-        return fingerprint in self._book.held
+        """Return whether a request must not reach a runner."""
+        return fingerprint in self._view.held
 
     # --- reporting -----------------------------------------------------------------------
 
     @property
     def wants_answers(self) -> bool:
-        """Tell whether an answer to some request would be news."""
-        return self._book.wants_answers(self._clock.seconds())
+        """Whether responses to some requests have to be reported."""
+        return self._view.wants_answers(self._clock.seconds())
 
     def _watch(self, source: str, message: RequestsWatched) -> None:
-        self._book.watch(message.fingerprints, self._clock.seconds())
+        self._view.watch(message.fingerprints, self._clock.seconds())
 
     def answered(self, fingerprint: Fingerprint) -> None:
-        """Tell the controllers of an answer that they want to know of."""
-        if self._book.wants_answer(fingerprint):
-            self._book.unwatch(fingerprint)
-            self._tell(RequestAnswered(fingerprint))
+        """Report a complete response to the controllers, if they watch the request."""
+        if self._view.wants_answer(fingerprint):
+            self._view.unwatch(fingerprint)
+            self._send_to_controllers(RequestAnswered(fingerprint))
 
     def connection_ended(self, record: RunnerRecord, fingerprint: Fingerprint) -> bool:
-        """Find out whether the runner has ended; False for a request that was held before.
+        """Start a check whether the runner has crashed; False for a request that was held before.
 
-        A runner that had taken its leave ends without a cause.
+        A runner that has announced its shutdown is not checked.
         """
         known = self._follower.registry.get(record.runner)
         if known is None or known.state == RunnerState.READY:
-            self._inquire(record, fingerprint)
-        return fingerprint not in self._book.offenders
-
-    def _inquire(self, record: RunnerRecord, fingerprint: Fingerprint) -> None:
-        inquiry = self._inquiries.get(record.runner)
-        if inquiry is None:
-            inquiry = _Inquiry(record, self._clock.seconds())
-            self._inquiries[record.runner] = inquiry
-            self._probe_later(inquiry)
-        if len(inquiry.broken) < MOST_REPORTED:
-            inquiry.broken[fingerprint] = None
-
-    def _probe_later(self, inquiry: _Inquiry) -> None:
-        due_s = inquiry.began_s + PROBES_AFTER_S[inquiry.probes]
-        inquiry.probes += 1
-        self._clock.callLater(max(0.0, due_s - self._clock.seconds()), self._probe, inquiry)
-
-    def _probe(self, inquiry: _Inquiry) -> None:
+            self._check_runner(record, fingerprint)
+        return fingerprint not in self._view.ever_held
+
+    def _check_runner(self, record: RunnerRecord, fingerprint: Fingerprint) -> None:
+        check = self._crash_checks.get(record.runner)
+        if check is None:
+            check = _CrashCheck(record, self._clock.seconds())
+            self._crash_checks[record.runner] = check
+            self._probe_later(check)
+        if len(check.broken) < MAX_REPORTED:
+            check.broken[fingerprint] = None
+
+    def _probe_later(self, check: _CrashCheck) -> None:
+        due_s = check.began_s + PROBE_DELAYS_S[check.probes]
+        check.probes += 1
+        self._clock.callLater(max(0.0, due_s - self._clock.seconds()), self._probe, check)
+
+    def _probe(self, check: _CrashCheck) -> None:
         self._metrics.count("runner_probes")
-        self._connections.probe(inquiry.record.address, lambda reach: self._probed(inquiry, reach))
+        self._connections.probe(check.record.address, lambda reach: self._probed(check, reach))
 
-    def _probed(self, inquiry: _Inquiry, reach: Reach) -> None:
-        if reach != Reach.REFUSED and inquiry.probes < len(PROBES_AFTER_S):
-            self._probe_later(inquiry)
+    def _probed(self, check: _CrashCheck, reach: Reach) -> None:
+        if reach != Reach.REFUSED and check.probes < len(PROBE_DELAYS_S):
+            self._probe_later(check)
             return
-        del self._inquiries[inquiry.record.runner]
+        del self._crash_checks[check.record.runner]
         if reach == Reach.REFUSED:
-            self._report(inquiry)
+            self._report(check)
 
-    def _report(self, inquiry: _Inquiry) -> None:
-        runner = inquiry.record.runner
-        age_s = self._clock.seconds() - inquiry.began_s
-        logger.bind(runner=runner, requests=len(inquiry.broken)).info("runner_ended")
+    def _report(self, check: _CrashCheck) -> None:
+        runner = check.record.runner
+        age_s = self._clock.seconds() - check.began_s
+        logger.bind(runner=runner, requests=len(check.broken)).info("runner_ended")
         self._metrics.count("runner_ends_seen")
-        self._tell(RunnerEnded(runner, tuple(inquiry.broken), age_s))
+        self._send_to_controllers(RunnerEnded(runner, tuple(check.broken), age_s))
 
-    def _tell(self, message: RunnerEnded | RequestAnswered) -> None:
-        """Tell every controller that this node follows: whichever leads next knows it too."""
+    def _send_to_controllers(self, message: RunnerEnded | RequestAnswered) -> None:
+        """Send to every controller that this node follows, so that a new leader has it as well."""
         self._messenger.send_all(self._follower.followed(), message)
--- a/src/rainsail/quarantine/control.py
+++ b/src/rainsail/quarantine/control.py
@@ -1,7 +1,8 @@
-"""A controller's part: it counts what ended runners, and its group decides what is held.
+"""The quarantine at a controller: counts crashes per request; the root group decides on holds.
 
-Every controller that nodes follow hears of every end, so a new leader need not learn anything. What
-is held is a decision of the root group: it outlives controllers, gateways and a loss of all power.
+Every controller that nodes follow receives every crash report, so a new leader already has them.
+A hold is a replicated decision of the root group: it survives failures of controllers and gateways,
+and a power loss of all machines.
 """
 
 from collections.abc import Callable
@@ -37,15 +38,16 @@
 from rainsail.state.quarantine import by_fingerprint
 from rainsail.wire.messenger import Messenger
 
-HELD_FOR_S = 600.0
-"""How long a request is held for the first time. A harmless request that was held by bad luck comes
-back by itself; a harmful one then costs one runner more."""
-HELD_LONGER_FACTOR = 6
-"""Each further time is so much longer."""
-LONGEST_HELD_S = 7 * 24 * 3600.0
-ORDER_WITHIN_S = 0.9
-WATCH_GATHERED_S = 0.02
-"""Nodes' reports on one end come within a few milliseconds; their suspects go out together."""
+FIRST_HOLD_S = 600.0
+"""Duration of the first hold. A harmless request that was held by mistake is released after it; a
+harmful one then crashes one more runner."""
+HOLD_GROWTH_FACTOR = 6
+"""Each further hold is longer by this factor."""
+MAX_HOLD_S = 7 * 24 * 3600.0
+ORDER_TIMEOUT_S = 0.9
+WATCH_BATCH_S = 0.02
+"""The reports of all nodes on one crash arrive within a few milliseconds; their suspects are sent
+in one message."""
 STEP = "quarantine.release"
 
 
@@ -62,7 +64,7 @@
         calls: LeaderCaller,
         followers: Callable[[], tuple[str, ...]],
     ) -> None:
-        """``followers`` returns the nodes that follow this controller."""
+        """``followers`` returns the addresses of the nodes that follow this controller."""
         self._messenger = messenger
         self._clock = clock
         self._group = group
@@ -76,47 +78,47 @@
         self._proposed: set[Fingerprint] = set()
         self._watched: dict[Fingerprint, None] = {}
         self.applied()
-        messenger.serve(RunnerEnded, self._take_end)
-        messenger.serve(RequestAnswered, self._take_answer)
+        messenger.serve(RunnerEnded, self._on_runner_ended)
+        messenger.serve(RequestAnswered, self._on_answered)
         messenger.serve(ReadQuarantine, lambda source, message: self._read_as_leader(message))
         messenger.serve(OrderRelease, lambda source, message: self._release_as_leader(message))
 
     @property
     def suspects(self) -> int:
-        """How many requests ran at a runner that ended, and may have ended it."""
+        """The number of requests that may have crashed a runner."""
         return self._suspects.count
 
-    # --- what nodes report ---------------------------------------------------------------
+    # --- reports of nodes ----------------------------------------------------------------
 
-    def _take_end(self, source: str, message: RunnerEnded) -> None:
+    def _on_runner_ended(self, source: str, message: RunnerEnded) -> None:
         now = self._clock.seconds()
         at_s = now - max(0.0, message.age_s)
-        watched = self._suspects.ended(message.runner, message.fingerprints, at_s, now)
+        watched = self._suspects.crashed(message.runner, message.fingerprints, at_s, now)
         if watched and not self._watched:
-            self._clock.callLater(WATCH_GATHERED_S, self._tell_watched)
+            self._clock.callLater(WATCH_BATCH_S, self._send_watched)
         self._watched.update(dict.fromkeys(watched))
         self._clock.callLater(REPORTS_SETTLE_S, self.look)
 
-    def _tell_watched(self) -> None:
-        """Have the nodes report answers to new suspects; one message for one end's many reports."""
+    def _send_watched(self) -> None:
+        """Ask the nodes to report responses to new suspects, in one message per crash."""
         watched, self._watched = tuple(self._watched), {}
         self._messenger.send_all(self._followers(), RequestsWatched(watched))
 
-    def _take_answer(self, source: str, message: RequestAnswered) -> None:
+    def _on_answered(self, source: str, message: RequestAnswered) -> None:
         self._suspects.answered(message.fingerprint, self._clock.seconds())
         times = self._times_held(message.fingerprint)
         if times and self._group.is_leader():
             self._propose(ReleaseRequest(message.fingerprint, times, forget=True))
 
     def _times_held(self, fingerprint: Fingerprint) -> int:
-        """Return how often a request was held, 0 when nothing is known against it."""
+        """Return how often a request was held, 0 if it is not on the list."""
         known = by_fingerprint(self._state.quarantine.snapshot().requests).get(fingerprint)
         return 0 if known is None else known.times
 
-    # --- deciding ------------------------------------------------------------------------
+    # --- decisions -----------------------------------------------------------------------
 
     def look(self) -> None:
-        """Hold what is due and let go what was held for long enough; called now and then."""
+        """Hold requests that are due and release expired holds; called periodically."""
         if not self._group.is_leader():
             return
         now = self._clock.seconds()
@@ -124,11 +126,11 @@
             self._propose(HoldRequest(fingerprint))
         for each in self._applied.requests:
             since_s = self._held_since_s.get(each.fingerprint, now)
-            if each.held and now - since_s >= _held_for_s(each.times):
+            if each.held and now - since_s >= _hold_duration_s(each.times):
                 self._propose(ReleaseRequest(each.fingerprint, each.times, forget=False))
 
     def _propose(self, command: HoldRequest | ReleaseRequest) -> None:
-        """Have the group decide, one decision at a time on each request."""
+        """Propose a command to the group, at most one at a time for each request."""
         fingerprint = command.fingerprint
         if fingerprint in self._proposed:
             return
@@ -137,7 +139,7 @@
         done.addCallback(lambda _: self._proposed.discard(fingerprint))
 
     def applied(self) -> None:
-        """Act on what the group has decided, and tell the nodes of it."""
+        """Apply a new list of held requests, and send it to the nodes."""
         quarantine = self._state.quarantine.snapshot()
         if quarantine.revision == self._applied.revision:
             return
@@ -162,27 +164,27 @@
     # --- operators -----------------------------------------------------------------------
 
     def read(self) -> "Deferred[Result[QuarantineNotice, Fault]]":
-        """Return the list of held requests, as a quorum confirms it."""
-        return self._calls.call(ReadQuarantine(), self._read_as_leader, ORDER_WITHIN_S, True)
+        """Return the list of held requests, confirmed by a quorum."""
+        return self._calls.call(ReadQuarantine(), self._read_as_leader, ORDER_TIMEOUT_S, True)
 
     def release(
         self, fingerprint: Fingerprint, is_awaited: Callable[[], bool] = lambda: True
     ) -> "Deferred[Result[QuarantineNotice, Fault]]":
-        """Let a request go and forget it; NOT_FOUND when nothing is known against it.
+        """Release a request and remove it from the list; NOT_FOUND if it is not on the list.
 
-        ``is_awaited`` tells whether the operator still waits for the answer.
+        ``is_awaited`` returns whether the operator's connection is still open.
         """
         return Deferred.fromCoroutine(self._release(fingerprint, is_awaited))
 
     async def _release(
         self, fingerprint: Fingerprint, is_awaited: Callable[[], bool]
     ) -> Result[QuarantineNotice, Fault]:
-        """Have the leader let a request go, unless the order has waited here too long.
+        """Order the release at the leader, unless the operator has disconnected by then.
 
-        The request may have been held anew since its operator left. That he has left is heard
-        while the leader is asked.
+        A delayed order could otherwise release a request that has been held again in the meantime.
+        The disconnection is noticed while this controller reads the list from the leader.
         """
-        deadline_s = self._clock.seconds() + ORDER_WITHIN_S
+        deadline_s = self._clock.seconds() + ORDER_TIMEOUT_S
         known = await self.read()
         if known.is_error():
             return Error(known.error)
@@ -216,5 +218,5 @@
         return QuarantineNotice(self._state.quarantine.snapshot())
 
 
-def _held_for_s(times: int) -> float:
-    return min(LONGEST_HELD_S, HELD_FOR_S * HELD_LONGER_FACTOR ** (times - 1))
+def _hold_duration_s(times: int) -> float:
+    return min(MAX_HOLD_S, FIRST_HOLD_S * HOLD_GROWTH_FACTOR ** (times - 1))
--- a/src/rainsail/quarantine/fingerprint.py
+++ b/src/rainsail/quarantine/fingerprint.py
@@ -1,11 +1,11 @@
-"""What tells that two requests are the same one, whoever takes them and under whatever id.
-
-The digest stands for the caller's tenant, the host, the method, the path and the body, and for the
-service where a route is split among several: a body that ends the runners of one may be answered by
-those of another, which says nothing of the first. Where a route has one service it is left out, so
-that nodes of earlier versions mean the same request by the same digest. Headers that
-change from try to try (ids, deadlines, positions) are left out. It is cryptographic, so that nobody
-can make a request that is taken for another caller's.
+"""Request fingerprints: identify equal requests, at whatever gateway and with whatever id.
+
+The digest covers the caller's tenant, the host, the method, the path and the body. If a route is
+split among several services it also covers the service: a body that crashes the runners of one may
+be answered by those of another, which does not clear it for the first. For a route with one service
+the service is left out, so that the digest is the same as at nodes of earlier versions. Headers
+that change between attempts (ids, deadlines, stream positions) are left out. The digest is
+cryptographic, so that a client cannot forge a request with the fingerprint of another caller's.
 """
 
 from hashlib import blake2b
@@ -36,5 +36,5 @@
 
 
 def fingerprint_hex(fingerprint: Fingerprint) -> str:
-    """Return a fingerprint as logs and operators write it: in hexadecimal digits."""
+    """Return a fingerprint in hexadecimal digits, as in logs and in the operator API."""
     return fingerprint.hex()
--- a/src/rainsail/quarantine/guard.py
+++ b/src/rainsail/quarantine/guard.py
@@ -1,4 +1,4 @@
-"""What whoever sends requests to runners asks and tells about requests that end runners."""
+"""The interface between senders of requests and the quarantine."""
 
 from typing import Protocol
 
@@ -7,50 +7,51 @@
 
 
 class RequestGuard(Protocol):
-    """Keeps held requests from runners, and learns what became of the others.
+    """Holds requests back from runners, and receives the outcomes of the others.
 
-    Fingerprints cost a digest of the body: they are to be made only where the answers ask for it.
+    A fingerprint costs a digest of the body: callers compute it only if ``holds_any`` or
+    ``wants_answers`` is true, or if a connection has ended.
     """
 
     @property
     def holds_any(self) -> bool:
-        """Tell whether some request is held."""
+        """Whether any request is held."""
         ...
 
     def holds(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request must not reach a runner."""
+        """Return whether a request must not reach a runner."""
         ...
 
     def connection_ended(self, record: RunnerRecord, fingerprint: Fingerprint) -> bool:
-        """A runner's connection ended under a request that may have been running.
+        """Handle the end of a runner's connection during a request that may have been running.
 
-        Returns whether the request may go to another runner before it is known what that means.
+        Return whether the request may be sent to another runner before the cause is known.
         """
         ...
 
     @property
     def wants_answers(self) -> bool:
-        """Tell whether an answer to some request would be news."""
+        """Whether responses to some requests have to be reported."""
         ...
 
     def answered(self, fingerprint: Fingerprint) -> None:
-        """A runner has answered a request whole."""
+        """Handle a complete response to a request."""
         ...
 
 
 class NoGuard:
-    """Implements ``RequestGuard`` where nothing is held."""
+    """A ``RequestGuard`` that does nothing, for senders without a quarantine."""
 
     holds_any = False
     wants_answers = False
 
     def holds(self, fingerprint: Fingerprint) -> bool:
-        """Hold nothing."""
+        """Return False."""
         return False
 
     def connection_ended(self, record: RunnerRecord, fingerprint: Fingerprint) -> bool:
-        """Learn nothing."""
+        """Return True: any request may be sent again."""
         return True
 
     def answered(self, fingerprint: Fingerprint) -> None:
-        """Learn nothing."""
+        """Do nothing."""
--- a/src/rainsail/quarantine/messages.py
+++ b/src/rainsail/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""Messages about requests that may end the runners that run them."""
+"""Messages about requests that may crash the runners that run them."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 @wire_record("RunnerEnded")
 @dataclass(frozen=True, slots=True)
 class RunnerEnded:
-    """A node's report to the controllers, one way: a runner ended under these of its requests.
+    """A node's report to the controllers, one-way: a runner crashed while running these requests.
 
-    ``age_s`` is how long ago the first of their connections ended.
+    ``age_s`` is the time since the first of their connections ended.
     """
 
     runner: str
@@ -23,7 +23,7 @@
 @wire_record("RequestAnswered")
 @dataclass(frozen=True, slots=True)
 class RequestAnswered:
-    """A node's report to the controllers, one way: a runner has answered this request whole."""
+    """A node's report to the controllers, one-way: a runner has completed this request."""
 
     fingerprint: Fingerprint
 
@@ -31,7 +31,7 @@
 @wire_record("RequestsWatched")
 @dataclass(frozen=True, slots=True)
 class RequestsWatched:
-    """A controller's report to the nodes, one way: an answer to one of these requests is news."""
+    """A controller asks the nodes, one-way, to report responses to these requests."""
 
     fingerprints: tuple[Fingerprint, ...]
 
@@ -39,7 +39,7 @@
 @wire_record("QuarantineNotice")
 @dataclass(frozen=True, slots=True)
 class QuarantineNotice:
-    """Pushed to nodes when the list of held requests has changed."""
+    """The list of held requests, pushed to nodes when it has changed."""
 
     quarantine: Quarantine
 
@@ -53,6 +53,6 @@
 @wire_record("OrderRelease")
 @dataclass(frozen=True, slots=True)
 class OrderRelease:
-    """Asks the root group's leader to let a request go, for an operator."""
+    """Asks the root group's leader to release a request, for an operator."""
 
     fingerprint: Fingerprint
--- a/src/rainsail/quarantine/suspects.py
+++ b/src/rainsail/quarantine/suspects.py
@@ -1,13 +1,15 @@
-"""Which request ended the runners that ended, by what ran at each. Pure: time is handed in.
+"""Finds the request that causes crashes, from the requests that were running at each crash.
 
-All requests that were running at a runner when it ended are suspects. Three things tell the one
-from the others:
+All requests that were running at a runner when it crashed are suspects. Three rules single out the
+cause:
 
-- The same request was there at several ends. Others are there once, seldom twice.
-- A request that was answered whole anywhere, later, has not ended its runner: nothing is held
-  against it. So nodes are told of every suspect, and report the answers to it.
-- An end at which a held request was running is explained, and counts against no other. So the
-  request with the most ends is held first.
+- The cause is running at several crashes; other requests at one, rarely at two.
+- A request that is completed later at any runner did not cause the crash and is cleared. So nodes
+  get a list of all suspects, and report responses to them.
+- A crash at which a held request was running is explained, and counts against no other request. So
+  the request with the most crashes is held first.
+
+Does no I/O; the caller passes the time.
 """
 
 from collections import OrderedDict, deque
@@ -17,29 +19,29 @@
 from rainsail.quarantine.fingerprint import Fingerprint
 from rainsail.state.cluster_commands import Quarantine
 
-ENDS_TO_HOLD = 3
-"""A request is held once so many runners have ended under it."""
-ENDS_TO_HOLD_AGAIN = 1
+CRASHES_TO_HOLD = 3
+"""A request is held once this many runners have crashed while running it."""
+CRASHES_TO_HOLD_AGAIN = 1
 """The same, for a request that was held before."""
-END_MERGED_S = 1.0
-"""Reports on one runner that are no further apart than this are on one end: its nodes notice it
-within milliseconds, and a runner takes longer to start again."""
-FORGOTTEN_AFTER_S = 3600.0
-MOST_ENDS = 300
-"""So many ends are remembered: 4.1 MB with 50 requests at each, by ``tracemalloc``."""
+CRASH_MERGE_WINDOW_S = 1.0
+"""Reports on one runner that are at most this far apart are about the same crash: nodes notice it
+within milliseconds, and a runner takes longer to restart."""
+CRASH_TTL_S = 3600.0
+MAX_CRASHES = 300
+"""Maximum number of crashes kept: 4.1 MB with 50 requests at each, by ``tracemalloc``."""
 REPORTS_SETTLE_S = 0.2
-"""All nodes' reports on one end are there after this time. Whoever is named first is not taken for
-the only suspect before."""
-MOST_ANSWERED = 1024
-"""Of so many requests it is remembered when they were answered; a report on an end comes later."""
+"""Within this time the reports of all nodes on one crash arrive. No request is held earlier, as the
+first report may not name all suspects."""
+MAX_ANSWERED = 1024
+"""Maximum number of completed requests whose times are kept, as a crash report may arrive later."""
 AMBIGUITY_WAIT_S = 1.0
-"""While several requests could be the one, answers to the harmless ones are waited for."""
+"""Time to wait for responses that clear harmless requests, while several requests are due."""
 
 ROUNDING_S = 1e-6
 
 
 @dataclass(slots=True, eq=False)
-class _RunnerEnd:
+class _RunnerCrash:
     runner: str
     at_s: float
     suspects: set[Fingerprint] = field(default_factory=set)
@@ -47,99 +49,99 @@
 
 
 class SuspectTracker:
-    """The ends of runners that are not explained, and the requests that were there."""
+    """Tracks the crashes that are not explained yet, and the requests that were running at them."""
 
     def __init__(self) -> None:
-        self._ends: deque[_RunnerEnd] = deque()
-        self._by_suspect: dict[Fingerprint, list[_RunnerEnd]] = {}
+        self._crashes: deque[_RunnerCrash] = deque()
+        self._by_suspect: dict[Fingerprint, list[_RunnerCrash]] = {}
         self._due_since_s: dict[Fingerprint, float] = {}
         self._answered_s: OrderedDict[Fingerprint, float] = OrderedDict()
         self._held: frozenset[Fingerprint] = frozenset()
-        self._offenders: frozenset[Fingerprint] = frozenset()
+        self._ever_held: frozenset[Fingerprint] = frozenset()
 
     @property
     def count(self) -> int:
-        """How many requests are suspects."""
+        """The number of suspects."""
         return len(self._by_suspect)
 
-    def ended(
+    def crashed(
         self, runner: str, fingerprints: Iterable[Fingerprint], at_s: float, now: float
     ) -> tuple[Fingerprint, ...]:
-        """Take a node's report on an end; return its new suspects: an answer to one is news."""
+        """Record a report on a crash; return its new suspects, to be watched by the nodes."""
         self._forget_old(now)
-        end = self._end_of(runner, at_s)
+        crash = self._crash_of(runner, at_s)
         new = [
             each
             for each in fingerprints
-            if each not in end.suspects and self._answered_s.get(each, end.at_s) <= end.at_s
+            if each not in crash.suspects and self._answered_s.get(each, crash.at_s) <= crash.at_s
         ]
-        if end.explained or not self._held.isdisjoint(new):
-            self._explain(end)
+        if crash.explained or not self._held.isdisjoint(new):
+            self._mark_explained(crash)
             return ()
-        end.suspects.update(new)
+        crash.suspects.update(new)
         for fingerprint in new:
-            ends = self._by_suspect.setdefault(fingerprint, [])
-            ends.append(end)
-            if len(ends) >= self._ends_to_hold(fingerprint):
+            crashes = self._by_suspect.setdefault(fingerprint, [])
+            crashes.append(crash)
+            if len(crashes) >= self._crashes_to_hold(fingerprint):
                 self._due_since_s.setdefault(fingerprint, now)
         return tuple(new)
 
     def answered(self, fingerprint: Fingerprint, now: float) -> None:
-        """A runner has answered a request whole: it ended none of the runners until now."""
+        """Clear a request that a runner has completed: it caused none of the crashes so far."""
         self._answered_s[fingerprint] = now
         self._answered_s.move_to_end(fingerprint)
-        if len(self._answered_s) > MOST_ANSWERED:
+        if len(self._answered_s) > MAX_ANSWERED:
             self._answered_s.popitem(last=False)
-        for end in self._by_suspect.pop(fingerprint, ()):
-            end.suspects.discard(fingerprint)
+        for crash in self._by_suspect.pop(fingerprint, ()):
+            crash.suspects.discard(fingerprint)
         self._due_since_s.pop(fingerprint, None)
 
     def due(self, now: float) -> tuple[Fingerprint, ...]:
-        """Return the requests that are to be held now."""
+        """Return the requests to hold now."""
         wait_s = AMBIGUITY_WAIT_S if len(self._due_since_s) > 1 else REPORTS_SETTLE_S
         if not any(now - since_s >= wait_s - ROUNDING_S for since_s in self._due_since_s.values()):
             return ()
-        ends = {each: len(self._by_suspect[each]) for each in self._due_since_s}
-        most = max(ends.values())
-        return tuple(each for each, count in ends.items() if count == most)
+        crashes = {each: len(self._by_suspect[each]) for each in self._due_since_s}
+        most = max(crashes.values())
+        return tuple(each for each, count in crashes.items() if count == most)
 
     def decided(self, quarantine: Quarantine) -> None:
-        """Take what the root group has decided: what the held requests explain counts no more."""
+        """Apply a decision of the root group; newly held requests explain their crashes."""
         held = frozenset(each.fingerprint for each in quarantine.requests if each.held)
-        self._offenders = frozenset(each.fingerprint for each in quarantine.requests)
+        self._ever_held = frozenset(each.fingerprint for each in quarantine.requests)
         newly_held, self._held = held - self._held, held
         for fingerprint in sorted(newly_held):
-            for end in list(self._by_suspect.get(fingerprint, ())):
-                self._explain(end)
-
-    def _ends_to_hold(self, fingerprint: Fingerprint) -> int:
-        return ENDS_TO_HOLD_AGAIN if fingerprint in self._offenders else ENDS_TO_HOLD
-
-    def _end_of(self, runner: str, at_s: float) -> _RunnerEnd:
-        for end in reversed(self._ends):
-            if end.runner == runner and abs(end.at_s - at_s) <= END_MERGED_S:
-                return end
-        end = _RunnerEnd(runner, at_s)
-        self._ends.append(end)
-        return end
-
-    def _explain(self, end: _RunnerEnd) -> None:
-        end.explained = True
-        self._clear(end)
-
-    def _clear(self, end: _RunnerEnd) -> None:
-        """Hold an end against nobody."""
-        for fingerprint in end.suspects:
-            ends = self._by_suspect[fingerprint]
-            ends.remove(end)
-            if not ends:
+            for crash in list(self._by_suspect.get(fingerprint, ())):
+                self._mark_explained(crash)
+
+    def _crashes_to_hold(self, fingerprint: Fingerprint) -> int:
+        return CRASHES_TO_HOLD_AGAIN if fingerprint in self._ever_held else CRASHES_TO_HOLD
+
+    def _crash_of(self, runner: str, at_s: float) -> _RunnerCrash:
+        for crash in reversed(self._crashes):
+            if crash.runner == runner and abs(crash.at_s - at_s) <= CRASH_MERGE_WINDOW_S:
+                return crash
+        crash = _RunnerCrash(runner, at_s)
+        self._crashes.append(crash)
+        return crash
+
+    def _mark_explained(self, crash: _RunnerCrash) -> None:
+        crash.explained = True
+        self._clear(crash)
+
+    def _clear(self, crash: _RunnerCrash) -> None:
+        """Remove a crash from the counts of all its suspects."""
+        for fingerprint in crash.suspects:
+            crashes = self._by_suspect[fingerprint]
+            crashes.remove(crash)
+            if not crashes:
                 del self._by_suspect[fingerprint]
-            if len(ends) < self._ends_to_hold(fingerprint):
+            if len(crashes) < self._crashes_to_hold(fingerprint):
                 self._due_since_s.pop(fingerprint, None)
-        end.suspects.clear()
+        crash.suspects.clear()
 
     def _forget_old(self, now: float) -> None:
-        while self._ends and (
-            len(self._ends) >= MOST_ENDS or now - self._ends[0].at_s > FORGOTTEN_AFTER_S
+        while self._crashes and (
+            len(self._crashes) >= MAX_CRASHES or now - self._crashes[0].at_s > CRASH_TTL_S
         ):
-            self._clear(self._ends.popleft())
+            self._clear(self._crashes.popleft())
