--- a/features/engine/engine_link.feature
+++ b/features/engine/engine_link.feature
@@ -4,7 +4,7 @@
   Background:
     Given an emulated engine behind a virtual link
 
-  Scenario: An answer crosses the link whole and in order
+  Scenario: An answer crosses the link completely and in order
     When the linked gateway generates 40 tokens
     Then the linked attempt ends "length" with its whole answer
 
@@ -33,7 +33,7 @@
     And the linked engine is crashed
     Then the linked attempt ends "lost" within 0.1 s
 
-  Scenario: A request lost on its way is LOST, as nobody can tell
+  Scenario: A request that the network loses is LOST, as its outcome is unknown
     Given the link loses each "generate" on its way
     When the linked gateway generates 40 tokens
     Then the linked attempt ends "lost" within 3.1 s
@@ -52,20 +52,20 @@
     Then the linked cancel ended as "timeout" with outcome "unknown"
     And the linked attempt ends "length" with its whole answer
 
-  Scenario: Chunks are dropped, doubled and delayed when the injector says so
-    Given the link drops chunk 3, doubles chunk 5 and delays chunk 7 by 1 s
+  Scenario: Chunks are dropped, duplicated and delayed by fault injection
+    Given the link drops chunk 3, duplicates chunk 5 and delays chunk 7 by 1 s
     When the linked gateway generates 20 tokens
     Then the linked attempt's chunks lack 3, have 5 twice and 7 out of order
 
-  Scenario: A paused attempt brings nothing and loses nothing
+  Scenario: A paused attempt delivers nothing and loses nothing
     When the linked gateway generates 40 tokens
     And 3 chunks have crossed the link
     And the linked gateway pauses the attempt for 5 s
     Then the linked attempt still has 3 chunks
-    When the linked gateway reads the attempt on
+    When the linked gateway unpauses the attempt
     Then the linked attempt ends "length" with its whole answer
 
-  Scenario: A frozen gateway hears everything late, in order
+  Scenario: A frozen gateway receives everything late, in order
     When the linked gateway generates 40 tokens
     And 3 chunks have crossed the link
     And the linked gateway is frozen for 20 s
@@ -73,21 +73,21 @@
     When the linked gateway thaws
     Then the linked attempt ends "length" with its whole answer
 
-  Scenario: A killed gateway's streams end at the engine after the grace
+  Scenario: A killed gateway's streams end at the engine after the grace period
     When the linked gateway generates 5000 tokens
     And 3 chunks have crossed the link
     And the linked gateway is killed
     Then the linked engine cancels the attempt within 11 s
 
-  Scenario: A subscription is lost when the engine dies and when the link is cut
+  Scenario: A subscription is lost when the engine crashes and when the link is cut
     When the linked gateway subscribes
     And the virtual link is cut
     Then the linked subscription is lost within 7 s
     When the virtual link is healed
     And the linked gateway subscribes
-    Then the linked subscription brings reports
+    Then the linked subscription delivers reports
     When the linked engine is crashed
     Then the linked subscription is lost within 7 s
 
   Scenario: The same seed gives the same times
-    Then two runs over a virtual link with one seed are alike, and with another seed differ
+    Then two runs over a virtual link with the same seed are equal, and with another seed differ
--- a/features/engine/http_client.feature
+++ b/features/engine/http_client.feature
@@ -1,12 +1,12 @@
 Feature: The engine client maps every end of an HTTP stream to a typed end
-  REFUSED is said only when the attempt was certainly not run; when in doubt it is LOST.
+  An attempt is REFUSED only if it was certainly not run; in doubt it is LOST.
 
-  Scenario: An answer comes whole over HTTP
+  Scenario: A complete answer arrives over HTTP
     Given an engine server on loopback
     When the engine client generates 30 tokens
     Then the engine client's attempt ended "length" with its whole answer
 
-  Scenario: An answer that is not streamed comes whole too
+  Scenario: An answer that is not streamed arrives completely
     Given an engine server on loopback
     When the engine client generates 30 tokens unstreamed
     Then the engine client's attempt ended "length" with its whole answer
@@ -18,7 +18,7 @@
     Then the engine client's attempt ended "refused" because of "not loaded"
     And the engine client's attempt says to retry after 1 s
 
-  Scenario: Nobody listens
+  Scenario: No server listens
     Given no engine server on loopback
     When the engine client generates 30 tokens
     Then the engine client's attempt ended "refused" because of "refused"
@@ -29,7 +29,7 @@
     Then the engine client's attempt ended "refused" because of ""
     And calls of the engine client to the address are unavailable and not run
     When the engine client subscribes to the engine
-    Then the engine client's subscriber hears once that the stream is lost
+    Then the engine client's subscriber is notified once that the stream is lost
 
     Examples:
       | address             |
@@ -39,7 +39,7 @@
       | http://[::1]:1      |
       | http://127.0.0.1:1  |
 
-  Scenario: A reply that is no reply is an error of unknown outcome
+  Scenario: A malformed reply is an error of unknown outcome
     Given a scripted engine that answers 200 with nonsense
     Then the engine client's order ends as "internal" with outcome "unknown"
 
@@ -50,26 +50,26 @@
 
     Examples:
       | does                                      | reason  | detail                    |
-      | closes without a word                     | lost    |                           |
+      | closes without a response                 | lost    |                           |
       | sends half a header and closes            | lost    |                           |
       | sends two chunks and closes               | lost    | broke off                 |
       | sends two chunks and ends the response    | lost    | broke off                 |
-      | sends a frame that is no JSON             | lost    | malformed                 |
+      | sends a frame that is not JSON            | lost    | malformed                 |
       | sends a chunk whose sequence is text      | lost    | malformed                 |
       | sends an end with an unknown reason       | lost    | malformed                 |
       | sends a frame without end                 | lost    | longer than               |
       | answers 500 without a fault               | lost    | 500                       |
       | answers 409 as not run                    | refused | fenced off                |
       | answers 503 as unknown                    | lost    | perhaps                   |
-      | says nothing                              | lost    | within the timeout        |
-      | sends two chunks and says nothing         | lost    | within the timeout        |
+      | sends nothing                             | lost    | within the timeout        |
+      | sends two chunks and then nothing         | lost    | within the timeout        |
 
   Scenario: Comments keep a slow stream alive
     Given a scripted engine that sends comments for three read timeouts and then an end
     When the engine client generates 30 tokens
     Then the engine client's attempt ended "stop" because of ""
 
-  Scenario: A crash in mid-stream is LOST, and what came before stays
+  Scenario: A crash in mid-stream is LOST, and the chunks before it are kept
     Given an engine server on loopback
     When the engine client generates 2000 tokens
     And 5 chunks have come to the engine client
@@ -94,33 +94,33 @@
     And the engine client's cancel found the attempt
     And a second cancel by the engine client does not find it
 
-  Scenario: A paused stream brings nothing until it is read again
+  Scenario: A paused stream delivers nothing until it is resumed
     Given a scripted engine that floods
     When the engine client generates 30 tokens
     And 1 chunk has come to the engine client
     And the engine client pauses the attempt until the engine is blocked
     Then no chunk comes while the attempt is paused
-    When the engine client reads the attempt on
+    When the engine client unpauses the attempt
     Then the engine client's attempt ended "stop" with every chunk of the flood
 
   Scenario: Orders, KV moves and refusals cross the wire as typed values
     Given an engine server on loopback
-    Then orders by the engine client are taken, and refused under a lower fence
+    Then orders by the engine client are accepted, and refused under a lower fence
     And a session exported by the engine client is imported again
 
-  Scenario: Load reports and cache events are followed until the engine dies
+  Scenario: Load reports and cache events are followed until the engine crashes
     Given an engine server on loopback
     When the engine client subscribes to the engine
     And the engine client generates 30 tokens about a long prompt
     Then a load report and the cached blocks reach the subscriber
     When the engine behind the server crashes
-    Then the engine client's subscriber hears once that the stream is lost
+    Then the engine client's subscriber is notified once that the stream is lost
 
-  Scenario: A subscription to nobody is lost at once, an ended one says nothing
+  Scenario: A subscription without a server is lost immediately, and an ended one is silent
     Given no engine server on loopback
     When the engine client subscribes to the engine
-    Then the engine client's subscriber hears once that the stream is lost
+    Then the engine client's subscriber is notified once that the stream is lost
 
-  Scenario: An OpenAI client may talk to the engine itself
+  Scenario: An OpenAI client may use the engine directly
     Given an engine server on loopback
     Then the OpenAI client gets the engine's answer whole and streamed
--- a/features/engine/sse.feature
+++ b/features/engine/sse.feature
@@ -1,5 +1,5 @@
-Feature: Server-sent events are parsed whatever the reads and whatever the bytes
-  Engines are other people's programs: nothing that they send may crash a gateway.
+Feature: Server-sent events are parsed with any read boundaries and any bytes
+  Engines are third-party programs: nothing that they send may crash a gateway.
 
   Scenario Outline: Every form of the specification is understood
     When the SSE parser is fed <bytes>
@@ -25,6 +25,6 @@
     Then any bytes fed to the SSE parser give events or a typed error
     And any JSON decoded as a chunk gives a record or a value error
 
-  Scenario: A frame without an end is refused, not stored without bound
+  Scenario: A frame without an end is refused, not buffered without limit
     When the SSE parser with a bound of 1000 bytes is fed 2000 bytes without an end
     Then the SSE parser has refused the frame
--- a/features/steps/engine_http_steps.py
+++ b/features/steps/engine_http_steps.py
@@ -22,7 +22,7 @@
 from rainsail.engine.interface import EngineOrder, OrderKind
 from rainsail.engine.prefix import block_hashes
 
-QUIET_LOOKS = 50
+QUIET_POLLS = 50
 COMMENTS = 12
 
 
@@ -57,7 +57,7 @@
 
 
 class Flood:
-    """Sends chunks for as long as the connection takes them, then the end when told."""
+    """Sends chunks while the connection accepts them, and the end when ``finish`` is called."""
 
     def __init__(self):
         self.sent = 0
@@ -76,7 +76,7 @@
         self.blocked = True
 
     def resumeProducing(self):
-        """The connection takes more."""
+        """The connection accepts more data."""
         self.blocked = False
         reactor.callLater(0, self.send)
 
@@ -94,7 +94,7 @@
         self.transport.write(http_chunk(END_DATA % b"stop"))
 
     def stopProducing(self):
-        """The connection is gone."""
+        """The connection is closed."""
         self.over = True
 
 
@@ -254,14 +254,14 @@
 
 @then("no chunk comes while the attempt is paused")
 def none_while_paused(context):
-    for _ in range(QUIET_LOOKS):
+    for _ in range(QUIET_POLLS):
         in_reactor(lambda: None)
     assert len(context.rig.listener.chunks) == context.count
     assert context.rig.listener.end is None, context.rig.listener.end
     assert context.flood.sent > context.count
 
 
-@when("the engine client reads the attempt on")
+@when("the engine client unpauses the attempt")
 def read_on(context):
     in_reactor(context.rig.client.unpause, context.rig.sent.attempt_id)
     in_reactor(context.flood.finish)
@@ -274,7 +274,7 @@
     assert [chunk.sequence for chunk in listener.chunks] == list(range(context.flood.sent))
 
 
-@then("orders by the engine client are taken, and refused under a lower fence")
+@then("orders by the engine client are accepted, and refused under a lower fence")
 def orders(context):
     rig = context.rig
     order = EngineOrder(7, OrderKind.SET_ROLE, "online_only")
@@ -333,7 +333,7 @@
     assert context.losses == []
 
 
-@then("the engine client's subscriber hears once that the stream is lost")
+@then("the engine client's subscriber is notified once that the stream is lost")
 def subscriber_lost(context):
     wait_until(lambda: context.losses, "the loss")
     in_reactor(context.unsubscribe)
--- a/features/steps/engine_link_steps.py
+++ b/features/steps/engine_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the virtual links between gateways and emulated engines."""
+"""Steps for the virtual links between gateways and emulated engines."""
 
 from random import Random
 
@@ -66,7 +66,7 @@
     context.network.faults.lose_reply = lambda gateway, runner, asked: asked == "generate"
 
 
-@given("the link drops chunk 3, doubles chunk 5 and delays chunk 7 by 1 s")
+@given("the link drops chunk 3, duplicates chunk 5 and delays chunk 7 by 1 s")
 def disturb(context):
     fates = {3: (), 5: (0.0, 0.0), 7: (1.0,)}
     context.network.faults.chunk = lambda gateway, runner, chunk: fates.get(chunk.sequence, (0.0,))
@@ -78,7 +78,7 @@
     listener = RecordingListener(context.bench.clock)
     context.listener = context.bench.listeners["t1"] = listener
     context.acted_s = context.bench.clock.seconds()
-    context.heard = ""
+    context.received_text = ""
     context.client.generate(ADDRESS, request, listener)
 
 
@@ -90,7 +90,7 @@
 
 @when("the linked gateway resumes the attempt")
 def resume(context):
-    context.heard = context.listener.text
+    context.received_text = context.listener.text
     count = len(context.listener.chunks)
     listener = RecordingListener(context.bench.clock)
     context.listener = context.bench.listeners["t1"] = listener
@@ -101,7 +101,7 @@
 def ends_whole(context, reason):
     listener = context.bench.run_until_ended("t1")
     assert listener.reason == reason, listener.end
-    assert context.heard + listener.text == context.bench.expected("t1")
+    assert context.received_text + listener.text == context.bench.expected("t1")
 
 
 @then('the linked attempt ends "{reason}" within {limit:g} s')
@@ -162,7 +162,7 @@
     assert len(context.listener.chunks) == count and context.listener.end is None
 
 
-@when("the linked gateway reads the attempt on")
+@when("the linked gateway unpauses the attempt")
 def read_on(context):
     context.client.unpause("t1")
 
@@ -206,12 +206,12 @@
     assert [fault.code for fault in context.losses] == ["unavailable"], context.losses
 
 
-@then("the linked subscription brings reports")
+@then("the linked subscription delivers reports")
 def subscription_reports(context):
     assert len(context.reports) >= 2 and context.losses == []
 
 
-@then("two runs over a virtual link with one seed are alike, and with another seed differ")
+@then("two runs over a virtual link with the same seed are equal, and with another seed differ")
 def same_seed(context):
     def run(seed):
         make_link(context, seed)
--- a/features/steps/engine_sse_steps.py
+++ b/features/steps/engine_sse_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the parser of server-sent events and of the chunk decoding."""
+"""Steps for the parser of server-sent events and for chunk decoding."""
 
 import json
 
--- a/features/support/engine.py
+++ b/features/support/engine.py
@@ -1,4 +1,4 @@
-"""Engine servers on loopback, sound ones and scripted ones, and the client under test."""
+"""Engine servers on loopback, emulated and scripted ones, and the client under test."""
 
 from collections.abc import Callable
 from random import Random
@@ -34,12 +34,12 @@
 
 
 def http_chunk(data: bytes) -> bytes:
-    """Return data as a chunk of HTTP's chunked coding."""
+    """Return data as a chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def plain_answer(status: bytes, body: bytes) -> bytes:
-    """Return a whole HTTP response."""
+    """Return a complete HTTP response."""
     return b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
@@ -51,11 +51,11 @@
 TWO_CHUNKS = HEAD + http_chunk(chunk_data(0)) + http_chunk(chunk_data(1))
 
 SCRIPTS: dict[str, tuple[bytes, bool]] = {
-    "closes without a word": (b"", True),
+    "closes without a response": (b"", True),
     "sends half a header and closes": (b"HTTP/1.1 200 OK\r\ncontent-", True),
     "sends two chunks and closes": (TWO_CHUNKS, True),
     "sends two chunks and ends the response": (TWO_CHUNKS + b"0\r\n\r\n", False),
-    "sends a frame that is no JSON": (HEAD + http_chunk(b"data: {no\n\n"), False),
+    "sends a frame that is not JSON": (HEAD + http_chunk(b"data: {no\n\n"), False),
     "sends a chunk whose sequence is text": (HEAD + http_chunk(chunk_data('"0"')), False),
     "sends an end with an unknown reason": (HEAD + http_chunk(END_DATA % b"tired"), False),
     "sends a frame without end": (HEAD + http_chunk(b"data: " + b"x" * 70_000), False),
@@ -69,17 +69,17 @@
         False,
     ),
     "answers 200 with nonsense": (plain_answer(b"200 OK", b"[1]"), False),
-    "says nothing": (b"", False),
-    "sends two chunks and says nothing": (TWO_CHUNKS, False),
+    "sends nothing": (b"", False),
+    "sends two chunks and then nothing": (TWO_CHUNKS, False),
 }
-"""What a scripted engine sends, and whether it closes the connection after it."""
+"""The bytes that a scripted engine sends, and whether it closes the connection afterwards."""
 
 
 class ScriptedEngine(Protocol):
-    """Answers the first bytes of a request by its factory's script."""
+    """Responds to the first bytes of a request with its factory's script."""
 
     def dataReceived(self, data: bytes) -> None:
-        """Answer once."""
+        """Run the script, once."""
         factory: Any = self.factory
         transport: Any = self.transport
         if factory.connection is None:
@@ -88,7 +88,7 @@
 
 
 class EngineRig:
-    """One engine address, its server if there is one, and a client."""
+    """An engine address, its server if there is one, and a client."""
 
     def __init__(self) -> None:
         self.clock = MonotonicClock(reactor)
@@ -116,7 +116,7 @@
         self._listen(server.listen(reactor, "127.0.0.1", 0))
 
     def serve_script(self, script: Callable[[Any], None]) -> None:
-        """Serve a script that gets the transport of the first request."""
+        """Serve a script, which is called with the transport of the first request."""
         self.factory = Factory.forProtocol(ScriptedEngine)
         self.factory.script = script
         self.factory.connection = None
@@ -127,7 +127,7 @@
         self.address = f"http://127.0.0.1:{port.getHost().port}"
 
     def request(self, tokens: int, **more: Any) -> GenerateRequest:
-        """Return a request; each of a rig's attempts has its own id."""
+        """Return a request with a new attempt id."""
         fields: dict[str, Any] = {"version": "", "prompt": "reefer alarm", **more}
         attempt = f"gateway-a1/7f.{len(self.listeners)}"
         return GenerateRequest(
@@ -157,7 +157,7 @@
         return listener
 
     def expected(self) -> str:
-        """Return the whole answer of the last request."""
+        """Return the complete expected answer of the last request."""
         return expected_answer(MODEL, self.sent.prompt, self.sent.max_tokens, 0)
 
     def close(self) -> None:
--- a/src/rainsail/engine/http_client.py
+++ b/src/rainsail/engine/http_client.py
@@ -1,8 +1,8 @@
-"""The engines' HTTP protocol as an ``EngineClient``.
+"""An ``EngineClient`` over the engines' HTTP protocol.
 
-Streams go over Twisted's ``Agent`` with a pool of persistent connections, calls over ``treq``.
-Nothing is sent twice by itself: the pool's automatic retries are off, because a request that
-might have reached an engine must end as LOST.
+Streams use Twisted's ``Agent`` with a pool of persistent connections, calls use ``treq``. The
+pool's automatic retries are disabled, because a request that may have reached an engine must end
+as LOST and must not be sent again.
 """
 
 from collections.abc import Callable
@@ -57,11 +57,11 @@
     UnsupportedAddressFamily,
     ValueError,
 )
-"""Failures that come before the first byte of a request; ``ValueError``: not a URL."""
+"""Failures before the first byte of a request is sent; ``ValueError``: the URL is invalid."""
 
 
 class HttpEngineClient:
-    """Speaks to engines over HTTP; ``address`` is a base URL such as ``http://127.0.0.1:9000``."""
+    """A client of engines; ``address`` is a base URL such as ``http://127.0.0.1:9000``."""
 
     def __init__(
         self, clock: Clock, reactor: Any, settings: EngineClientSettings | None = None
@@ -76,7 +76,7 @@
         self._streams: dict[str, AttemptStream] = {}
 
     def close(self) -> "Deferred[None]":
-        """Drop every stream and close the idle connections."""
+        """Close all streams without notifying their listeners, and the idle connections."""
         for stream in list(self._streams.values()):
             stream.drop()
         return self._pool.closeCachedConnections()
@@ -93,7 +93,7 @@
     def resume(
         self, address: str, attempt_id: str, from_sequence: int, listener: AttemptListener
     ) -> None:
-        """Take up a stream from a chunk sequence on."""
+        """Resume a stream from a chunk sequence on."""
         stream = self._open(attempt_id, listener)
         url = f"{address}{_attempt_path(attempt_id)}?from={from_sequence}"
         self._request(b"GET", url, None, stream)
@@ -105,7 +105,7 @@
             stream.pause()
 
     def unpause(self, attempt_id: str) -> None:
-        """Read the attempt's stream again."""
+        """Resume reading the attempt's stream."""
         stream = self._streams.get(attempt_id)
         if stream is not None:
             stream.unpause()
@@ -138,7 +138,7 @@
             return
         reading = readBody(response)
         stream.set_abort(reading.cancel)
-        reading.addCallback(_answered_otherwise, response.code, stream)
+        reading.addCallback(_handle_error_response, response.code, stream)
         reading.addErrback(lambda failure: stream.lose(describe_failure(failure)))
 
     # --- calls ----------------------------------------------------------------------------
@@ -235,13 +235,13 @@
     if failure.check(*_NEVER_SENT):
         stream.refuse(describe_failure(failure))
     elif failure.check(CancelledError):
-        stream.lose("given up")
+        stream.lose("the request was cancelled")
     else:
         stream.lose(describe_failure(failure))
 
 
-def _answered_otherwise(body: bytes, status: int, stream: AttemptStream) -> None:
-    """The engine answered with an error: refused if it says that it did not run the attempt."""
+def _handle_error_response(body: bytes, status: int, stream: AttemptStream) -> None:
+    """Handle an error response: REFUSED if the engine states that it did not run the attempt."""
     fault = _read_fault(body, status, "engine.generate")
     if fault.outcome is Outcome.NOT_RUN:
         stream.refuse(fault.detail, fault.retry_after_s or 0.0)
--- a/src/rainsail/engine/http_events.py
+++ b/src/rainsail/engine/http_events.py
@@ -33,7 +33,7 @@
         self._on_lost = on_lost
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Parse received bytes of the body."""
         self.last_read_s = self._watch.now_s()
         try:
             for event in self._parser.feed(data):
@@ -51,7 +51,7 @@
             self._on_cache(CACHE_EVENT_RECORD.validate_json(event.data))
 
     def lose(self, detail: str) -> None:
-        """Tell the subscriber that nothing more comes."""
+        """End the stream and notify the subscriber."""
         if self._close():
             fault = Fault(FaultCode.UNAVAILABLE, EVENTS_STEP, detail, self._address)
             self._on_lost(fault)
--- a/src/rainsail/engine/http_stream.py
+++ b/src/rainsail/engine/http_stream.py
@@ -1,4 +1,4 @@
-"""One SSE response from an engine: received bytes to a listener's records."""
+"""One SSE response from an engine: decodes received bytes to records for a listener."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 
 class AttemptStream(WatchedStream):
-    """Receives an attempt's response body; the listener hears exactly one end.
+    """Receives an attempt's response body; the listener gets exactly one end.
 
-    States: waiting for the response, reading (``connectionMade``), ended. ``pause`` may come in
-    any of them. A paused stream is not timed out: it is not read on purpose.
+    States: waiting for the response, reading (``connectionMade``), ended. ``pause`` is allowed in
+    all of them. A paused stream does not time out, as it is not read.
     """
 
     def __init__(
@@ -31,16 +31,16 @@
         self._chunks = 0
         self._paused = False
 
-    # --- from the connection --------------------------------------------------------------
+    # --- events of the connection ---------------------------------------------------------
 
     def connectionMade(self) -> None:
-        """The response's headers have come and its body follows."""
+        """The response's headers were received and its body follows."""
         super().connectionMade()
         if self._is_open and self._paused:
             self._transport().pauseProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Decode received bytes of the body."""
         if not self._is_open:
             return
         self.last_read_s = self._watch.now_s()
@@ -64,16 +64,16 @@
     # --- ends -----------------------------------------------------------------------------
 
     def end(self, end: EngineAttemptEnd) -> None:
-        """Give the listener the attempt's end, once."""
+        """Pass the attempt's end to the listener, unless the stream has ended already."""
         if self._close():
             self._listener.on_end(end)
 
     def lose(self, detail: str) -> None:
-        """The link broke after the request may have reached the engine."""
+        """End as LOST: the connection broke after the request may have reached the engine."""
         self.end(EngineAttemptEnd(self.attempt_id, EndReason.LOST, self._chunks, 0, 0, detail))
 
     def refuse(self, detail: str, retry_after_s: float = 0.0) -> None:
-        """The attempt was certainly not run."""
+        """End as REFUSED: the attempt was certainly not run."""
         self.end(
             EngineAttemptEnd(self.attempt_id, EndReason.REFUSED, 0, 0, 0, detail, retry_after_s)
         )
@@ -96,7 +96,7 @@
             self._transport().pauseProducing()
 
     def unpause(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if not self._paused or not self._is_open:
             return
         self._paused = False
--- a/src/rainsail/engine/interface.py
+++ b/src/rainsail/engine/interface.py
@@ -1,8 +1,8 @@
-"""What a gateway sees of a model engine.
+"""The interface between gateways and model engines.
 
-``rainsail.engine.http_client.HttpEngineClient`` speaks the engines' published HTTP protocol;
-``rainsail.simulation.engine_link.SimulatedEngineClient`` reaches emulated engines over the
-virtual network. Both map the same records. Units: tokens, seconds, bytes.
+``rainsail.engine.http_client.HttpEngineClient`` implements the engines' public HTTP protocol;
+``rainsail.simulation.engine_link.SimulatedEngineClient`` connects to emulated engines over the
+virtual network. Both use the same records. Units: tokens, seconds, bytes.
 """
 
 from collections.abc import Callable
@@ -29,10 +29,10 @@
 class GenerateRequest:
     """One attempt to run one request on one engine.
 
-    ``attempt_id`` is unique over all attempts; ``request_id`` over all requests. ``version``
-    empty takes what is loaded. ``forced_prefix`` is text already generated (and sent): the
-    engine goes on after it and does not send it again. ``fence`` is the session's fence or 0.
-    ``deadline_s`` is the time left when the request is sent (0: none).
+    ``attempt_id`` is unique among all attempts, ``request_id`` among all requests. An empty
+    ``version`` selects the loaded one. ``forced_prefix`` is text that was already generated (and
+    sent): the engine continues after it and does not send it again. ``fence`` is the session's
+    fencing token, or 0. ``deadline_s`` is the time left when the request is sent (0: none).
     """
 
     attempt_id: str
@@ -54,9 +54,10 @@
 @wire_record("Chunk")
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Part of an answer. ``sequence`` counts chunks of an attempt from 0.
+    """Part of a response. ``sequence`` counts the chunks of an attempt from 0.
 
-    ``offset`` is the number of tokens of the answer before this chunk (forced prefix included).
+    ``offset`` is the number of tokens of the response before this chunk, including the forced
+    prefix.
     """
 
     attempt_id: str
@@ -81,9 +82,9 @@
 class EngineAttemptEnd:
     """The end of an attempt.
 
-    REFUSED: the engine says that it did not run it (``detail`` says why, ``retry_after_s`` when
-    to come back). LOST: the link broke after the request may have reached the engine.
-    ``chunk_count`` is the number of chunks that were sent, so that a gap is noticed.
+    REFUSED: the attempt was certainly not run (``detail`` is the reason, ``retry_after_s`` the time
+    until a retry). LOST: the connection broke after the request may have reached the engine.
+    ``chunk_count`` is the number of chunks that were sent, so that a gap can be detected.
     """
 
     attempt_id: str
@@ -96,19 +97,19 @@
 
 
 class AttemptListener(Protocol):
-    """Receives an attempt's chunks and its end (exactly one end, after which nothing comes)."""
+    """Receives an attempt's chunks, then exactly one end."""
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Take the next chunk."""
+        """Receive the next chunk."""
         ...
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Take the end."""
+        """Receive the end; no further call follows."""
         ...
 
 
 class OrderKind(StrEnum):
-    """What a fenced order asks an engine to do."""
+    """The command of a fenced order."""
 
     LOAD_VERSION = "load_version"
     UNLOAD_VERSION = "unload_version"
@@ -120,7 +121,7 @@
 @wire_record("EngineOrder")
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """A fenced order; an engine refuses a fence lower than the highest it has seen."""
+    """A command with a fencing token; an engine refuses a fence below the highest it has seen."""
 
     fence: int
     kind: OrderKind
@@ -131,7 +132,7 @@
 @wire_record("OrderReply")
 @dataclass(frozen=True, slots=True)
 class OrderReply:
-    """The engine's state after taking the order (loading may still be under way)."""
+    """The engine's state after accepting the order (loading may still be in progress)."""
 
     fence: int
     loaded_version: str
@@ -145,8 +146,8 @@
 class LoadReport:
     """An engine's load as of ``age_s`` seconds before it was sent.
 
-    ``draining`` is the engine's own word that it is leaving. ``incarnation`` changes when the
-    engine restarts (its cache and streams are gone).
+    ``draining`` means that the engine is shutting down. ``incarnation`` changes when the engine
+    restarts (its cache and streams are lost).
     """
 
     runner: str
@@ -177,7 +178,7 @@
 @wire_record("CacheEvent")
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One prefix-cache event; ``sequence`` holes mean that events were lost.
+    """One prefix-cache event; gaps in ``sequence`` mean that events were lost.
 
     ``blocks`` are chained hashes of prompt blocks (``rainsail.engine.prefix.block_hashes``).
     """
@@ -201,18 +202,18 @@
 
 
 class EngineClient(Protocol):
-    """Speaks to engines; ``runner`` is a resource name, ``address`` its base URL."""
+    """A client of engines; ``runner`` is a resource name, ``address`` its base URL."""
 
     def generate(self, address: str, request: GenerateRequest, listener: AttemptListener) -> None:
-        """Start an attempt; the listener hears everything, also a failure to connect."""
+        """Start an attempt; the listener receives all events, including a failure to connect."""
         ...
 
     def resume(
         self, address: str, attempt_id: str, from_sequence: int, listener: AttemptListener
     ) -> None:
-        """Take up a stream whose link was lost, from a chunk sequence on.
+        """Resume a stream whose connection was lost, from a chunk sequence on.
 
-        Ends with REFUSED when the engine no longer has the attempt.
+        Ends with REFUSED if the engine no longer has the attempt.
         """
         ...
 
@@ -221,21 +222,21 @@
         ...
 
     def unpause(self, attempt_id: str) -> None:
-        """Read the attempt's stream again."""
+        """Resume reading the attempt's stream."""
         ...
 
     def cancel(self, address: str, attempt_id: str) -> "Deferred[Result[bool, Fault]]":
-        """Cancel an attempt; fires with whether the engine still knew it."""
+        """Cancel an attempt; the result is whether the engine still had it."""
         ...
 
     def order(self, address: str, order: EngineOrder) -> "Deferred[Result[OrderReply, Fault]]":
-        """Send a fenced order; Fault FENCED when a higher fence was seen."""
+        """Send a fenced order; Fault FENCED if the engine has seen a higher fence."""
         ...
 
     def export_kv(
         self, address: str, session: str, fence: int
     ) -> "Deferred[Result[KvState, Fault]]":
-        """Export a session's KV cache and stop the session there under this fence."""
+        """Export a session's KV cache and end the session at the engine, under this fence."""
         ...
 
     def import_kv(self, address: str, state: KvState) -> "Deferred[Result[None, Fault]]":
--- a/src/rainsail/engine/prefix.py
+++ b/src/rainsail/engine/prefix.py
@@ -1,6 +1,6 @@
-"""Prompt text to tokens and prefix block hashes.
+"""Approximate token counts and prefix block hashes of prompts.
 
-The emulated engines and the router must agree on block hashes. A token is approximated by
+The emulated engines and the router must compute the same block hashes. A token is approximated by
 ``CHARACTERS_PER_TOKEN`` characters (the usual rule of thumb for English text and byte-pair
 tokenizers); a block is ``BLOCK_TOKENS`` tokens, as in paged KV caches.
 """
--- a/src/rainsail/engine/protocol.py
+++ b/src/rainsail/engine/protocol.py
@@ -1,8 +1,8 @@
 """The engines' HTTP protocol: JSON bodies and SSE frames of the records of ``engine.interface``.
 
-``POST /v1/completions`` is OpenAI's, extended by an ``engine`` object in the request and by
-``sequence``, ``offset`` and ``tokens`` in each chunk; the last frame carries ``end``. Everything
-else lives under ``/engine``.
+``POST /v1/completions`` is the OpenAI API, extended by an ``engine`` object in the request and by
+``sequence``, ``offset`` and ``tokens`` in each chunk; the last frame has an ``end`` object. All
+other paths are under ``/engine``.
 """
 
 import base64
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionBody:
-    """A completion request; without ``engine`` it is a plain OpenAI one."""
+    """A completion request; without ``engine`` it is a plain OpenAI request."""
 
     model: str
     prompt: str
@@ -116,7 +116,7 @@
 
 
 def parse(adapter: TypeAdapter[Any], body: bytes, step: str) -> Result[Any, Fault]:
-    """Validate a JSON body; the fault says what is wrong where."""
+    """Validate a JSON body; the fault contains the invalid field and the reason."""
     try:
         return Ok(adapter.validate_json(body))
     except ValidationError as error:
@@ -150,7 +150,7 @@
 
 
 def generate_request(body: CompletionBody, fresh_id: str) -> GenerateRequest:
-    """Return the attempt that a completion body asks for."""
+    """Return the attempt for a completion body; a plain OpenAI request gets ``fresh_id``."""
     extension = body.engine or EngineExtension(fresh_id, fresh_id)
     return GenerateRequest(
         attempt_id=extension.attempt_id,
@@ -197,7 +197,7 @@
 
 
 def usage(end: EngineAttemptEnd) -> dict[str, int]:
-    """Return OpenAI's ``usage`` object of an end."""
+    """Return OpenAI's ``usage`` object for an end."""
     return {
         "prompt_tokens": end.prompt_tokens,
         "completion_tokens": end.generated_tokens,
@@ -264,7 +264,7 @@
 
 
 def kv_state(document: KvDocument, step: str) -> Result[KvState, Fault]:
-    """Return the session that a JSON document carries."""
+    """Return the session in a JSON document, Fault INVALID if its base64 is malformed."""
     try:
         data = base64.b64decode(document.data_base64, validate=True)
     except binascii.Error as error:
--- a/src/rainsail/engine/sse.py
+++ b/src/rainsail/engine/sse.py
@@ -1,8 +1,8 @@
 """An incremental parser of server-sent events, written for many small frames.
 
-Frames of one ``data:`` line ended by a blank line (what engines send) take a short path; every
-other form that the WHATWG specification allows (CR line ends, comments, event names, several
-data lines) is understood too.
+Frames of one ``data:`` line and a blank line, as engines send them, take a fast path. All other
+forms of the WHATWG specification (CR line ends, comments, event names, several data lines) are
+supported as well.
 """
 
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSentEvent:
-    """One event: its name (``message`` when none was given) and its data."""
+    """One event: its name (``message`` if it has none) and its data."""
 
     name: str
     data: bytes
 
 
 class SseError(ValueError):
-    """A frame that is longer than allowed."""
+    """A frame exceeds the maximum length."""
 
 
 class SseParser:
-    """Turns received bytes into the data of events, whatever the boundaries of the reads."""
+    """Parses received bytes into events, independently of the boundaries of the reads."""
 
     def __init__(self, max_frame_bytes: int = DEFAULT_MAX_FRAME_BYTES) -> None:
         self._max_frame_bytes = max_frame_bytes
@@ -37,11 +37,11 @@
         return len(self._rest)
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
-        """Take bytes; return the events completed by them. Raises ``SseError``."""
+        """Parse bytes; return the events that they complete. Raises ``SseError``."""
         return [event for frame in self._frames(data) if (event := _parse_frame(frame)) is not None]
 
     def feed_data(self, data: bytes) -> list[bytes]:
-        """Take bytes; return only the data of the events completed by them (the fast path)."""
+        """Parse bytes; return only the data of the events that they complete (the fast path)."""
         found = []
         for frame in self._frames(data):
             if frame.startswith(_DATA_PREFIX) and b"\n" not in frame:
@@ -65,7 +65,7 @@
 
     @staticmethod
     def _normalise(data: bytes) -> bytes:
-        """Make every line end a line feed; a final CR waits, as an LF may follow."""
+        """Replace all line ends by LF; a final CR is kept for the next read, as LF may follow."""
         held = b"\r" if data.endswith(b"\r") else b""
         body = data[:-1] if held else data
         return body.replace(b"\r\n", b"\n").replace(b"\r", b"\n") + held
--- a/src/rainsail/engine/watched_stream.py
+++ b/src/rainsail/engine/watched_stream.py
@@ -1,7 +1,7 @@
-"""A stream over HTTP from an engine, from its request to its end, and the watch over silent ones.
+"""The base class of HTTP streams from engines, with read timeouts.
 
-``StreamWatch`` gives every open stream a read timeout with one timer for all of them. What the
-stream carries is up to its two kinds, ``http_stream`` and ``http_events``.
+``StreamWatch`` applies a read timeout to all open streams with a single timer. The subclasses in
+``http_stream`` and ``http_events`` decode the content.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 def describe_failure(failure: Failure) -> str:
-    """Return what went wrong on a connection: the first cause, in one line."""
+    """Return the first cause of a connection's failure, as one line."""
     reasons = getattr(failure.value, "reasons", None)
     if reasons:
         return describe_failure(reasons[0])
@@ -24,7 +24,7 @@
 
 
 class StreamWatch:
-    """Times out streams that have been silent for ``timeout_s``."""
+    """Times out streams without data for ``timeout_s``."""
 
     def __init__(self, clock: Clock, timeout_s: float) -> None:
         self._clock = clock
@@ -33,17 +33,17 @@
         self._timer: Timer | None = None
 
     def now_s(self) -> float:
-        """Return the clock's time."""
+        """Return the clock's time in seconds."""
         return self._clock.seconds()
 
     def add(self, stream: "WatchedStream") -> None:
-        """Watch a stream from now on."""
+        """Start the read timeout of a stream."""
         stream.last_read_s = self._clock.seconds()
         self._streams[stream] = None
         self._schedule()
 
     def remove(self, stream: "WatchedStream") -> None:
-        """Stop watching a stream."""
+        """Stop the read timeout of a stream."""
         self._streams.pop(stream, None)
 
     def _schedule(self) -> None:
@@ -62,7 +62,7 @@
 
 
 class WatchedStream(TwistedProtocol):
-    """Receives a response's body until it is over, is dropped, or has been silent for too long."""
+    """Receives a response's body until it ends, is dropped, or times out."""
 
     def __init__(self, watch: StreamWatch) -> None:
         self.last_read_s = 0.0
@@ -72,42 +72,42 @@
         watch.add(self)
 
     def lose(self, detail: str) -> None:
-        """Tell the listener, once, that nothing more comes."""
+        """End the stream and notify the listener, at most once."""
         raise NotImplementedError
 
     def set_abort(self, abort: Callable[[], None]) -> None:
-        """Set what gives up the request before its response has come."""
+        """Set the function that cancels the request before its response arrives."""
         self._abort = abort
 
     def connectionMade(self) -> None:
-        """The response's headers have come and its body follows."""
+        """The response's headers were received and its body follows."""
         self._abort = None
         if not self._is_open:
             self._drop_connection()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionError("closed"))) -> None:
-        """The body is over; a stream that has not ended before was cut short."""
+        """The connection or the body has ended; a stream that is still open was cut short."""
         self.lose(f"the stream broke off: {describe_failure(reason)}")
 
     def time_out(self) -> None:
-        """Nothing was read within the timeout."""
+        """End the stream because no data was read within the timeout."""
         self.lose("nothing was read within the timeout")
-        self._give_up()
+        self._abort_or_disconnect()
 
     def drop(self) -> None:
-        """Close the link; the listener hears nothing more."""
+        """Close the stream without notifying the listener."""
         if self._close():
-            self._give_up()
+            self._abort_or_disconnect()
 
     def _close(self) -> bool:
-        """Note the end once; False when it had ended already."""
+        """Mark the stream as ended; return False if it had ended already."""
         if not self._is_open:
             return False
         self._is_open = False
         self._watch.remove(self)
         return True
 
-    def _give_up(self) -> None:
+    def _abort_or_disconnect(self) -> None:
         abort, self._abort = self._abort, None
         if abort is not None:
             abort()
