--- a/features/steps/overload_guard_steps.py
+++ b/features/steps/overload_guard_steps.py
@@ -32,7 +32,7 @@
     make_guard(context, slots, 0.0, target)
 
 
-def _told(context, online, own=0):
+def _report_load(context, online, own=0):
     load = ServiceLoad(SERVICE, online, context.slots, own, False)
     context.guard.update_load(load, context.now_s)
 
@@ -42,18 +42,18 @@
 
 
 @step("the leader says that {online:d} requests are under way")
-def told(context, online):
-    _told(context, online)
+def leader_reports(context, online):
+    _report_load(context, online)
 
 
 @when("the leader says that {online:d} requests are under way, {own:d} of them from here")
-def told_own(context, online, own):
-    _told(context, online, own)
+def leader_reports_own(context, online, own):
+    _report_load(context, online, own)
 
 
 @when("1 second passes without the leader's word, after it said {online:d}")
-def silent(context, online):
-    _told(context, online)
+def no_report(context, online):
+    _report_load(context, online)
     context.now_s += 1.0
 
 
@@ -92,11 +92,11 @@
     for _ in range(3):
         until_s = context.now_s + seconds
         while context.now_s < until_s:
-            _told(context, 140)
+            _report_load(context, 140)
             assert _retry_after_s(context) is not None
             context.now_s += 0.05
         context.now_s += 2.0
-        _told(context, 10)
+        _report_load(context, 10)
         assert _retry_after_s(context) is None
 
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -71,20 +71,20 @@
 
 @when(
     "clients ask {per_s:g} times a second for {for_s:g} seconds, "
-    "and all processes are down from {dark:g} to {light:g} seconds"
+    "and all processes are down from {begin_s:g} to {end_s:g} seconds"
 )
-def all_dark(context, per_s, for_s, dark, light):
+def restart_everything(context, per_s, for_s, begin_s, end_s):
     world = context.world
-    world.offer_load(per_s, dark)
-    world.clock.advance(dark)
+    world.offer_load(per_s, begin_s)
+    world.clock.advance(begin_s)
     world.lead("")
-    world.clock.advance(light - dark)
+    world.clock.advance(end_s - begin_s)
     for number in range(len(world.gateways)):
         world.restart(number)
-    world.offer_load(per_s, for_s - light)
+    world.offer_load(per_s, for_s - end_s)
     world.clock.advance(0.3)
     world.lead(FIRST)
-    world.clock.advance(for_s - light + 1)
+    world.clock.advance(for_s - end_s + 1)
 
 
 @when(
--- a/features/support/crashing_runners.py
+++ b/features/support/crashing_runners.py
@@ -69,17 +69,17 @@
         self,
         clock: VirtualClock,
         count: int,
-        tell: Callable[[RunnerRecord], None],
+        on_heartbeat: Callable[[RunnerRecord], None],
         immune_service: str = "",
     ) -> None:
-        """``tell`` receives each heartbeat.
+        """``on_heartbeat`` receives each heartbeat.
 
         With an ``immune_service`` the runners with even numbers belong to it, and respond to a
         fatal body as to any other.
         """
         self._immune_service = immune_service
         self.clock = clock
-        self._tell = tell
+        self._on_heartbeat = on_heartbeat
         self.runners = [CrashingRunner(number) for number in range(1, count + 1)]
         self.fatal_runs: list[FatalRun] = []
         self.fatal_bodies = {FATAL_BODY}
@@ -110,7 +110,7 @@
         """Send a runner's heartbeat with a state."""
         runner.has_left = state != RunnerState.READY
         runner.sequence += 1
-        self._tell(
+        self._on_heartbeat(
             RunnerRecord(
                 runner.runner,
                 self._immune_service if self._is_immune(runner) else SERVICE,
--- a/src/rainsail/quarantine/control.py
+++ b/src/rainsail/quarantine/control.py
@@ -64,7 +64,7 @@
         calls: LeaderCaller,
         followers: Callable[[], tuple[str, ...]],
     ) -> None:
-        """``followers`` returns the addresses of the nodes that follow this controller."""
+        """``followers`` returns the nodes that follow this controller."""
         self._messenger = messenger
         self._clock = clock
         self._group = group
--- a/src/rainsail/tenancy/lender.py
+++ b/src/rainsail/tenancy/lender.py
@@ -20,7 +20,7 @@
 """Weight of the newest report in a gateway's smoothed demand (1.0: only the newest)."""
 
 GATEWAY_COUNT_SLACK = 2
-"""Minimum shares stay within the reserve if a gateway's count of gateways is off by this factor."""
+"""Minimum shares stay within the reserve if gateways' counts are off by up to this factor."""
 
 SMALLEST_RATE = 1e-9
 """Lower bound of a rate as a divisor, in tokens per second."""
@@ -36,7 +36,7 @@
 
     @property
     def trusted_after_s(self) -> float:
-        """Seconds after which a lent share has expired at every gateway, despite clock skew."""
+        """Seconds after which a lent share has expired at every gateway, despite clock drift."""
         return self.share_s * (1.0 + self.clock_rate_margin)
 
 
