--- a/features/cluster/committed_copy.feature
+++ b/features/cluster/committed_copy.feature
@@ -1,6 +1,6 @@
-Feature: Controllers tell of what was committed as soon as they have started, before their group leads
+Feature: Controllers serve committed state right after a restart, before their group has a leader
 
-  Scenario: A gateway that starts hears of the table from one controller of three
+  Scenario: A gateway that starts gets the table from one controller of three
     Given a relayed fleet of 2 zones with runners
     And an operator sent table 7 to controller 1
     When an operator drains zone-1 at controller 2
@@ -9,7 +9,7 @@
     Then every gateway has table 7 within 1 second
     And no gateway sends to zone-1 within 1 seconds
 
-  Scenario: What a controller tells is never ahead of what is committed
+  Scenario: A controller never serves state that is not committed
     Given a relayed fleet of 2 zones with runners
     And an operator sent table 7 to controller 1
     When 1 seconds of the fleet pass
@@ -19,7 +19,7 @@
     And 1 seconds of the fleet pass
     And every gateway still has table 7
 
-  Scenario: A newer table takes the place of the copy, and a gateway never goes back
+  Scenario: A newer table replaces the copy, and a gateway never reverts
     Given a relayed fleet of 2 zones with runners
     And an operator sent table 7 to controller 1
     When 1 seconds of the fleet pass
@@ -29,7 +29,7 @@
     When every node loses power, and controller 1 and the gateways start again
     Then every gateway has table 8 within 1 second
 
-  Scenario: A damaged copy is left out, and the log says so
+  Scenario: A damaged copy is ignored and logged
     Given a controller's committed copy whose bytes are damaged
     When the committed copy is read
     Then it holds nothing, and the log has "committed_copy_unreadable"
--- a/features/cluster/controllers.feature
+++ b/features/cluster/controllers.feature
@@ -1,6 +1,6 @@
-Feature: Controllers keep the routing table and the runners' words through failures
+Feature: Controllers keep the routing table and the runners' reports through failures
 
-  Scenario: The fleet founds itself from seeds alone
+  Scenario: The fleet bootstraps from its seeds alone
     Given a relayed fleet
     Then the controllers have one leader
     And the ledger has one leader and 3 voters
@@ -21,7 +21,7 @@
     Then every gateway has table 9 within 1 second
     And a read at controller 3 gives table 9
 
-  Scenario: A controller that is cut off neither takes orders nor reads nor words of leaving
+  Scenario: A partitioned controller serves no orders, no reads and no reports of draining
     Given a relayed fleet
     And an operator sent table 7 to controller 1
     When the leading controller is cut off from all others
@@ -32,19 +32,19 @@
     And the cut-off controller is back
     Then a read at it gives table 9
 
-  Scenario: A runner's word of leaving binds at once, whichever controller took it
+  Scenario: A runner's report of draining takes effect at once, whichever controller received it
     Given a relayed fleet
     And runner 1 said at controller 1 that it is ready
     When runner 1 says at controller 3 that it is draining
-    Then the runner's word is acknowledged
+    Then the runner's report is acknowledged
     And no gateway takes runner 1 as ready within 0.1 seconds
 
-  Scenario: A word of leaving survives the controller that took it
+  Scenario: A report of draining survives the controller that received it
     Given a relayed fleet
     And runner 1 said at controller 1 that it is ready
     When every gateway is cut off from controller 3
     And runner 1 says at controller 3 that it is draining
-    Then the runner's word is acknowledged
+    Then the runner's report is acknowledged
     And no gateway takes runner 1 as ready within 1.5 seconds
 
   Scenario Outline: An acknowledged table outlives <loss>
@@ -60,7 +60,7 @@
       | the leading controller loses its disk and starts again        |
       | the leading controller loses its disk and the others power    |
 
-  Scenario: A controller at another address takes the place of one that is gone
+  Scenario: A controller at another address replaces a lost one
     Given a relayed fleet
     And an operator sent table 7 to controller 1
     When controller 2 is gone for good
@@ -77,13 +77,13 @@
     And 10 seconds of the fleet pass
     Then every gateway has table 7 and takes runner 1 as ready
 
-  Scenario: A controller with an empty disk calls those that its seeds name from the start
+  Scenario: A controller with an empty disk contacts its seeds from the start
     Given a relayed fleet
     When controller 2 loses its disk and starts again
     And 0.4 seconds of the fleet pass
-    Then controller 2 knows the controllers 1 and 3 as contacts of its group
+    Then controller 2 knows the controllers 1 and 3 as its group's contacts
 
-  Scenario: An order that meets a leader which has not opened its disk yet is not called invalid
+  Scenario: An order that reaches a leader before its disk is open is not rejected as invalid
     Given a relayed fleet
     When the leading controller's process starts again and has not opened its disk
     And an operator sends table 7 to another controller
@@ -91,13 +91,13 @@
     When the other controllers take table 7
     Then every other controller reads table 7
 
-  Scenario: A storage node that hears of a table while it opens its disk runs items by it
+  Scenario: A storage node that learns of a table while it opens its disk uses that table
     Given a relayed fleet
     And an operator sent table 7 to controller 1
     When storage node 2 loses power, starts again and hears of table 7 before its disk is open
     Then storage node 2 runs items by table 7 within 3 seconds
 
-  Scenario: A late word of who led the ledger before does not take the newer leader back
+  Scenario: A late notice of a former leader of the ledger does not replace the newer leader
     Given a relayed fleet
     When a gateway hears that storage node 2 leads the ledger in term 99
     And it hears late that storage node 1 led it in term 98
--- a/features/cluster/emptying.feature
+++ b/features/cluster/emptying.feature
@@ -1,6 +1,6 @@
-Feature: A storage node can be emptied and taken away
+Feature: A storage node can be emptied and removed
 
-  Scenario: With a spare node the ledger moves, and goes on without the emptied one
+  Scenario: With a spare node the ledger moves off the emptied node and works without it
     Given a relayed fleet of 4 storage nodes
     And a job of 3 items is accepted
     When an operator asks to empty a voting storage node
@@ -10,12 +10,12 @@
     And another storage node loses its disk for good at that moment
     Then the job can still be read
 
-  Scenario: Too few would stay
+  Scenario: Emptying is refused if too few nodes would remain
     Given a relayed fleet of 3 storage nodes
     When an operator asks to empty a voting storage node
     Then the emptying is refused as a conflict
 
-  Scenario: An unknown node
+  Scenario: Emptying an unknown node is refused
     Given a relayed fleet of 3 storage nodes
     When an operator asks to empty the node "nobody"
     Then the emptying is refused as not found
--- a/features/cluster/large_start.feature
+++ b/features/cluster/large_start.feature
@@ -1,4 +1,4 @@
-Feature: A large fleet starts all at once, and what each node sends stays bounded
+Feature: A large fleet starts all at once, and the traffic of each node stays bounded
 
   Scenario: 300 nodes and 3,000 runners start at the same moment
     Given a fleet of 69 controllers, 69 storage nodes and 162 gateways that all start at once
--- a/features/cluster/runners_again.feature
+++ b/features/cluster/runners_again.feature
@@ -1,40 +1,40 @@
-Feature: A runner that starts again under its id is taken for the new one that it is
+Feature: A runner that restarts under its id is recognized as a new incarnation
 
-  A runner may come back under the id that it had. It knows nothing of before, and its counts start
-  anew. When it started, in milliseconds since 1970, is in all that it says (`born`). Words were ordered
-  by their count alone, so that a runner which had left and came back was not heard until its new count
-  had passed the old one.
+  A restarted runner may keep its id. It has no state of its former run, and its sequence numbers start
+  again. Each report carries its start time in milliseconds since 1970 (`born`). With reports ordered
+  by sequence alone, a runner that had left and came back would be ignored until its new sequence had
+  passed the old one.
 
-  Scenario: A runner that had left takes work again from its first word on
+  Scenario: A runner that had left takes work again from its first report on
     Given a controller that heard runner "r" born at 1000 say "ready" with count 7
     And it heard runner "r" born at 1000 say "gone" with count 8
     When it hears runner "r" born at 2000 say "ready" with count 1
-    Then runner "r" takes work, and all nodes are told
+    Then runner "r" takes work, and the change is pushed to all nodes
 
-  Scenario: A late word of the life before changes nothing
+  Scenario: A late report of the former incarnation changes nothing
     Given a controller that heard runner "r" born at 2000 say "ready" with count 1
     When it hears runner "r" born at 1000 say "draining" with count 9
     And it hears runner "r" born at 1000 say "gone" with count 9
-    Then runner "r" takes work, and nobody is told
+    Then runner "r" takes work, and nothing is pushed
 
-  Scenario: A late word without a birth changes nothing
+  Scenario: A late report without a start time changes nothing
     Given a controller that heard runner "r" born at 2000 say "ready" with count 1
     When it hears runner "r" born at 0 say "draining" with count 9
-    Then runner "r" takes work, and nobody is told
+    Then runner "r" takes work, and nothing is pushed
 
-  Scenario: Within one life a runner that leaves never comes back
+  Scenario: Within one incarnation a draining runner never gets ready again
     Given a controller that heard runner "r" born at 2000 say "draining" with count 3
     When it hears runner "r" born at 2000 say "ready" with count 4
     Then runner "r" takes no work
 
-  Scenario: A life that was superseded at its address says nothing of the next one
+  Scenario: An incarnation that was superseded at its address does not affect the next one
     Given a controller that heard runner "r" born at 1000 say "ready" with count 7
     And it heard runner "s" born at 1500 say "ready" with count 9 at the same address
     When it hears runner "r" born at 2000 say "ready" with count 1
-    Then runner "r" takes work, and all nodes are told
+    Then runner "r" takes work, and the change is pushed to all nodes
     And runner "s" takes no work
 
-  Scenario: The older of two runners at one address doesn't take it back with a late word
+  Scenario: The older of two runners at one address does not take it back with a late report
     Given a controller that heard runner "s" born at 2000 say "ready" with count 1
     When it hears runner "r" born at 1000 say "ready" with count 40 at the same address
     Then runner "s" takes work
@@ -43,53 +43,53 @@
   Scenario: The older of two runners has the address again once the younger is silent
     Given a controller that heard runner "s" born at 2000 say "ready" with count 1
     When 5 s pass, and it hears runner "r" born at 1000 say "ready" with count 40 there
-    Then runner "r" takes work, and all nodes are told
+    Then runner "r" takes work, and the change is pushed to all nodes
     And runner "s" takes no work
 
-  Scenario: A word for a service that no table names takes no address
+  Scenario: A report for a service that is not in the table takes no address
     Given a controller that heard runner "r" born at 1000 say "ready" with count 7
-    And the table names the service of runner "r" alone
+    And the table has only the service of runner "r"
     When it hears runner "s" born at 2000 say "ready" with count 1 for another service there
     And it hears runner "r" born at 3000 say "ready" with count 1 for another service there
     Then runner "r" takes work
     When it hears runner "r" born at 1000 say "draining" with count 8
     Then runner "r" takes no work
 
-  Scenario: A runner that starts again warms up anew
+  Scenario: A restarted runner warms up again
     Given a controller that heard runner "r" born at 1000 say "ready" with count 7
     When it hears runner "r" born at 2000 say "ready" with count 1, with 3 s of warm-up left
-    Then runner "r" has 3 s of warm-up left, and all nodes are told
+    Then runner "r" has 3 s of warm-up left, and the change is pushed to all nodes
 
-  Scenario: Words in any order, by way of any node, end in the same
-    When the words of 3 lives of 2 runners at one address reach 200 registries in random orders
-    Then each registry ends with the last life of each
+  Scenario: Reports in any order, through any node, lead to the same result
+    When the reports of 3 incarnations of 2 runners at one address reach 200 registries in random orders
+    Then each registry ends with the last incarnation of each runner
 
-  Scenario: Controllers that lose power remember the life that they knew
+  Scenario: Controllers that lose power remember the incarnation that they knew
     Given controllers that heard runner "r" born at 1000 with count 7, and born at 2000 with count 1
     When the controllers lose power and come back
     And runner "r" born at 1000 says "draining" with count 9
     Then runner "r" still takes work at every controller
 
-  Scenario: A gateway knows nothing of the life before
-    Given a gateway that has left runner "r" out for failures, and knows what it had read
-    When the gateway hears that runner "r" has started again
-    Then the gateway knows nothing against it, and nothing of what it has read
+  Scenario: A gateway drops what it recorded about the former incarnation
+    Given a gateway that has ejected runner "r" for failures, and has recorded its cached prompts
+    When the gateway hears that runner "r" has restarted
+    Then the gateway has no ejection and no cached prompts on record for it
 
-  Scenario: The leader that places requests knows nothing of the life before
-    Given a leader that has left runner "r" out for failures
-    When the leader hears that runner "r" has started again
+  Scenario: The leader that places requests drops what it recorded about the former incarnation
+    Given a leader that has ejected runner "r" for failures
+    When the leader hears that runner "r" has restarted
     Then the leader places requests there
 
-  Scenario: A runner whose clock was set back before it started again takes work once it has spoken for a while
-    # Guards against: a living runner that gets nothing until its clock has passed the former's start.
+  Scenario: A runner whose clock was set back before its restart takes work after a few reports
+    # Guards against: a live runner that gets no work until its clock has passed the former start time.
     Given a controller that heard runner "r" born at 2000 say "gone" with count 8
     When 5 s pass, and it hears runner "r" born at 1000 say "ready" with count 1 there
     And 2 s pass, and it hears runner "r" born at 1000 say "ready" with count 2 there
     And 2 s pass, and it hears runner "r" born at 1000 say "ready" with count 3 there
     Then runner "r" takes work
 
-  # Guards against: late reports of a former incarnation that bring a runner back which has ended.
-  Scenario: Reports that a cut held back, and that come at once when it ends, change nothing
+  # Guards against: late reports of a former incarnation that revive a runner which is gone.
+  Scenario: A burst of reports that a partition delayed changes nothing
     Given a controller that heard runner "r" born at 2000 say "gone" with count 8
     When 9 s pass, and it hears runner "r" born at 1000 say "ready" with count 5 there
     And it hears runner "r" born at 1000 say "ready" with count 6
@@ -97,7 +97,7 @@
     And 1 s pass, and it hears runner "r" born at 1000 say "ready" with count 8 there
     Then runner "r" takes no work
 
-  # Guards against: a replaced incarnation that takes the place of its successor.
+  # Guards against: a replaced incarnation that displaces its successor.
   Scenario: Reports of an incarnation that is known to have been replaced change nothing, however many
     Given a controller that heard runner "r" born at 1000 say "ready" with count 7
     And it heard runner "r" born at 2000 say "gone" with count 8
@@ -106,15 +106,15 @@
     And 2 s pass, and it hears runner "r" born at 1000 say "ready" with count 10 there
     Then runner "r" takes no work
 
-  # Guards against: one report that is delivered several times taken for a living runner.
-  Scenario: The same report again and again is no sign of life
+  # Guards against: mistaking one report that is delivered several times for a live runner.
+  Scenario: Repeats of the same report are no sign of life
     Given a controller that heard runner "r" born at 2000 say "gone" with count 8
     When 5 s pass, and it hears runner "r" born at 1000 say "ready" with count 3 there
     And 2 s pass, and it hears runner "r" born at 1000 say "ready" with count 3 there
     And 2 s pass, and it hears runner "r" born at 1000 say "ready" with count 3 there
     Then runner "r" takes no work
 
-  # Guards against: a living runner that is drained by late reports of the one before.
+  # Guards against: a live runner that is drained by late reports of the former incarnation.
   Scenario: While the known incarnation goes on reporting, an earlier one changes nothing
     Given a controller that heard runner "r" born at 2000 say "ready" with count 1
     When 3 s pass, and it hears runner "r" born at 1000 say "draining" with count 1 there
@@ -124,17 +124,17 @@
     And 3 s pass, and it hears runner "r" born at 1000 say "draining" with count 3 there
     Then runner "r" takes work
 
-  # Guards against: reports that count at one controller alone, so that a runner which leaves gets requests.
-  Scenario Outline: All controllers know the runner whose clock was set back, and hear it <state>
+  # Guards against: reports that count at one controller only, so that a draining runner gets requests.
+  Scenario Outline: All controllers know the runner whose clock was set back, also when it is <state>
     Given 2 controllers that heard runner "r" born at 2000 say "gone" with count 8
-    When the first hears runner "r" born at 1000 say "ready" often enough to take it for new
-    And the second is told by the first
+    When the first hears runner "r" born at 1000 say "ready" often enough to prove a new incarnation
+    And the second receives the records of the first
     Then runner "r" takes work at both
     When the second hears runner "r" born at 1000 say "<state>" with count 9
-    And the first is told by the second
+    And the first receives the records of the second
     Then runner "r" takes no work at both
     When the second hears runner "r" born at 1500 say "ready" with count 1
-    And the first is told by the second
+    And the first receives the records of the second
     Then runner "r" takes work at both
 
     Examples:
@@ -142,19 +142,19 @@
       | draining |
       | gone     |
 
-  # Guards against: the incarnation before taken for a later start, since its time is later.
-  Scenario: A late report of the incarnation before the clock was set back changes nothing
+  # Guards against: ranking the former incarnation last because its start time is later.
+  Scenario: A late report of the incarnation from before the clock was set back changes nothing
     Given 2 controllers that heard runner "r" born at 2000 say "gone" with count 8
-    When the first hears runner "r" born at 1000 say "ready" often enough to take it for new
-    And the second is told by the first
+    When the first hears runner "r" born at 1000 say "ready" often enough to prove a new incarnation
+    And the second receives the records of the first
     And the second hears runner "r" born at 2000 say "draining" with count 7
-    And the first is told by the second
+    And the first receives the records of the second
     Then runner "r" takes work at both
 
-  # Guards against: a deregistration that is taken for one of another incarnation.
-  Scenario: A runner whose clock was set back deregisters by the start that it names
+  # Guards against: applying a deregistration to another incarnation.
+  Scenario: A runner whose clock was set back deregisters with its own start time
     Given 2 controllers that heard runner "r" born at 2000 say "gone" with count 8
-    When the first hears runner "r" born at 1000 say "ready" often enough to take it for new
+    When the first hears runner "r" born at 1000 say "ready" often enough to prove a new incarnation
     And runner "r" born at 1000 deregisters at the first
-    And the second is told by the first
+    And the second receives the records of the first
     Then runner "r" takes no work at both
--- a/features/steps/cluster_registry_steps.py
+++ b/features/steps/cluster_registry_steps.py
@@ -19,7 +19,7 @@
     context.registry = RunnerRegistry()
 
 
-@step('it hears of runner {number:d} "{state}" in word {sequence:d}')
+@step('it hears of runner {number:d} "{state}" in report {sequence:d}')
 def hear(context, number, state, sequence):
     context.registry.take((runner_record(number, state, sequence),))
 
@@ -30,7 +30,9 @@
     context.registry.take((record,))
 
 
-@step("it hears again of runner {number:d} at the address of runner {other:d} in word {sequence:d}")
+@step(
+    "it hears again of runner {number:d} at the address of runner {other:d} in report {sequence:d}"
+)
 def hear_again_at(context, number, other, sequence):
     address = runner_record(other).address
     record = replace(runner_record(number), address=address, sequence=sequence)
@@ -54,20 +56,22 @@
     context.registry.warm_ups.set_terms({SERVICE: WarmUpTerms(7.0, seconds)})
 
 
-@step("it hears of runner {number:d} in word {sequence:d} that it warms up for {seconds:g} seconds")
+@step(
+    "it hears of runner {number:d} in report {sequence:d} that it warms up for {seconds:g} seconds"
+)
 def hear_warming(context, number, sequence, seconds):
     record = replace(runner_record(number), sequence=sequence, warm_up_left_s=seconds)
-    context.news = context.registry.take((record,))
+    context.changed = context.registry.take((record,))
 
 
-@then("that is news")
-def is_news(context):
-    assert context.news
+@then("the change has to be pushed to the nodes")
+def is_pushed(context):
+    assert context.changed
 
 
-@then("that is no news")
-def is_no_news(context):
-    assert not context.news
+@then("nothing has to be pushed to the nodes")
+def is_not_pushed(context):
+    assert not context.changed
 
 
 @step("{seconds:g} seconds of the registry pass")
@@ -114,20 +118,20 @@
     assert record is not None and record.state.value == state, record
 
 
-@given("the words of {count:d} runners in {orders:d} random orders")
+@given("the reports of {count:d} runners in {orders:d} random orders")
 def shuffle(context, count, orders):
-    words = []
+    reports = []
     for number in range(1, count + 1):
-        words += [runner_record(number, "ready", sequence) for sequence in (1, 2, 3)]
-        words.append(runner_record(number, "draining", 4))
-    words.append(runner_record(1, "gone", 5))
+        reports += [runner_record(number, "ready", sequence) for sequence in (1, 2, 3)]
+        reports.append(runner_record(number, "draining", 4))
+    reports.append(runner_record(1, "gone", 5))
     generator = random.Random(ORDERS_SEED)
     context.registries = []
     for _ in range(orders):
-        generator.shuffle(words)
+        generator.shuffle(reports)
         registry = RunnerRegistry()
-        for word in words:
-            registry.take((word,))
+        for report in reports:
+            registry.take((report,))
         context.registries.append(registry)
 
 
--- a/features/steps/committed_copy_steps.py
+++ b/features/steps/committed_copy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what controllers tell before their group has a leader."""
+"""Steps on the state that controllers serve before their group has a leader."""
 
 import random
 
@@ -91,8 +91,8 @@
 def read_copy(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record), level=0)
-    keeper = CommittedCopies(context.disk, FleetState(), KnownZoneDrains(), QuarantineBook())
-    context.read_copy = keeper.load()
+    copies = CommittedCopies(context.disk, FleetState(), KnownZoneDrains(), QuarantineBook())
+    context.read_copy = copies.load()
     logger.remove(sink)
 
 
--- a/features/steps/large_start_steps.py
+++ b/features/steps/large_start_steps.py
@@ -37,7 +37,7 @@
 
 
 def _speak(fleet, at, record, controllers):
-    """Have a runner speak, and again at another controller when it gets no acknowledgement."""
+    """Send a runner's report; retry at another controller if it is not acknowledged."""
 
     def take(result):
         if result.is_error():
--- a/features/steps/relayed_fleet_steps.py
+++ b/features/steps/relayed_fleet_steps.py
@@ -206,14 +206,14 @@
     sequence = 1 if state == "ready" else 2
     controller = context.fleet.controller(f"controller-{at}")
     done = controller.reports.take(runner_record(number, state, sequence))
-    context.word = context.fleet.result_of(done, "an answer to the runner")
+    context.report = context.fleet.result_of(done, "an answer to the runner")
     if state == "ready":
         context.fleet.run_for(1.5)
 
 
-@then("the runner's word is acknowledged")
-def word_acknowledged(context):
-    assert context.word.is_ok(), context.word
+@then("the runner's report is acknowledged")
+def report_acknowledged(context):
+    assert context.report.is_ok(), context.report
 
 
 def _registries(context):
@@ -225,7 +225,7 @@
     runner = f"runner-{number}"
     context.fleet.run_until(
         lambda: not any(registry.is_ready(runner) for registry in _registries(context)),
-        "the word at every gateway",
+        "the report at every gateway",
         seconds,
     )
 
@@ -325,11 +325,11 @@
 # --- seeds ----------------------------------------------------------------------------------
 
 EXCHANGE_PAUSE_S = 4.0
-"""Time between two exchanges: the group takes a new member in before it loses the next."""
+"""Time between two replacements: the group admits a new member before it loses the next one."""
 
 
 def _tell_seeds(context):
-    """Have every running node take the seeds of its settings file, which has changed."""
+    """Have every running node reload the seeds from its changed settings."""
     for node in context.fleet.nodes.values():
         settings = node.base.settings
         peers = settings.peers.model_copy(
@@ -339,7 +339,7 @@
         node.base.follower.set_seeds(changed.seed_controllers())
 
 
-@when("the seeds are exchanged one after the other for controllers 4, 5 and 6")
+@when("the seeds are replaced one after the other by controllers 4, 5 and 6")
 def exchange_seeds(context):
     fleet = context.fleet
     context.former = [fleet.address(f"controller-{number}") for number in (1, 2, 3)]
@@ -351,7 +351,7 @@
         fleet.run_for(EXCHANGE_PAUSE_S)
 
 
-@then("the root group has 3 voters and controllers 4, 5 and 6 are these")
+@then("the root group has 3 voters and controllers 4, 5 and 6 are the voters")
 def new_voters(context):
     fleet = context.fleet
     wanted = {fleet.address(f"controller-{number}") for number in (4, 5, 6)}
@@ -366,7 +366,7 @@
     fleet.run_until(settled, "the new controllers as voters")
 
 
-@then("no gateway still counts on a former seed")
+@then("no gateway still knows a former seed")
 def no_former_seed(context):
     fleet = context.fleet
 
@@ -387,7 +387,7 @@
     context.fleet.run_for(2.0)
 
 
-@when("a gateway starts that knows only seeds that nobody has")
+@when("a gateway starts that knows only seeds at unused addresses")
 def stray_gateway_starts(context):
     fleet = context.fleet
     seeds, fleet.seeds = fleet.seeds, ["10.0.9.1", "10.0.9.2"]
@@ -395,14 +395,14 @@
     fleet.seeds = seeds
 
 
-@then("that gateway has no table and still asks its seeds")
+@then("that gateway has no table and still tries its seeds")
 def stray_goes_on(context):
     follower = context.fleet.nodes["gateway-9"].base.follower
     assert follower.table_version == 0 and not follower.controllers.any_answered
     assert len(follower.view().controllers) == 2
 
 
-@when("its settings name the fleet's seeds")
+@when("its settings are changed to the fleet's seeds")
 def stray_told(context):
     _tell_seeds(context)
 
@@ -466,7 +466,7 @@
 
 
 @then(
-    "controller {number:d} knows the controllers {first:d} and {second:d} as contacts of its group"
+    "controller {number:d} knows the controllers {first:d} and {second:d} as its group's contacts"
 )
 def knows_contacts(context, number, first, second):
     state = context.fleet.nodes[f"controller-{number}"].role.driver.core.state
--- a/features/steps/runner_journal_steps.py
+++ b/features/steps/runner_journal_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what controllers keep of runners."""
+"""Steps on the durable journal of runners' records at a controller."""
 
 import random
 from dataclasses import replace
@@ -19,25 +19,25 @@
 KIBIBYTE = 1024
 
 
-@when("the runner of {zone} says at controller {number:d} that it leaves")
+@when("the runner of {zone} reports to controller {number:d} that it is draining")
 def leaves(context, zone, number):
     record = runner_record(ZONE_RUNNERS[zone], "draining", 2, zone)
     done = context.fleet.controller(f"controller-{number}").reports.take(record)
     context.leaving = context.fleet.result_of(done, "an answer to the runner")
 
 
-@then("its leaving is acknowledged")
+@then("that runner's report is acknowledged")
 def leaving_acknowledged(context):
     assert context.leaving.is_ok(), context.leaving
 
 
-@when("the disk of controller {number:d} takes no more bytes")
+@when("the disk of controller {number:d} is full")
 def disk_full(context, number):
     disk = context.fleet.disks[f"controller-{number}"]
     disk.capacity_bytes = disk.used_bytes()
 
 
-@when("the disk of controller {number:d} takes bytes again")
+@when("the disk of controller {number:d} has space again")
 def disk_free(context, number):
     context.fleet.disks[f"controller-{number}"].capacity_bytes = None
 
@@ -109,8 +109,8 @@
     assert abs(context.read.warm_up_left_s - seconds) < 0.05, context.read
 
 
-@when("each of them says {count:d} times more how it is")
-def say_much(context, count):
+@when("each of them reports {count:d} more times")
+def report_often(context, count):
     for sequence in range(2, count + 2):
         records = [replace(record, sequence=sequence) for record in context.registry.records()]
         _note(context, records)
@@ -121,7 +121,7 @@
 
 @then(
     "the journal holds less than {most:d} KiB and {count:d} runners are read back "
-    "with their last word"
+    "with their latest report"
 )
 def read_back_last(context, most, count):
     assert len(context.disk.read(PATH)) < most * KIBIBYTE
@@ -133,7 +133,7 @@
 # --- damage ------------------------------------------------------------------------------------
 
 
-@given("a journal of {count:d} runners, the last of which leaves")
+@given("a journal of {count:d} runners, the last of which is draining")
 def make_leaving(context, count):
     make_journal(context, count)
     _note(context, [runner_record(count - 1, "draining", 2)])
@@ -152,7 +152,7 @@
     read_with_log(context)
 
 
-@when("it is read with its log kept")
+@when("it is read and the log is captured")
 def read_with_log(context):
     context.log_records = []
     sink = logger.add(lambda message: context.log_records.append(message.record), level=0)
@@ -160,7 +160,7 @@
     logger.remove(sink)
 
 
-def _told(context, event):
+def _logged(context, event):
     return [each["extra"] for each in context.log_records if each["message"] == event]
 
 
@@ -176,12 +176,15 @@
     assert len(runners) == count and f"runner-{number}" not in runners, runners
 
 
-@then('the log of "{event}" says that {before:d} records lay before and {behind:d} behind')
+@then(
+    'the log of "{event}" says that {before:d} records were read before and {behind:d} behind '
+    "the damage"
+)
 def log_says(context, event, before, behind):
-    (told,) = _told(context, event)
-    assert (told["read_before"], told["read_behind"]) == (before, behind), told
+    (logged,) = _logged(context, event)
+    assert (logged["read_before"], logged["read_behind"]) == (before, behind), logged
 
 
 @then('the log has "{event}" and no "{other}"')
 def log_has(context, event, other):
-    assert _told(context, event) and not _told(context, other), context.log_records
+    assert _logged(context, event) and not _logged(context, other), context.log_records
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -1,4 +1,4 @@
-"""Steps on runners that start again under the id that they had."""
+"""Steps on runners that restart under the same id."""
 
 import random
 from dataclasses import replace
@@ -19,8 +19,8 @@
 PROMPT = (PromptPart("part", 900), PromptPart("own", 10))
 
 
-def word(runner, born, state, count, warm_up_left_s=0.0):
-    """Return what a runner says."""
+def report(runner, born, state, count, warm_up_left_s=0.0):
+    """Return a runner's report."""
     record = replace(
         runner_record(1), runner=runner, sequence=count, warm_up_left_s=warm_up_left_s, born=born
     )
@@ -38,7 +38,7 @@
 @step('it heard runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
 @step('it hears runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
 def hears(context, runner, born, state, n):
-    context.changed = context.registry.take((word(runner, born, state, n),))
+    context.changed = context.registry.take((report(runner, born, state, n),))
 
 
 @step(
@@ -60,7 +60,7 @@
     hears(context, runner, born, state, n)
 
 
-@given('the table names the service of runner "{runner}" alone')
+@given('the table has only the service of runner "{runner}"')
 def table_names(context, runner):
     context.registry.named_services = frozenset((context.registry.get(runner).service,))
 
@@ -70,7 +70,7 @@
     "for another service there"
 )
 def hears_unnamed(context, runner, born, state, n):
-    record = replace(word(runner, born, state, n), service="nobody's")
+    record = replace(report(runner, born, state, n), service="nobody's")
     context.changed = context.registry.take((record,))
 
 
@@ -79,16 +79,16 @@
     "with {left_s:d} s of warm-up left"
 )
 def hears_warming(context, runner, born, state, n, left_s):
-    context.changed = context.registry.take((word(runner, born, state, n, float(left_s)),))
+    context.changed = context.registry.take((report(runner, born, state, n, float(left_s)),))
 
 
-@then('runner "{runner}" takes work, and all nodes are told')
+@then('runner "{runner}" takes work, and the change is pushed to all nodes')
 def takes_and_told(context, runner):
     assert context.registry.is_ready(runner)
     assert runner in [record.runner for record in context.changed], context.changed
 
 
-@then('runner "{runner}" takes work, and nobody is told')
+@then('runner "{runner}" takes work, and nothing is pushed')
 def takes_untold(context, runner):
     assert context.registry.is_ready(runner)
     assert not context.changed, context.changed
@@ -104,7 +104,7 @@
     assert not context.registry.is_ready(runner)
 
 
-@then('runner "{runner}" has {left_s:d} s of warm-up left, and all nodes are told')
+@then('runner "{runner}" has {left_s:d} s of warm-up left, and the change is pushed to all nodes')
 def warms_up(context, runner, left_s):
     assert context.registry.warm_ups.left_s(runner) == left_s
     assert context.changed
@@ -114,34 +114,36 @@
 
 
 @when(
-    "the words of {lives:d} lives of {runners:d} runners at one address reach "
+    "the reports of {lives:d} incarnations of {runners:d} runners at one address reach "
     "{count:d} registries in random orders"
 )
 def random_orders(context, lives, runners, count):
-    """The lives of the runners take turns at the address; the last one of the last runner lives."""
+    """The runners' incarnations alternate at the address; the last runner's last one is live."""
     names = [f"runner-{number}" for number in range(runners)]
-    words = []
+    reports = []
     born = 0
     for _ in range(lives):
         for name in names:
             born += 1000
-            words += [word(name, born, "ready", n) for n in range(1, 4)]
+            reports += [report(name, born, "ready", n) for n in range(1, 4)]
             if (born, name) != (lives * runners * 1000, names[-1]):
-                words.append(word(name, born, "draining", 4))
-    context.last = {name: max(each.born for each in words if each.runner == name) for name in names}
+                reports.append(report(name, born, "draining", 4))
+    context.last = {
+        name: max(each.born for each in reports if each.runner == name) for name in names
+    }
     context.alive = names[-1]
     context.registries = []
     draw = random.Random(SEED)
     for _ in range(count):
         registry = RunnerRegistry(lambda: 0.0)
-        order = [*words, *words]
+        order = [*reports, *reports]
         draw.shuffle(order)
         for each in order:
             registry.take((each,))
         context.registries.append(registry)
 
 
-@then("each registry ends with the last life of each")
+@then("each registry ends with the last incarnation of each runner")
 def last_lives(context):
     for registry in context.registries:
         born = {record.runner: record.born for record in registry.records()}
@@ -162,8 +164,8 @@
     fleet.leader("controller")
     fleet.run_for(2.0)
     for born, count in ((first, n), (second, m)):
-        done = fleet.controller("controller-1").reports.take(word(runner, born, "ready", count))
-        assert fleet.result_of(done, "the word is taken").is_ok()
+        done = fleet.controller("controller-1").reports.take(report(runner, born, "ready", count))
+        assert fleet.result_of(done, "the report is taken").is_ok()
     fleet.run_for(2.0)
 
 
@@ -181,8 +183,8 @@
 
 @when('runner "{runner}" born at {born:d} says "{state}" with count {n:d}')
 def says(context, runner, born, state, n):
-    done = context.fleet.controller("controller-2").reports.take(word(runner, born, state, n))
-    context.fleet.result_of(done, "the word is answered")
+    done = context.fleet.controller("controller-2").reports.take(report(runner, born, state, n))
+    context.fleet.result_of(done, "the report is answered")
     context.fleet.run_for(2.0)
 
 
@@ -193,30 +195,32 @@
         assert fleet.nodes[name].base.registry.is_ready(runner), name
 
 
-# --- what others remember --------------------------------------------------------------------
+# --- state recorded by others ----------------------------------------------------------------
 
 
 class _Messenger:
-    """Serves nothing."""
+    """A messenger without a network."""
 
     def serve(self, message_type, handler):
-        """Take no calls."""
+        """Ignore the handler."""
 
     def send(self, destination, message):
-        """Send nothing."""
+        """Drop the message."""
 
 
 class _Follower:
-    """Tells a gateway of runners."""
+    """Passes runners' records to a gateway."""
 
     def __init__(self, registry):
         self.registry = registry
 
     def announce_prefill(self, runner, reading_s):
-        """Tell nobody."""
+        """Drop the notice."""
 
 
-@given('a gateway that has left runner "{runner}" out for failures, and knows what it had read')
+@given(
+    'a gateway that has ejected runner "{runner}" for failures, and has recorded its cached prompts'
+)
 def gateway_left_out(context, runner):
     context.relay = relay = RelayWorld(runners=0)
     follower = _Follower(relay.registry)
@@ -225,7 +229,7 @@
     )
     context.follower = follower
     context.runner = runner
-    tell_gateway(context, word(runner, 1000, "ready", 7))
+    tell_gateway(context, report(runner, 1000, "ready", 7))
     loads = relay.context.loads
     for _ in range(5):
         loads.failed(runner, 0.0)
@@ -235,24 +239,24 @@
 
 
 def tell_gateway(context, record):
-    """Have the gateway hear a word."""
+    """Deliver a report to the gateway."""
     changed = context.relay.registry.take((record,))
     context.follower.on_runners(changed)
 
 
-@when('the gateway hears that runner "{runner}" has started again')
+@when('the gateway hears that runner "{runner}" has restarted')
 def gateway_hears(context, runner):
-    tell_gateway(context, word(runner, 2000, "ready", 1))
+    tell_gateway(context, report(runner, 2000, "ready", 1))
 
 
-@then("the gateway knows nothing against it, and nothing of what it has read")
+@then("the gateway has no ejection and no cached prompts on record for it")
 def gateway_knows_nothing(context):
     relay = context.relay.context
     assert context.runner not in relay.loads.unavailable(0.0)
     assert not relay.prefixes.holds("part", context.runner)
 
 
-@given('a leader that has left runner "{runner}" out for failures')
+@given('a leader that has ejected runner "{runner}" for failures')
 def leader_left_out(context, runner):
     context.outliers = OutlierDetector()
     context.runner = runner
@@ -261,7 +265,7 @@
     assert context.outliers.is_ejected(runner, 0.1)
 
 
-@when('the leader hears that runner "{runner}" has started again')
+@when('the leader hears that runner "{runner}" has restarted')
 def leader_hears(context, runner):
     context.outliers.forget(runner)
 
@@ -282,30 +286,31 @@
     context.now_s = 0.0
     context.registries = [RunnerRegistry(lambda: context.now_s) for _ in range(2)]
     for registry in context.registries:
-        registry.take((word(runner, born, state, n),))
+        registry.take((report(runner, born, state, n),))
 
 
 @when(
-    'the first hears runner "{runner}" born at {born:d} say "ready" often enough to take it for new'
+    'the first hears runner "{runner}" born at {born:d} say "ready" often enough '
+    "to prove a new incarnation"
 )
 def first_hears_often(context, runner, born):
     first = context.registries[0]
     context.now_s += 5.0
     for count in range(1, 5):
         context.now_s += HEARTBEAT_S
-        first.take((word(runner, born, "ready", count),))
+        first.take((report(runner, born, "ready", count),))
 
 
 def _tell(source, target):
     target.take(source.changed_since(0))
 
 
-@when("the second is told by the first")
+@when("the second receives the records of the first")
 def first_tells(context):
     _tell(context.registries[0], context.registries[1])
 
 
-@when("the first is told by the second")
+@when("the first receives the records of the second")
 def second_tells(context):
     _tell(context.registries[1], context.registries[0])
 
@@ -313,7 +318,7 @@
 @when('the second hears runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
 def second_hears(context, runner, born, state, n):
     context.now_s += HEARTBEAT_S
-    context.registries[1].take((word(runner, born, state, n),))
+    context.registries[1].take((report(runner, born, state, n),))
 
 
 @when('runner "{runner}" born at {born:d} deregisters at the first')
--- a/features/steps/suspended_steps.py
+++ b/features/steps/suspended_steps.py
@@ -33,7 +33,7 @@
 
 
 class _SuspendedSystem:
-    """The clocks of a machine that is suspended now and then, and a reactor on it."""
+    """The clocks of a machine that gets suspended."""
 
     CLOCK_BOOTTIME = 7
 
@@ -42,21 +42,21 @@
         self.suspended_s = 50.0
 
     def monotonic(self):
-        """Stand still during a suspension."""
+        """Return the monotonic clock, which stops during a suspension."""
         return self.awake_s
 
     def clock_gettime(self, number):
-        """Count on, for the clock of the time since the boot."""
+        """Return ``CLOCK_BOOTTIME``, which includes suspensions."""
         assert number == self.CLOCK_BOOTTIME
         return self.awake_s + self.suspended_s
 
 
 class _Reactor(ReactorBase):
     def installWaker(self):
-        """No thread wakes it."""
+        """Install nothing: no other thread wakes the reactor."""
 
 
-@given("a system whose monotonic clock stands still during a suspension")
+@given("a system whose monotonic clock stops during a suspension")
 def make_system(context):
     context.system = system = _SuspendedSystem()
     patch = mock.patch.object(clock_module, "time", system)
@@ -94,7 +94,7 @@
 # --- leaders ---------------------------------------------------------------------------------
 
 
-@given("processes whose clock stands still during a suspension")
+@given("processes whose clock stops during a suspension")
 def stand_still(context):
     patch = mock.patch.object(SkewedClock, "counts_frozen_time", False)
     patch.start()
@@ -123,7 +123,7 @@
 
 @when("it wakes, and is asked at once for {what}")
 def ask_at_once(context, what):
-    """What has arrived is read before the timers run that fell due meanwhile."""
+    """Deliver the message before the overdue timers run, as on a real wake-up."""
     fleet = context.fleet
     message = QUESTIONS[what]
     node = fleet.nodes[context.former]
@@ -136,7 +136,7 @@
         context.answers.append(answer)
 
 
-@then("it says that it doesn't lead")
+@then("it answers that it does not lead")
 def says_not_leading(context):
     (answer,) = context.answers
     fault = answer if isinstance(answer, Fault) else answer.error
--- a/features/steps/warm_up_steps.py
+++ b/features/steps/warm_up_steps.py
@@ -3,14 +3,14 @@
 import random
 
 from behave import given, then, when
-from features.support.warm_up_world import KEEPERS, WarmUpWorld
+from features.support.warm_up_world import PLACEMENT_NODES, WarmUpWorld
 
-FIRST, SECOND = KEEPERS
-COURSES = 100
-COURSE_S = 9.0
+FIRST, SECOND = PLACEMENT_NODES
+RUNS = 100
+RUN_S = 9.0
 
 
-@given("{gateways:d} gateways and {runners:d} runners, a keeper leading")
+@given("{gateways:d} gateways and {runners:d} runners, with a placement leader")
 def make_world(context, gateways, runners):
     context.world = WarmUpWorld(1, gateways, runners)
     context.world.lead(FIRST)
@@ -18,13 +18,13 @@
 
 
 @when(
-    "clients ask {per_s:g} times a second for {for_s:g} seconds, "
+    "clients send {per_s:g} requests a second for {for_s:g} seconds, "
     "and {zone} is drained from {begin_s:g} to {end_s:g} seconds"
 )
-def press_with_drain(context, per_s, for_s, zone, begin_s, end_s):
+def load_with_drain(context, per_s, for_s, zone, begin_s, end_s):
     world = context.world
-    world.press(per_s, for_s)
-    world.press_items(20, for_s)
+    world.schedule_requests(per_s, for_s)
+    world.schedule_items(20, for_s)
     world.clock.callLater(begin_s, world.drain, zone, end_s - begin_s)
     world.clock.advance(for_s + 1)
 
@@ -35,32 +35,32 @@
 
 
 @when(
-    "clients ask {per_s:g} times a second for {for_s:g} seconds, "
+    "clients send {per_s:g} requests a second for {for_s:g} seconds, "
     "and after {cold_s:g} seconds all runners go cold"
 )
-def press_with_cold(context, per_s, for_s, cold_s):
+def load_with_cold(context, per_s, for_s, cold_s):
     world = context.world
-    world.press(per_s, for_s)
+    world.schedule_requests(per_s, for_s)
     world.clock.callLater(cold_s, _all_go_cold, world, 0.0)
     world.clock.advance(for_s + 1)
 
 
 @when(
-    "no keeper leads, all runners are known to be cold, "
-    "and clients ask {per_s:g} times a second for {for_s:g} seconds"
+    "there is no placement leader, all runners are known to be cold, "
+    "and clients send {per_s:g} requests a second for {for_s:g} seconds"
 )
-def press_without_keeper(context, per_s, for_s):
+def load_without_leader(context, per_s, for_s):
     world = context.world
     world.lead("")
     _all_go_cold(world, 0.0)
     world.clock.advance(0.2)
-    world.press(per_s, for_s)
+    world.schedule_requests(per_s, for_s)
     world.clock.advance(for_s + 0.5)
 
 
 @then("no cold runner got more than the bound in any second")
 def within_bound(context):
-    assert context.world.most_over() <= 0, context.world.most_over()
+    assert context.world.excess_over_bound() <= 0, context.world.excess_over_bound()
 
 
 @then("no runner got anything")
@@ -81,7 +81,7 @@
 
 @then(
     "requests that could not be served were refused within {seconds:g} seconds, "
-    "with a time to come back"
+    "with a time to retry after"
 )
 def refused_at_once(context, seconds):
     refused = [each for each in context.world.answered if each.status == 503]
@@ -91,15 +91,15 @@
         assert dict(exchange.headers).get(b"retry-after"), exchange.headers
 
 
-def _draw_course(seed):
-    """Return a played course."""
+def _random_run(seed):
+    """Return a random run after its end."""
     draw = random.Random(seed)
     world = WarmUpWorld(seed, draw.choice((3, 12, 40)), draw.choice((2, 6, 9)))
     runners = len(world.runners)
     world.lead(FIRST)
     world.clock.advance(0.1)
-    world.press(runners * draw.choice((4, 9, 14)), COURSE_S)
-    world.press_items(runners * draw.choice((0.1, 3)), COURSE_S)
+    world.schedule_requests(runners * draw.choice((4, 9, 14)), RUN_S)
+    world.schedule_items(runners * draw.choice((0.1, 3)), RUN_S)
     at = world.clock.callLater
     for _ in range(draw.randint(1, 4)):
         runner = draw.choice(world.runners)
@@ -115,21 +115,22 @@
             at(draw.uniform(1, 7), world.cut_off, number)
         elif draw.random() < 0.2:
             at(draw.uniform(1, 7), world.restart, number)
-    world.clock.advance(COURSE_S + 1)
+    world.clock.advance(RUN_S + 1)
     return world
 
 
 @when(
-    "a hundred courses are drawn of runners that go cold, drains, lost keepers, cuts and restarts"
+    "a hundred random runs mix cold runners, drains, lost placement leaders, partitions "
+    "and restarts"
 )
-def draw_courses(context):
+def random_runs(context):
     context.over = {}
-    for seed in range(1, COURSES + 1):
-        over = _draw_course(seed).most_over()
+    for seed in range(1, RUNS + 1):
+        over = _random_run(seed).excess_over_bound()
         if over > 0:
             context.over[seed] = over
 
 
-@then("in none of them a cold runner got more than the bound in any second")
+@then("in none of them any cold runner got more than the bound in any second")
 def none_over(context):
     assert not context.over, context.over
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -11,9 +11,9 @@
 from rainsail.errors import FaultCode
 
 SEED = 23
-BEAT_S = 1.2
+HEARTBEAT_S = 1.2
 RUNNERS = {"zone-0": 4, "zone-1": 5}
-"""A runner of each zone, by its number."""
+"""The number of the runner in each zone."""
 ORDER_TRIES_S = 10.0
 
 
@@ -78,7 +78,7 @@
     assert context.fleet.nodes[leader].role.state.zone_drain(zone).revision == count
 
 
-# --- what nodes do -----------------------------------------------------------------------------
+# --- where nodes send --------------------------------------------------------------------------
 
 
 def _sends(context, name, zone):
@@ -157,14 +157,14 @@
         context.fleet.start(name)
 
 
-@when("an order to drain {zone} is held up on its way to the leader")
+@when("an order to drain {zone} is delayed on its way to the leader")
 def hold_up(context, zone):
     leader = context.fleet.leader("controller")
     revision = context.fleet.nodes[leader].role.state.zone_drain(zone).revision
     context.held_up = OrderZoneDrain(zone, True, revision)
 
 
-@when("the order that was held up arrives")
+@when("the delayed order arrives")
 def arrives(context):
     fleet = context.fleet
     leader = fleet.leader("controller")
@@ -251,24 +251,24 @@
 
 
 @when(
-    "words of two incarnations at one address arrive in random order at random controllers, "
+    "reports of two incarnations at one address arrive in random order at random controllers, "
     "seed {seed:d}"
 )
-def mixed_words(context, seed):
+def mixed_reports(context, seed):
     context.draw = random.Random(seed)
     context.living = replace(runner_record(7, zone="zone-0"), sequence=0)
     crashed = replace(runner_record(6, zone="zone-0"), address=context.living.address)
-    words = [replace(crashed, sequence=sequence) for sequence in (1, 2, 3)]
-    words += [replace(context.living, sequence=sequence) for sequence in (1, 2)]
-    context.draw.shuffle(words)
+    reports = [replace(crashed, sequence=sequence) for sequence in (1, 2, 3)]
+    reports += [replace(context.living, sequence=sequence) for sequence in (1, 2)]
+    context.draw.shuffle(reports)
     names = context.fleet.names("controller")
-    for word in words:
-        _say(context, context.draw.choice(names), word)
+    for report in reports:
+        _say(context, context.draw.choice(names), report)
         context.fleet.run_for(context.draw.choice((0.0, 0.05, 0.6)))
 
 
-@when("a late word of a crashed incarnation takes a living runner's address at every node")
-def late_word(context):
+@when("a late report of a crashed incarnation takes a living runner's address at every node")
+def late_report(context):
     fleet = context.fleet
     context.draw = random.Random(SEED)
     context.living = replace(runner_record(7, zone="zone-0"), sequence=1)
@@ -280,7 +280,7 @@
     assert not any(node.base.registry.is_ready(LIVING) for node in fleet.nodes.values())
 
 
-@when("all controllers lose power before they keep that, and start again")
+@when("all controllers lose power before they have stored that, and start again")
 def controllers_forget(context):
     names = context.fleet.names("controller")
     for name in names:
@@ -290,22 +290,22 @@
     context.fleet.leader("controller")
 
 
-def _beat_living(context, seconds):
+def _report_living(context, seconds):
     name = context.draw.choice(context.fleet.names("controller"))
-    for sequence in range(3, 3 + int(seconds / BEAT_S) + 1):
+    for sequence in range(3, 3 + int(seconds / HEARTBEAT_S) + 1):
         _say(context, name, replace(context.living, sequence=sequence))
-        context.fleet.run_for(BEAT_S)
+        context.fleet.run_for(HEARTBEAT_S)
     return [node.base.registry for node in context.fleet.nodes.values()]
 
 
-@then("every node sends to the living one within {seconds:g} seconds of its beats")
+@then("every node sends to the living one within {seconds:g} seconds of its heartbeats")
 def living_again(context, seconds):
-    registries = _beat_living(context, seconds)
+    registries = _report_living(context, seconds)
     assert all(registry.is_ready(LIVING) for registry in registries)
 
 
-@then("every node sends to the living one alone within {seconds:g} seconds of its beats")
+@then("every node sends to the living one alone within {seconds:g} seconds of its heartbeats")
 def living_alone(context, seconds):
-    registries = _beat_living(context, seconds)
+    registries = _report_living(context, seconds)
     assert all(registry.is_ready(LIVING) for registry in registries)
     assert not any(registry.is_ready(CRASHED) for registry in registries)
--- a/features/steps/zone_drain_waiting_steps.py
+++ b/features/steps/zone_drain_waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders that wait at a controller which stands still, and on operators that leave."""
+"""Steps on orders that wait at a frozen controller, and on operators that close the connection."""
 
 import sys
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def _freeze_with_order(context, number, zone, waits_s):
-    """Freeze a controller, and have an order wait there until it wakes."""
+    """Freeze a controller and queue an order that it reads when it resumes."""
     fleet = context.fleet
     name = f"controller-{number}"
     assert name != fleet.leader("controller"), "the scenario needs a follower"
@@ -39,21 +39,21 @@
 
 
 @when(
-    "an operator drains {zone} at controller {number:d}, which stands still, "
-    "and leaves after {seconds:d} second"
+    "an operator drains {zone} at controller {number:d}, which is frozen, "
+    "and hangs up after {seconds:d} second"
 )
 def drain_at_frozen(context, zone, number, seconds):
     _freeze_with_order(context, number, zone, seconds)
     context.fleet.run_for(seconds + 0.5)
 
 
-@when("controller {number:d} wakes")
-def wakes(context, number):
+@when("controller {number:d} resumes")
+def resumes(context, number):
     answer = _wake(context, number)
     assert answer.is_error(), answer
 
 
-@when("an operator drains {zone} at controller {number:d}, which stands still for half a second")
+@when("an operator drains {zone} at controller {number:d}, which is frozen for half a second")
 def drain_at_briefly_frozen(context, zone, number):
     _freeze_with_order(context, number, zone, 1.0)
     context.fleet.run_for(0.5)
@@ -64,7 +64,7 @@
 
 
 class _WatchedOrders:
-    """Keeps what an interface hands over with an order."""
+    """Records the arguments that an interface passes with an order."""
 
     def order(self, zone, draining, is_awaited):
         """Answer nothing yet."""
@@ -87,7 +87,7 @@
 
 
 class _WatchedReleases:
-    """Keeps what an interface hands over with a release."""
+    """Records the arguments that an interface passes with a release."""
 
     def release(self, fingerprint, is_awaited):
         """Answer nothing yet."""
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -1,7 +1,7 @@
-"""Relaying gateways before runners that warm up, in virtual time, with two keepers of placements.
+"""Relaying gateways in front of runners that warm up, in virtual time, with two placement nodes.
 
-The gateways, the placement service and the limiter are the product's; runners answer after a while
-and count what they get.
+The gateways, the placement service and the limiter are the real ones. The simulated runners answer
+after a delay and count their requests.
 """
 
 import random
@@ -40,27 +40,27 @@
 from rainsail.state.cluster_commands import ZoneDrain
 from rainsail.wire.messenger import Messenger
 
-KEEPERS = ("keeper-1", "keeper-2")
+PLACEMENT_NODES = ("placement-1", "placement-2")
 LINK = LinkConditions(delay_s=0.0009, jitter_s=0.0003)
 SLOTS = 8
 SLOT_TIME_S = 0.7
 RATE_PER_S = 7.0
 LASTS_S = 3.0
 BOUND = WarmUpBound(1.5, 5.0)
-WORD_AFTER_S = 0.15
-"""A runner's word reaches a node within this time."""
+REPORT_DELAY_S = 0.15
+"""A runner's report reaches each node within this time."""
 CONNECTED_WITHIN_S = 0.3
 
 
 class TimedPool:
-    """Connections of a gateway: a new one takes a moment, and an answer a slot's time."""
+    """A gateway's connections: connecting takes a random delay, an answer occupies a slot."""
 
     def __init__(self, world: "WarmUpWorld", clock: Any) -> None:
         self._world = world
         self._clock = clock
 
     def send(self, address: str, request: Any, listener: Any, fresh: bool = False) -> StandInCall:
-        """Send once connected."""
+        """Send a request after the connection delay."""
         call = StandInCall(address, request, listener)
         connects_s = CONNECTED_WITHIN_S * self._world.random.random() ** 8
         self._clock.callLater(connects_s, self._arrive, call)
@@ -83,10 +83,10 @@
         call.listener.answer_ended()
 
     def forget(self, address: str) -> None:
-        """No connection rests here."""
+        """Do nothing: no idle connections are kept."""
 
     def close_stale(self) -> None:
-        """No connection rests here."""
+        """Do nothing: no idle connections are kept."""
 
 
 def make_table() -> RoutingTable:
@@ -148,8 +148,8 @@
         self.transport.close()
 
 
-class Keeper:
-    """A storage node, of which only the placements are there; it also starts items."""
+class PlacementNode:
+    """A storage node reduced to the placement service; it also starts items."""
 
     def __init__(self, world: "WarmUpWorld", name: str) -> None:
         self.name = name
@@ -168,7 +168,7 @@
         )
 
     def start_item(self, record: RunnerRecord) -> None:
-        """Send an item if the runner may get it."""
+        """Send an item if the limiter allows it."""
         now = self._world.clock.seconds()
         if self.registry.is_ready(record.runner) and self.limiter.may_send(record, now):
             self.limiter.sent(record, now)
@@ -177,14 +177,14 @@
 
 @dataclass
 class Runner:
-    """What a runner is, when it is cold, and when requests came."""
+    """A runner's record, the periods when it is cold, and the times of its requests."""
 
     record: RunnerRecord
     cold: list[tuple[float, float]] = field(default_factory=list)
     sent_s: list[float] = field(default_factory=list)
 
     def most_while_cold(self) -> int:
-        """Return the most requests of any second in which it was cold throughout."""
+        """Return the most requests within any second of a cold period."""
         most = 0
         for began_s, ended_s in self.cold:
             times = [at_s for at_s in self.sent_s if began_s <= at_s <= ended_s]
@@ -197,7 +197,7 @@
 
 
 class WarmUpWorld:
-    """Gateways, two keepers of which one leads, runners of two zones."""
+    """Gateways, two placement nodes of which one leads, and runners in two zones."""
 
     def __init__(self, seed: int, gateways: int, runners: int) -> None:
         self.random = random.Random(seed)
@@ -205,7 +205,7 @@
         self.network = SimulatedNetwork(self.clock, random.Random(seed + 1), LINK)
         self.leading = ""
         self.answered: list[StandInExchange] = []
-        self.keepers = [Keeper(self, name) for name in KEEPERS]
+        self.placement_nodes = [PlacementNode(self, name) for name in PLACEMENT_NODES]
         self.gateways = [WarmUpGateway(self, f"gateway-{n}") for n in range(gateways)]
         self.runners = [self._runner(number) for number in range(runners)]
         self._by_address = {each.record.address: each for each in self.runners}
@@ -228,28 +228,28 @@
         return Runner(record)
 
     def registries(self) -> list[RunnerRegistry]:
-        """Return what each node knows of the runners."""
-        return [each.registry for each in (*self.keepers, *self.gateways)]
+        """Return the registries of all nodes."""
+        return [each.registry for each in (*self.placement_nodes, *self.gateways)]
 
     def note_sent(self, address: str) -> None:
-        """A request has reached a runner."""
+        """Record a request that has reached a runner."""
         self._by_address[address].sent_s.append(self.clock.seconds())
 
-    # --- what happens --------------------------------------------------------------------
+    # --- events --------------------------------------------------------------------------
 
-    def lead(self, name: str, told_after_s: float = 0.0) -> None:
-        """Have a keeper lead, or none with an empty name."""
+    def lead(self, name: str, notified_after_s: float = 0.0) -> None:
+        """Make a placement node the leader; an empty name means that none leads."""
         self.leading = name
         if name:
-            self.keepers[KEEPERS.index(name)].service.on_leadership_changed()
-            self.clock.callLater(told_after_s, self._tell_leader, name)
+            self.placement_nodes[PLACEMENT_NODES.index(name)].service.on_leadership_changed()
+            self.clock.callLater(notified_after_s, self._tell_leader, name)
 
     def _tell_leader(self, name: str) -> None:
         for gateway in self.gateways:
             gateway.follower.on_ledger_leader(name)
 
-    def press(self, per_s: float, for_s: float) -> None:
-        """Have requests come at random, at random gateways."""
+    def schedule_requests(self, per_s: float, for_s: float) -> None:
+        """Schedule requests at random times at random gateways."""
         at_s = self.random.expovariate(per_s)
         number = 0
         while at_s < for_s:
@@ -260,8 +260,8 @@
     def _ask(self, request: str) -> None:
         self.answered.append(self.random.choice(self.gateways).request(request))
 
-    def press_items(self, per_s: float, for_s: float) -> None:
-        """Have the leading keeper start items wherever the limiter lets it."""
+    def schedule_items(self, per_s: float, for_s: float) -> None:
+        """Schedule items that the leader starts wherever the limiter allows it."""
         at_s = self.random.expovariate(per_s)
         while at_s < for_s:
             self.clock.callLater(at_s, self._start_item)
@@ -269,27 +269,27 @@
 
     def _start_item(self) -> None:
         if self.leading:
-            keeper = self.keepers[KEEPERS.index(self.leading)]
-            keeper.start_item(self.random.choice(self.runners).record)
+            node = self.placement_nodes[PLACEMENT_NODES.index(self.leading)]
+            node.start_item(self.random.choice(self.runners).record)
 
     def go_cold(self, runner: Runner, silent_s: float) -> None:
-        """A runner is cold from now on, and says so a while later."""
+        """Make a runner cold now; it reports that after ``silent_s``."""
         now = self.clock.seconds()
         runner.cold.append((now, now + LASTS_S))
-        self.clock.callLater(silent_s, self.say, runner)
+        self.clock.callLater(silent_s, self.send_report, runner)
 
-    def say(self, runner: Runner) -> None:
-        """A runner's word reaches each node after a while of its own."""
+    def send_report(self, runner: Runner) -> None:
+        """Send a runner's report, which reaches each node after a random delay."""
         warm_at_s = max((ended_s for _, ended_s in runner.cold), default=0.0)
         left_s = max(0.0, warm_at_s - self.clock.seconds())
         record = replace(runner.record, sequence=runner.record.sequence + 1, warm_up_left_s=left_s)
         runner.record = record
         for registry in self.registries():
-            after_s = WORD_AFTER_S * self.random.random()
+            after_s = REPORT_DELAY_S * self.random.random()
             self.clock.callLater(after_s, registry.take, (record,))
 
     def drain(self, zone: str, for_s: float) -> None:
-        """A zone is drained for a while; its runners are cold at the end."""
+        """Drain a zone for a while; its runners are cold at the end."""
         self._tell_drain(ZoneDrain(zone, 1, True))
         self.clock.callLater(for_s, self._end_drain, zone)
 
@@ -301,11 +301,11 @@
 
     def _tell_drain(self, drain: ZoneDrain) -> None:
         for registry in self.registries():
-            after_s = WORD_AFTER_S * self.random.random()
+            after_s = REPORT_DELAY_S * self.random.random()
             self.clock.callLater(after_s, registry.take_zone_drains, (drain,))
 
     def restart(self, number: int) -> None:
-        """End a gateway's process and begin another, which knows what the others know."""
+        """Restart a gateway's process; it learns the current records at once."""
         known = self.gateways[number].registry
         self.gateways[number].stop()
         fresh = WarmUpGateway(self, self.gateways[number].name)
@@ -317,12 +317,12 @@
             fresh.follower.on_ledger_leader(self.leading)
 
     def cut_off(self, number: int) -> None:
-        """Cut a gateway off from the keepers, not from the runners."""
+        """Isolate a gateway from the placement nodes, but not from the runners."""
         self.network.isolate(self.gateways[number].name)
 
-    # --- judging -------------------------------------------------------------------------
+    # --- checks --------------------------------------------------------------------------
 
-    def most_over(self) -> float:
-        """Return by how much the fullest second of a cold runner passes the bound."""
+    def excess_over_bound(self) -> float:
+        """Return by how much the busiest second of a cold runner exceeds the bound."""
         most = max(runner.most_while_cold() for runner in self.runners)
         return most - BOUND.in_window(RATE_PER_S)
--- a/src/rainsail/cluster/committed_copy.py
+++ b/src/rainsail/cluster/committed_copy.py
@@ -1,9 +1,10 @@
-"""A controller's copy of what it has last applied, to tell nodes of right after a start.
+"""A controller's durable copy of the committed state, served to nodes right after a restart.
 
-After a loss of all power a controller knows its log, but what of it is committed only once the
-group has a leader again. What it had applied before was committed, so it may tell nodes of that at
-once: a node that starts knows nothing newer. A controller outside the group has it from those
-inside. The copy is written after it counts, so it may lag; it never runs ahead.
+After a power loss of the whole fleet a controller can read its log, but it learns how far the log
+is committed only when the group has elected a leader. State that it had applied earlier is
+certainly committed, so it may be served at once: a node that has just started knows nothing newer.
+A controller outside the group receives the state from its members. The copy is written after the
+state is committed, so it may lag behind but is never ahead.
 """
 
 from dataclasses import dataclass
@@ -31,7 +32,7 @@
 @wire_record("CommittedCopy")
 @dataclass(frozen=True, slots=True)
 class CommittedCopy:
-    """The routing table (version 0: none), the orders on zones, and the requests that are held."""
+    """The routing table (version 0: none), the zone drain orders and the held requests."""
 
     version: int
     content: bytes
@@ -43,7 +44,7 @@
 
 
 class CommittedCopies:
-    """Keeps the newest of what was read, applied here or told by other controllers."""
+    """Holds the newest committed state: read from disk, applied here or received from others."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         drains: KnownZoneDrains,
         quarantine: QuarantineBook,
     ) -> None:
-        """``drains`` and ``quarantine`` have what this controller has heard of."""
+        """``drains`` and ``quarantine`` hold what this controller has learned so far."""
         self._files = files
         self._state = state
         self._drains = drains
@@ -64,7 +65,7 @@
     def load(self) -> CommittedCopy:
         """Read the copy and return it.
 
-        Without a copy that can be read nothing is told before the group leads.
+        Without a readable copy, nodes get no state until the group has elected a leader.
         """
         try:
             if not self._files.exists(PATH):
@@ -80,14 +81,14 @@
         return self._written
 
     def note_table(self, document: TableDocument) -> None:
-        """Take a table that another controller told of."""
+        """Take a table received from another controller."""
         if document.version > self._received.version:
             self._received = document
             self.changed()
 
     @property
     def version(self) -> int:
-        """The version of the newest table that is surely committed, 0 for none."""
+        """The version of the newest table known to be committed, 0 for none."""
         return max(self._state.version, self._received.version)
 
     @property
@@ -97,7 +98,7 @@
         return self._received.content if ahead else self._state.content
 
     def changed(self) -> None:
-        """Write what is known now, unless that has been done; one writing at a time."""
+        """Write the current state unless it is on disk already; one write at a time."""
         copy = CommittedCopy(
             self.version, self.content, self._drains.orders(), self._quarantine.current
         )
@@ -123,7 +124,7 @@
             return Error(Fault(FaultCode.STORAGE, "cluster.committed_copy", str(error)))
 
     def _end(self, result: Result[None, Fault], copy: CommittedCopy) -> None:
-        """Go on with what was applied meanwhile; after a fault the next change tries again."""
+        """Write what was applied in the meantime; after a fault, the next change retries."""
         self._writing = False
         if result.is_error():
             logger.bind(fault=str(result.error)).warning("committed_copy_not_written")
--- a/src/rainsail/cluster/controller.py
+++ b/src/rainsail/cluster/controller.py
@@ -1,11 +1,12 @@
 """A controller: serves runners, operators and nodes over the root group.
 
-Durable: the routing table, the ledger's founders, the nodes to be emptied, the zone drains and the
-requests that are held (``FleetState``, in the root group's log). Soft: the registry of runners and
-the directory of nodes, rebuilt from reports and heartbeats within one heartbeat's period.
+Durable state: the routing table, the founders of the ledger group, the storage nodes to be emptied,
+the zone drains and the held requests (``FleetState``, in the root group's log). Soft state: the
+registry of runners and the directory of nodes, rebuilt from reports and heartbeats within one
+heartbeat period.
 
-Puts the parts together: ``reports`` (runners), ``tables``, ``emptying``, ``zone_drains`` and
-``quarantine`` (operators), the answers to heartbeats (nodes), and what is planned now and then.
+Assembles the parts: ``reports`` (runners), ``tables``, ``emptying``, ``zone_drains`` and
+``quarantine`` (operators), the heartbeat replies (nodes) and the periodic tasks.
 """
 
 from dataclasses import dataclass
@@ -27,15 +28,15 @@
 from rainsail.state.cluster_commands import ZoneDrain
 
 PLAN_PERIOD_S = 0.25
-"""Time between two looks at who may join the root group, and at whether the ledger can be founded.
+"""Period of the checks which controllers may join the root group and whether to found the ledger.
 
-Not measured; it delays a change of the root group's members by less than an election does.
+A change of the root group's members is delayed by less than an election takes.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What one controller knows of the fleet, for its operator."""
+    """Summary of the fleet as one controller sees it, for operators."""
 
     table_version: int
     runners_ready: int
@@ -73,15 +74,15 @@
         self.zone_drains.serve(context.messenger)
 
     def start(self) -> None:
-        """Begin to plan and to follow the other controllers."""
+        """Start the periodic tasks."""
         self._plan()
 
     def stop(self) -> None:
-        """Plan no more."""
+        """Stop the periodic tasks."""
         self._stopped = True
 
     def status(self) -> ControllerStatus:
-        """Return what this controller knows now; runners that warm up are among the ready ones."""
+        """Return the current summary; ``runners_ready`` includes the runners that warm up."""
         registry = self._context.registry
         runners = [each.runner for each in registry.records()]
         ready = [runner for runner in runners if registry.is_ready(runner)]
@@ -94,7 +95,7 @@
         self.tables.on_applied(index)
 
     def _notice_zone_drains(self) -> None:
-        """Obey orders on zones that were committed, and tell the nodes of them."""
+        """Apply newly committed zone drain orders and push them to the nodes."""
         context = self._context
         drains = context.state.zone_drains()
         if drains == self._noticed_drains:
--- a/src/rainsail/cluster/controller_context.py
+++ b/src/rainsail/cluster/controller_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller share: its settings, and what it is given from outside."""
+"""Dependencies and settings shared by the parts of a controller."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerSettings:
-    """How a controller is set up.
+    """Settings of a controller.
 
     ``losses`` is how many machines with a disk may be lost at one time, ``zones`` the zones of the
-    fleet (empty: not named). ``order_within_s`` and ``share_within_s`` are the seconds after which
-    the caller of an operator's order, or of a runner's report, hears that the outcome is unclear.
-    Neither was measured; both end within the second that a call between nodes may take.
+    fleet (empty: not configured). ``order_within_s`` and ``share_within_s`` are the deadlines of an
+    operator's order and of a runner's report, after which the caller is told that the outcome is
+    unknown. Both are shorter than the second that a call between nodes may take.
     """
 
     losses: int = 1
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerContext:
-    """One controller: its place in the root group and its ways to the other nodes.
+    """One controller: its member of the root group and its connections to the other nodes.
 
-    ``state`` is the root group's replicated state as this member has applied it. ``directory``
-    holds the nodes that have sent heartbeats to this controller.
+    ``state`` is the root group's replicated state as applied by this member. ``directory`` holds
+    the nodes that have sent heartbeats to this controller.
     """
 
     node: NodeRecord
@@ -52,7 +52,7 @@
 
     @property
     def epoch(self) -> int:
-        """Tells this run of the controller from earlier ones at the same address."""
+        """Distinguishes this run of the controller from earlier ones at the same address."""
         return self.node.incarnation
 
     def live_nodes(self) -> tuple[str, ...]:
--- a/src/rainsail/cluster/directory.py
+++ b/src/rainsail/cluster/directory.py
@@ -1,11 +1,11 @@
-"""Which nodes there are, as a controller hears it from their beats."""
+"""The nodes of the fleet, as a controller learns them from their heartbeats."""
 
 from dataclasses import dataclass
 
 from rainsail.cluster.messages import LedgerStatus, NodeRecord, NodeRole
 
 NODE_SILENT_AFTER_S = 3.0
-"""A node that sent no beat for this long is taken as away."""
+"""A node that has sent no heartbeat for this long counts as down."""
 
 
 @dataclass(slots=True)
@@ -16,20 +16,20 @@
 
 
 class NodeDirectory:
-    """The nodes that have sent beats, by address."""
+    """The nodes that have sent heartbeats, by address."""
 
     def __init__(self) -> None:
         self._nodes: dict[str, _NodeEntry] = {}
 
     def note_heartbeat(self, node: NodeRecord, ledger: LedgerStatus | None, now: float) -> bool:
-        """Note a beat; True when the node is new or has come back."""
+        """Record a heartbeat; True if the node is new or was down before."""
         known = self._nodes.get(node.address)
         is_new = known is None or now - known.at_s >= NODE_SILENT_AFTER_S
         self._nodes[node.address] = _NodeEntry(node, now, ledger)
         return is_new
 
     def live(self, role: NodeRole, now: float) -> list[NodeRecord]:
-        """Return the nodes of a role that were heard of lately, by address."""
+        """Return the live nodes of a role, sorted by address."""
         found = [
             heard.node
             for heard in self._nodes.values()
@@ -42,11 +42,11 @@
         return tuple(node.address for node in self.live(role, now))
 
     def zones(self) -> frozenset[str]:
-        """Return the zones of all nodes heard of."""
+        """Return the zones of all nodes that have ever sent a heartbeat."""
         return frozenset(heard.node.zone for heard in self._nodes.values())
 
     def find(self, name: str, role: NodeRole) -> NodeRecord | None:
-        """Return the node of a name that was heard of last."""
+        """Return the node of a name and role, the last heard from if several, None if unknown."""
         found = [
             heard
             for heard in self._nodes.values()
--- a/src/rainsail/cluster/emptying.py
+++ b/src/rainsail/cluster/emptying.py
@@ -1,4 +1,4 @@
-"""Emptying storage nodes: an operator's order, and how far it is."""
+"""Emptying (decommissioning) of storage nodes: an operator's order and its progress."""
 
 from typing import Any
 
@@ -18,11 +18,11 @@
 from rainsail.wire.messenger import Messenger
 
 ORDER_WITHIN_S = 0.9
-"""After this time the operator hears that the outcome is unclear."""
+"""After this time the operator is told that the outcome is unknown."""
 
 
 class EmptyingOrders:
-    """Takes orders at any controller; the leader decides on them."""
+    """Accepts orders at any controller and forwards them to the leader, which decides."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         self._losses = losses
 
     def serve(self, messenger: Messenger) -> None:
-        """Answer other controllers while this one leads."""
+        """Register the handlers for calls that other controllers forward to the leader."""
         messenger.serve(EmptyNode, lambda source, message: self._empty_as_leader(message))
         messenger.serve(ReadEmptying, lambda source, message: self._status_as_leader(message))
 
     def empty(self, name: str) -> "Deferred[Result[Any, Fault]]":
-        """Have a storage node emptied; NOT_FOUND when unknown, CONFLICT if too few would stay."""
+        """Empty a storage node; NOT_FOUND if it is unknown, CONFLICT if too few would remain."""
         return self._calls.call(EmptyNode(name), self._empty_as_leader, ORDER_WITHIN_S)
 
     def status(self, name: str) -> "Deferred[Result[Any, Fault]]":
-        """Return how far a node's emptying is; NOT_FOUND when none was asked for."""
+        """Return the progress of a node's emptying; NOT_FOUND if it was not ordered."""
         return self._calls.call(ReadEmptying(name), self._status_as_leader, ORDER_WITHIN_S)
 
     def _empty_as_leader(self, message: EmptyNode) -> Any:
@@ -70,7 +70,7 @@
         return proposed.addCallback(reply_to_proposal, EmptyingStatus(message.name, False))
 
     def _staying_without(self, address: str) -> int:
-        """Return how many live storage nodes would stay without one."""
+        """Return how many live storage nodes would remain without this one."""
         leaving = {address, *self._state.released}
         live = self._directory.live(NodeRole.STORAGE, self._clock.seconds())
         return sum(1 for node in live if node.address not in leaving)
--- a/src/rainsail/cluster/fleet_state.py
+++ b/src/rainsail/cluster/fleet_state.py
@@ -1,7 +1,7 @@
 """The replicated state of the root group.
 
-It holds the routing table, the ledger's founders, the storage nodes that leave, the zone drains and
-the requests that are kept away from runners.
+It holds the routing table, the founders of the ledger group, the storage nodes to be emptied, the
+zone drains and the requests that must not reach any runner.
 """
 
 from collections.abc import Iterable, Iterator
@@ -69,11 +69,11 @@
         return Done()
 
     def zone_drain(self, zone: str) -> ZoneDrain:
-        """Return the newest order on a zone; revision 0 stands for none."""
+        """Return the newest order on a zone; revision 0 if there is none."""
         return self._zone_drains.get(zone, ZoneDrain(zone, 0, draining=False))
 
     def zone_drains(self) -> tuple[ZoneDrain, ...]:
-        """Return the newest order on each zone that ever had one, by zone."""
+        """Return the newest order on each zone that ever had one, sorted by zone."""
         return tuple(self._zone_drains[zone] for zone in sorted(self._zone_drains))
 
     def snapshot(self) -> Iterator[bytes]:
@@ -89,7 +89,7 @@
         return iter((encode(snapshot),))
 
     def restore(self, chunks: Iterable[bytes]) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with a snapshot."""
         snapshot = decode(b"".join(chunks))
         self.version = snapshot.version
         self.content = snapshot.content
--- a/src/rainsail/cluster/fleet_views.py
+++ b/src/rainsail/cluster/fleet_views.py
@@ -1,7 +1,7 @@
-"""What a controller knows of the fleet's nodes, and the view of it that heartbeats are answered by.
+"""A controller's knowledge of the fleet's nodes, and the view of it sent in heartbeat replies.
 
-Relies on the root group's membership and state, on the directory of nodes that send heartbeats
-here, and, while this controller is outside the group, on what its own follower has heard.
+The sources are the root group's membership and state, the directory of nodes that send heartbeats
+here and, while this controller is outside the group, what its own follower has learned.
 """
 
 from rainsail.cluster.controller_context import ControllerContext
@@ -10,14 +10,14 @@
 from rainsail.cluster.messages import FleetView, NodeRole
 
 GATEWAY_COUNT_STEP = 32
-"""The count of gateways is rounded up to a multiple of this, so that a view seldom changes.
+"""The number of gateways is rounded up to a multiple of this, so that the view rarely changes.
 
-Not measured; it has to be larger than the number of gateways that start or end in a minute.
+It has to be larger than the number of gateways that start or stop within a minute.
 """
 
 
 class FleetViews:
-    """Makes the view of one controller, and answers who the other controllers are."""
+    """Builds the view of one controller and lists the other controllers."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
@@ -25,34 +25,34 @@
 
     @property
     def number(self) -> int:
-        """The number of the latest view; it rises whenever the view changes."""
+        """The number of the latest view; it increases whenever the view changes."""
         return self._numbered.number
 
     def current(self) -> FleetView:
-        """Return the view of now, or of a moment ago."""
+        """Return the view, from a short-lived cache."""
         return self._numbered.current(self._context.clock.seconds())
 
     def voters(self) -> tuple[str, ...]:
-        """Return the root group's voters; a controller outside the group knows them by hearsay."""
+        """Return the root group's voters; outside the group, as other controllers report them."""
         own = tuple(member.replica for member in self._context.group.members().voters())
         return own or self._context.follower.controllers.voters()
 
     def other_controllers(self) -> list[str]:
-        """Return the controllers to ask when this one does not lead."""
+        """Return the controllers to call when this one does not lead."""
         context = self._context
         known = {*self._make(context.clock.seconds()).controllers, *self._heard_controllers()}
         named = self.voters() or known
         return sorted(name for name in named if name != context.node.address)
 
     def is_followed(self) -> bool:
-        """Tell whether nodes send heartbeats to this controller, so that its pushes reach them."""
+        """Tell whether all nodes send heartbeats here, so that they get the pushes from here."""
         known = {*self._numbered.view.controllers, *self._heard_controllers()}
         return self._context.node.address in self.voters() or len(known) <= FOLLOW_ALL_LIMIT
 
     def contacts(self) -> tuple[str, ...]:
-        """Return the controllers that may join, or whom this one asks to let it join.
+        """Return the controllers that may join, or the ones to ask for admission.
 
-        Before the first heartbeats arrive a controller knows the others from its seeds alone.
+        Before the first heartbeats arrive, a controller knows the others only from its seeds.
         """
         context = self._context
         known = {*self.current().controllers, *self._heard_controllers()}
@@ -63,7 +63,7 @@
         return tuple(sorted(asked))
 
     def zones(self) -> frozenset[str]:
-        """Return the fleet's zones: as the settings name them, else as nodes and runners do."""
+        """Return the fleet's zones: those in the settings, or else those of nodes and runners."""
         context = self._context
         return context.settings.zones or context.directory.zones() | context.registry.zones()
 
--- a/src/rainsail/cluster/follower.py
+++ b/src/rainsail/cluster/follower.py
@@ -1,8 +1,9 @@
-"""A node's side of the fleet: it sends heartbeats to controllers and takes up what they report.
+"""The node's side of fleet membership: sends heartbeats to controllers and applies their updates.
 
-Nothing here is durable. What controllers push is taken up at once; each heartbeat makes good
+Nothing here is durable. Pushes from controllers are applied at once; each heartbeat reply covers
 whatever a lost push left out. A node keeps its last view while no controller answers. Relies on
-``known_controllers`` for who is in touch, and on the registry for which report is newer.
+``known_controllers`` for which controllers are in touch, and on the registry for which of two
+reports is newer.
 """
 
 from collections.abc import Callable
@@ -36,16 +37,16 @@
 from rainsail.wire.messenger import Messenger
 
 FIRST_HEARTBEATS_PERIOD_S = 0.1
-"""Time between two heartbeats while no controller has answered yet.
+"""Heartbeat period until the first controller has answered.
 
-Not measured; a node that starts together with its controllers waits for them this much at most.
+It bounds the extra wait of a node that starts together with its controllers.
 """
 CALL_TIMEOUT_S = 1.0
-"""How long an answer to a heartbeat or the content of a table may take: one heartbeat's period."""
+"""Timeout of a heartbeat and of fetching a table: one heartbeat period."""
 
 
 class FleetFollower:
-    """Keeps a node's view of the fleet fresh."""
+    """Keeps a node's view of the fleet up to date."""
 
     def __init__(
         self,
@@ -78,24 +79,24 @@
         messenger.serve(LedgerLeader, self._take_ledger_leader)
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Start to send heartbeats."""
         self.controllers.add_seeds()
         self._run_periodically()
 
     def stop(self) -> None:
-        """Send no more heartbeats."""
+        """Stop to send heartbeats."""
         self._stopped = True
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds, when the settings name others."""
+        """Replace the seeds after the settings have changed."""
         self.controllers.add_seeds(seeds)
 
     def heartbeat_targets(self) -> list[str]:
-        """Return the controllers that this node sends heartbeats to now."""
+        """Return the controllers that this node currently sends heartbeats to."""
         return self.controllers.heartbeat_targets(self._rounds)
 
     def view(self) -> FleetView:
-        """Return what all controllers that have answered say together."""
+        """Return the merged view of all controllers that have answered."""
         views = [each.view for each in self.controllers.answered()]
         newest = self.controllers.newest_view()
         leaders = [(view.ledger_term, view.ledger_leader) for view in views if view.ledger_leader]
@@ -127,7 +128,7 @@
         self._clock.callLater(period_s, self._run_periodically)
 
     def send_heartbeat(self, address: str) -> None:
-        """Send one heartbeat, unless the last one still waits for its answer."""
+        """Send one heartbeat, unless the previous one is still unanswered."""
         controller = self.controllers.get_or_add(address)
         if controller.waiting:
             return
@@ -160,7 +161,7 @@
         self.on_view(self.view())
         self._fetch_if_newer(address, reply.table_version)
 
-    # --- what controllers say ------------------------------------------------------------
+    # --- updates from controllers --------------------------------------------------------
 
     def _take_update(self, source: str, update: RunnerUpdate) -> None:
         controller = self.controllers.get(source)
@@ -185,7 +186,7 @@
         self.take_zone_drains(notice.zone_drains)
 
     def take_zone_drains(self, drains: tuple[ZoneDrain, ...]) -> None:
-        """Obey the operator's orders on zones, as far as they are newer than those known."""
+        """Apply those of the operators' zone drain orders that are newer than the known ones."""
         for drain in self.registry.take_zone_drains(drains):
             log = logger.bind(zone=drain.zone, draining=drain.draining, order=drain.revision)
             log.info("zone_drain_obeyed")
@@ -194,7 +195,7 @@
         self.take_quarantine(notice.quarantine)
 
     def take_quarantine(self, quarantine: Quarantine) -> None:
-        """Keep the held requests from runners, if the list is newer than the one known."""
+        """Apply the list of held requests if it is newer than the known one."""
         if self.quarantine.take(quarantine):
             log = logger.bind(revision=quarantine.revision, held=len(self.quarantine.held))
             log.info("quarantine_obeyed")
@@ -206,7 +207,7 @@
         self.on_ledger_leader(self.view().ledger_leader)
 
     def announce_prefill(self, runner: str, reading_s: float) -> None:
-        """Have a controller tell the other gateways that a runner is busy with a long prompt."""
+        """Have a controller notify the other gateways that a runner is busy with a long prompt."""
         in_touch = self.controllers.in_touch()
         if in_touch:
             self._messenger.send(in_touch[0], RunnerPrefill(runner, reading_s))
--- a/src/rainsail/cluster/founders.py
+++ b/src/rainsail/cluster/founders.py
@@ -1,4 +1,4 @@
-"""Which storage nodes found the ledger group."""
+"""Selects the founders of the ledger group: the storage nodes that are its first voters."""
 
 from rainsail.cluster.messages import NodeRecord
 
@@ -6,12 +6,12 @@
 
 
 def voters_for(losses: int) -> int:
-    """Return how many voters bear the loss of ``losses`` of them."""
+    """Return the number of voters that tolerates the loss of ``losses`` of them."""
     return EXTRA_VOTERS_PER_LOSS * losses + 1
 
 
 def choose_founders(nodes: list[NodeRecord], wanted: int) -> tuple[str, ...]:
-    """Return an odd number of nodes' addresses, spread over the zones in turn."""
+    """Return the addresses of an odd number of nodes, spread round-robin over the zones."""
     count = min(wanted, len(nodes))
     if count and count % 2 == 0:
         count -= 1
--- a/src/rainsail/cluster/heartbeat_replies.py
+++ b/src/rainsail/cluster/heartbeat_replies.py
@@ -1,4 +1,4 @@
-"""What a controller answers to beats, made once for the many nodes that get the same."""
+"""Contents of heartbeat replies, built once and shared by all nodes that need the same."""
 
 from collections.abc import Callable
 
@@ -8,11 +8,11 @@
 from rainsail.wire.codec import encode
 
 VIEW_REFRESH_PERIOD_S = 0.05
-"""A view is made anew after this time: hundreds of nodes ask for it each second."""
+"""The view is rebuilt at most this often, since hundreds of nodes request it each second."""
 
 
 class NumberedView:
-    """The latest view, made anew now and then, and a number that rises when it has changed."""
+    """A cached view, rebuilt periodically, with a number that increases whenever it changes."""
 
     def __init__(self, make: Callable[[float], FleetView]) -> None:
         self.view = EMPTY_VIEW
@@ -21,7 +21,7 @@
         self._made_s = float("-inf")
 
     def current(self, now: float) -> FleetView:
-        """Return the view of now, or of a moment ago."""
+        """Return the view, rebuilt if it is older than ``VIEW_REFRESH_PERIOD_S``."""
         if now - self._made_s >= VIEW_REFRESH_PERIOD_S:
             self._made_s = now
             view = self._make(now)
@@ -32,7 +32,7 @@
 
 
 class RunnerPages:
-    """Encoded runners by the revision after which they have changed."""
+    """Cache of encoded pages: the runners that changed after a given registry revision."""
 
     def __init__(self, registry: RunnerRegistry) -> None:
         self._registry = registry
@@ -40,7 +40,7 @@
         self._made_at_revision = 0
 
     def since(self, revision: int) -> bytes:
-        """Return the encoded runners that changed after a revision; empty when none has."""
+        """Return the encoded runners that changed after a revision; empty if none did."""
         newest = self._registry.revision
         if revision == newest:
             return b""
--- a/src/rainsail/cluster/heartbeat_targets.py
+++ b/src/rainsail/cluster/heartbeat_targets.py
@@ -1,14 +1,15 @@
-"""Which controllers a node beats to. Pure: what is known is handed in.
+"""Selects the controllers that a node sends heartbeats to. Pure functions.
 
-A node follows every controller of a small fleet. In a large one it follows the voters of the root
-group, whose number does not grow with the fleet: what a quorum of them knows, every node hears.
-While most voters say nothing it asks some others in turn, which may know of other voters.
+In a small fleet a node follows every controller. In a large one it follows the voters of the root
+group, whose number does not grow with the fleet: whatever a quorum of them knows reaches every
+node. While most voters do not answer, the node also probes other controllers in rotation, since
+they may know of new voters.
 """
 
 from collections.abc import Collection, Mapping, Sequence
 
 FOLLOW_ALL_LIMIT = 7
-"""Up to so many controllers a node follows them all."""
+"""With up to this many controllers, a node follows all of them."""
 PROBES_PER_ROUND = 2
 UNRESPONSIVE_AFTER_S = 2.5
 
@@ -37,7 +38,7 @@
 
 
 def rotating_subset(names: Sequence[str], turn: int, count: int) -> list[str]:
-    """Return ``count`` of the names, others in each turn until all were named."""
+    """Return ``count`` names; successive turns rotate through all of them."""
     if len(names) <= count:
         return list(names)
     first = turn * count % len(names)
--- a/src/rainsail/cluster/incarnation_order.py
+++ b/src/rainsail/cluster/incarnation_order.py
@@ -1,17 +1,17 @@
-"""Orders the incarnations of runners whose clocks were set back between two starts. Pure.
-
-Incarnations of one runner are ordered by ``born``, the time of their start, at every node. One that
-starts after its clock was set back would count as a former one until its clock has passed the start
-of the one before. A controller therefore puts an epoch above the time: the births in its records,
-and so in all that it tells other nodes, are ``epoch * 2**TIME_BITS + time``. The epoch rises with
-each incarnation that is found to be new although its time is earlier. Nodes compare births as
-before, and each controller finds the time again in the birth, so that it knows the runner's own
-reports as those of the incarnation in force.
-
-A late report of a former incarnation looks like the first one of such a new incarnation. It is told
-apart by this: its time of start may be known from before, and it stands alone or comes in a burst
-when a cut ends, while a living runner goes on reporting, with rising numbers, beside a known
-incarnation that has fallen silent.
+"""Orders the incarnations of runners whose clocks were set back between two starts. Pure logic.
+
+All nodes order the incarnations of one runner by ``born``, the time of their start. A runner that
+restarts after its clock was set back would count as an old incarnation until its clock passes the
+previous start time. A controller therefore prefixes the time with an epoch: ``born`` in its
+records, and in everything it sends to other nodes, is ``epoch * 2**TIME_BITS + time``. The epoch
+increases with each incarnation that is found to be new although its start time is earlier. Nodes
+still compare plain numbers, and each controller can extract the time from ``born``, so it
+recognizes the runner's own reports as those of the current incarnation.
+
+A delayed report of a former incarnation looks like the first report of such a new one. The two
+differ as follows. The start time of a former incarnation may already be known, and delayed reports
+are single or come in a burst when a network partition heals. A live runner keeps reporting with
+increasing sequence numbers while the known incarnation is silent.
 """
 
 from dataclasses import dataclass, replace
@@ -19,24 +19,24 @@
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 
 TIME_BITS = 44
-"""Bits of a birth that hold a time in milliseconds since 1970: enough for some centuries."""
+"""Low bits of ``born`` for the time in milliseconds since 1970: enough for some centuries."""
 TIME_MASK = (1 << TIME_BITS) - 1
 REPLACEABLE_AFTER_S = 4.0
-"""An incarnation that has reported nothing for this long gives way to one that started earlier.
+"""An incarnation that has been silent for this long may be replaced by one with an earlier start.
 
-The time of three heartbeats.
+It covers three heartbeats of a runner.
 """
 MIN_REPORTS = 3
-"""Reports with rising numbers that a new incarnation with an earlier time must have made."""
+"""Reports with increasing sequence numbers needed from an incarnation with an earlier start."""
 MIN_REPORT_SPAN_S = 3.0
-"""The time between the first and the last of these reports; what a cut held back comes at once."""
+"""Least time between the first and last of them; a partition's delayed reports come at once."""
 MAX_FORMER_INCARNATIONS = 8
-"""Former incarnations of a runner whose times of start are remembered."""
+"""How many former incarnations of a runner are remembered by their start times."""
 
 
 @dataclass(slots=True)
 class _Candidate:
-    """Reports of an incarnation that may be new although its time of start is earlier."""
+    """Reports of an incarnation that may be new although its start time is earlier."""
 
     born: int
     first_s: float
@@ -45,26 +45,26 @@
 
 
 class IncarnationOrder:
-    """Gives the reports of each runner the births by which they are ordered."""
+    """Assigns the reports of each runner the ``born`` values by which they are ordered."""
 
     def __init__(self) -> None:
         self._candidates: dict[str, _Candidate] = {}
         self._former: dict[str, tuple[int, ...]] = {}
-        """The times of start of the incarnations that others have replaced, by runner."""
+        """The start times of the replaced incarnations, by runner."""
 
     def forget(self, runner: str) -> None:
-        """Forget a runner that is not kept any more."""
+        """Drop the data of a runner that is no longer in the registry."""
         self._candidates.pop(runner, None)
         self._former.pop(runner, None)
 
     def on_replaced(self, former: RunnerRecord) -> None:
-        """Note that a later incarnation has taken the place of one."""
+        """Record that a later incarnation has replaced this one."""
         self._candidates.pop(former.runner, None)
         known = self._former.get(former.runner, ())
         self._former[former.runner] = (*known, former.born & TIME_MASK)[-MAX_FORMER_INCARNATIONS:]
 
     def ordered_birth(self, known: RunnerRecord, born: int) -> int:
-        """Return the birth by which a runner is ordered that says when it started."""
+        """Return the ``born`` value to order by, given the start time that a runner reports."""
         epoch, time = known.born >> TIME_BITS, known.born & TIME_MASK
         if not epoch or born > TIME_MASK:
             return born
@@ -74,9 +74,9 @@
     def resolve(
         self, known: RunnerRecord, report: RunnerRecord, silent_s: float, now: float
     ) -> RunnerRecord:
-        """Return a report with the birth by which it is ordered.
+        """Return a report with the ``born`` value to order by.
 
-        ``silent_s`` is how long nothing was heard of the known incarnation.
+        ``silent_s`` is the time since the last report of the known incarnation.
         """
         born = self.ordered_birth(known, report.born)
         if born >= known.born:
@@ -89,7 +89,7 @@
     def _is_new(
         self, known: RunnerRecord, report: RunnerRecord, silent_s: float, now: float
     ) -> bool:
-        """Tell whether reports with an earlier time of start have shown a new incarnation."""
+        """Tell whether the reports with an earlier start time prove a new incarnation."""
         runner = known.runner
         is_former = report.born in self._former.get(runner, ())
         if not report.born or report.born > TIME_MASK or is_former:
--- a/src/rainsail/cluster/incarnation_tracker.py
+++ b/src/rainsail/cluster/incarnation_tracker.py
@@ -1,19 +1,19 @@
-"""Notes which incarnation of each runner a node has heard of last. Pure."""
+"""Tracks the latest incarnation of each runner that a node has learned of. Pure logic."""
 
 from rainsail.cluster.messages import RunnerRecord, RunnerState
 
 MAX_RUNNERS = 20_000
-"""So many runners are remembered, those heard of last. One that crashes for good never says so."""
+"""The longest unreported runners beyond this number are dropped: crashed ones never deregister."""
 
 
 class IncarnationTracker:
-    """When each runner that is not gone was born."""
+    """Start times of all runners that are not gone."""
 
     def __init__(self) -> None:
         self._born: dict[str, int] = {}
 
     def observe_restart(self, record: RunnerRecord) -> bool:
-        """Note a report; tell whether its runner has started again since the report before."""
+        """Record a report; tell whether its runner has restarted since the previous report."""
         known = self._born.pop(record.runner, record.born)
         if record.state != RunnerState.GONE:
             self._born[record.runner] = max(known, record.born)
--- a/src/rainsail/cluster/known_controllers.py
+++ b/src/rainsail/cluster/known_controllers.py
@@ -1,6 +1,6 @@
-"""The controllers that a node knows: when each answered last, and what it said of the fleet.
+"""The controllers that a node knows: when each last answered, and its view of the fleet.
 
-Owns nothing durable. Which of them a node sends heartbeats to is decided by ``followed``.
+Nothing here is durable. ``heartbeat_targets`` decides which of them get heartbeats.
 """
 
 from dataclasses import dataclass
@@ -11,23 +11,23 @@
 
 NEVER_S = float("-inf")
 HEARTBEAT_PERIOD_S = 1.0
-"""Time between two heartbeats to a controller.
+"""Period of the heartbeats to a controller.
 
-Not measured; whatever a lost push left out is made good after this time.
+Whatever a lost push left out is covered after this time.
 """
 IN_TOUCH_WITHIN_S = 2 * HEARTBEAT_PERIOD_S
-"""A controller counts as in touch for two heartbeats: a single one may get lost."""
+"""A controller stays in touch for two heartbeat periods, since a single heartbeat may be lost."""
 FORGOTTEN_AFTER_S = 30.0
-"""A controller that nobody names and that answers nothing is forgotten after this time.
+"""An unresponsive controller that no view lists any more is forgotten after this time.
 
-Not measured; it has to be longer than the restart of a machine.
+It has to be longer than the restart of a machine.
 """
 EMPTY_VIEW = FleetView((), (), (), (), "")
 
 
 @dataclass(slots=True)
 class KnownController:
-    """One controller, as far as this node has heard of it.
+    """One controller, as far as this node knows it.
 
     ``epoch``, ``revision`` and ``view_number`` say which of its state this node has.
     ``last_answer_s`` is when it last answered, ``known_since_s`` when this node first knew its
@@ -40,7 +40,7 @@
     view_number: int = 0
     last_answer_s: float = NEVER_S
     waiting: bool = False
-    """Whether a heartbeat waits for its answer."""
+    """Whether a heartbeat is unanswered so far."""
     fetching: bool = False
     """Whether a routing table is being fetched from it."""
     view: FleetView = EMPTY_VIEW
@@ -52,39 +52,39 @@
 
 
 class KnownControllers:
-    """All controllers that were ever named to a node, by address."""
+    """All controllers that a node has learned of and not forgotten, by address."""
 
     def __init__(self, own_address: str, seeds: tuple[str, ...], clock: Clock) -> None:
-        """``seeds`` are the controllers that the settings name; they are never forgotten."""
+        """``seeds`` are the controllers in the settings; they are never forgotten."""
         self._own_address = own_address
         self._seeds = seeds
         self._clock = clock
         self._by_address: dict[str, KnownController] = {}
 
     def add_seeds(self, seeds: tuple[str, ...] | None = None) -> None:
-        """Know the seeds, or others that the settings name now."""
+        """Add the seeds; ``seeds`` replaces the former ones if given."""
         if seeds is not None:
             self._seeds = seeds
         for address in self._seeds:
             self.get_or_add(address)
 
     def get_or_add(self, address: str) -> KnownController:
-        """Return the controller of an address, one more if it was not known."""
+        """Return the controller at an address; add it if it is unknown."""
         known = self._by_address.get(address)
         if known is None:
             known = self._by_address[address] = KnownController(self._clock.seconds())
         return known
 
     def get(self, address: str) -> KnownController | None:
-        """Return the controller of an address, None when it is not known."""
+        """Return the controller at an address, None if it is unknown."""
         return self._by_address.get(address)
 
     def addresses(self) -> tuple[str, ...]:
-        """Return the addresses of all known controllers, in order."""
+        """Return the addresses of all known controllers, sorted."""
         return tuple(sorted(self._by_address))
 
     def note_answer(self, controller: KnownController, reply: NodeHeartbeatReply) -> None:
-        """Note the answer to a heartbeat, and add the controllers that it names."""
+        """Record the reply to a heartbeat, and add the controllers that it lists."""
         controller.last_answer_s = self._clock.seconds()
         controller.epoch = reply.epoch
         controller.revision = reply.revision
@@ -95,7 +95,7 @@
                 self.get_or_add(name)
 
     def forget_unreachable(self) -> None:
-        """Forget those that nobody names any more and that have answered nothing for long."""
+        """Forget unresponsive controllers that the newest view does not list any more."""
         now = self._clock.seconds()
         named = {name for each in self.answered()[-1:] for name in each.view.controllers}
         for address, controller in list(self._by_address.items()):
@@ -104,19 +104,19 @@
             if now - max(controller.last_answer_s, controller.known_since_s) > FORGOTTEN_AFTER_S:
                 del self._by_address[address]
 
-    # --- who is in touch -----------------------------------------------------------------
+    # --- which controllers are in touch --------------------------------------------------
 
     @property
     def any_answered(self) -> bool:
-        """Whether some controller has ever answered."""
+        """Whether any controller has ever answered."""
         return any(each.has_answered for each in self._by_address.values())
 
     def count_in_touch(self) -> int:
-        """Return how many controllers have answered within the last two heartbeats."""
+        """Return how many controllers have answered within the last two heartbeat periods."""
         return len(self.in_touch())
 
     def in_touch(self) -> list[str]:
-        """Return the addresses of those that have answered within the last two heartbeats."""
+        """Return the addresses of those that answered within the last two heartbeat periods."""
         now = self._clock.seconds()
         return [
             address
@@ -125,14 +125,14 @@
         ]
 
     def answered_within(self, count: int, within_s: float) -> bool:
-        """Tell whether so many voters have answered within a time.
+        """Tell whether ``count`` voters have answered within the last ``within_s`` seconds.
 
-        What a quorum of voters knows, one of ``losses + 1`` voters knows.
+        Of any ``losses + 1`` voters, at least one knows whatever a quorum knows.
         """
         return self.answer_age_s(count) <= within_s
 
     def answer_age_s(self, count: int) -> float:
-        """Return how long ago so many voters had last answered."""
+        """Return the age of the ``count``-th most recent answer of a voter."""
         voters = self.voters() or self._by_address
         found = [each for name, each in self._by_address.items() if name in voters]
         answered_s = sorted((each.last_answer_s for each in found), reverse=True)
@@ -152,18 +152,18 @@
             last_answer_s, self.voters(), self._seeds, round_number, now
         )
 
-    # --- what they say -------------------------------------------------------------------
+    # --- their views ---------------------------------------------------------------------
 
     def answered(self) -> list[KnownController]:
-        """Return those that have ever answered, the one heard of last at the end."""
+        """Return those that have ever answered, the most recent answer last."""
         answered = [each for each in self._by_address.values() if each.has_answered]
         return sorted(answered, key=lambda each: each.last_answer_s)
 
     def newest_view(self) -> FleetView:
-        """Return the view of the controller heard of last."""
+        """Return the view of the controller that answered most recently."""
         answered = self.answered()
         return answered[-1].view if answered else EMPTY_VIEW
 
     def voters(self) -> tuple[str, ...]:
-        """Return the voters of the root group as the controller heard of last names them."""
+        """Return the voters of the root group according to the newest view."""
         return self.newest_view().voters
--- a/src/rainsail/cluster/leader_answers.py
+++ b/src/rainsail/cluster/leader_answers.py
@@ -1,4 +1,4 @@
-"""How a group's leader answers calls: after a quorum has confirmed what it says."""
+"""Replies of a group's leader: only after a quorum has confirmed its leadership."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,13 +11,13 @@
 
 
 def not_leading(group: GroupDriver, step: str) -> Fault:
-    """Return the fault of a call that came to a node which does not lead; it names who does."""
+    """Return the fault for a call to a non-leader; its ``peer`` is the leader, if known."""
     detail = "another controller leads"
     return Fault(FaultCode.NOT_LEADER, step, detail, group.leader(), Outcome.NOT_RUN)
 
 
 def confirmed_read(group: GroupDriver, answer: Callable[[], Any]) -> "Deferred[Any]":
-    """Answer from the state that covers everything committed until now."""
+    """Reply from a state that covers everything committed up to now (a linearizable read)."""
     barrier = group.read_barrier()
     return barrier.addCallback(
         lambda result: Error(result.error) if result.is_error() else answer()
@@ -25,7 +25,7 @@
 
 
 def reply_to_proposal(result: Any, answer: Any) -> Any:
-    """Return ``answer`` for a command that took effect, the fault otherwise."""
+    """Return ``answer`` if the command took effect, otherwise its fault."""
     if result.is_error():
         return result.error
     outcome = result.ok[1]
--- a/src/rainsail/cluster/leader_calls.py
+++ b/src/rainsail/cluster/leader_calls.py
@@ -1,4 +1,4 @@
-"""Calls that only a group's leader can answer, made from any node."""
+"""Calls from any node to a group's leader, with retries."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -13,23 +13,23 @@
 from rainsail.wire.names import wire_name
 
 RETRY_PERIOD_S = 0.1
-"""Pause before the leader is looked for again."""
+"""Pause between two attempts to reach the leader."""
 
 
 class LeaderView(Protocol):
-    """What is known here about who leads."""
+    """Local knowledge of a group's leader."""
 
     def is_leader(self) -> bool:
         """Tell whether this node leads."""
         ...
 
     def leader(self) -> str:
-        """Return the name of the leader as last heard of, or an empty string."""
+        """Return the name of the last known leader, or an empty string."""
         ...
 
 
 class LeaderCaller:
-    """Hands a message to the leader, wherever it is, within a time."""
+    """Delivers a message to the leader, wherever it is, before a deadline."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         others: Callable[[], Sequence[str]],
         call_timeout_s: float = 1.0,
     ) -> None:
-        """``others`` names nodes that may know the leader; ``view`` is the own group, if any."""
+        """``others`` returns nodes that may know the leader; ``view`` is the local group if any."""
         self._messenger = messenger
         self._clock = clock
         self._view = view
@@ -49,7 +49,7 @@
         self._turn = 0
 
     def set_hint(self, leader: str) -> None:
-        """Note who is said to lead; calls that find otherwise correct it."""
+        """Set the presumed leader; calls that reach a non-leader correct it."""
         if leader:
             self._hint = leader
 
@@ -60,10 +60,10 @@
         within_s: float,
         repeatable: bool = False,
     ) -> "Deferred[Result[Any, Fault]]":
-        """Return the leader's reply; ``local`` answers when this node leads.
+        """Return the leader's reply; ``local`` handles the message when this node leads.
 
-        A ``repeatable`` message goes out again after an unclear outcome too. The fault at the end
-        says UNKNOWN when some try may have taken effect.
+        A ``repeatable`` (idempotent) message is also retried after an unknown outcome. The final
+        fault has the outcome UNKNOWN if some attempt may have taken effect.
         """
         return Deferred.fromCoroutine(self._call(message, local, within_s, repeatable))
 
--- a/src/rainsail/cluster/ledger_founding.py
+++ b/src/rainsail/cluster/ledger_founding.py
@@ -1,4 +1,4 @@
-"""The root group's leader decides once which storage nodes found the ledger."""
+"""Founding of the ledger: the root group's leader chooses, once, the founding storage nodes."""
 
 from rainsail.cluster.directory import NodeDirectory
 from rainsail.cluster.fleet_state import FleetState
@@ -9,11 +9,11 @@
 from rainsail.state.cluster_commands import FoundLedger
 
 FOUND_WITH_FEWER_AFTER_S = 6.0
-"""A leader waits this long for enough storage nodes before it founds the ledger with fewer."""
+"""How long a leader waits for enough storage nodes before it founds the ledger with fewer."""
 
 
 class LedgerFounding:
-    """Looks now and then whether the ledger can be founded."""
+    """Checks periodically whether the ledger can be founded."""
 
     def __init__(
         self, group: GroupDriver, state: FleetState, directory: NodeDirectory, losses: int
@@ -27,7 +27,7 @@
         self._proposed = False
 
     def check(self, now: float) -> None:
-        """Found the ledger if this controller leads and enough storage nodes are there."""
+        """Found the ledger if this controller leads and enough storage nodes are live."""
         if not self._group.is_leader():
             self._leads_since_s = None
             return
--- a/src/rainsail/cluster/messages.py
+++ b/src/rainsail/cluster/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: beats with what has changed since the last, pushes, forwarded calls."""
+"""Messages between nodes: heartbeats with incremental updates, pushes and forwarded calls."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class NodeRole(StrEnum):
-    """What a node does."""
+    """The role of a node."""
 
     GATEWAY = "gateway"
     CONTROLLER = "controller"
@@ -17,7 +17,7 @@
 
 
 class RunnerState(StrEnum):
-    """A runner's report about itself; later members are final over earlier ones."""
+    """A runner's own state; an incarnation never returns from a later member to an earlier one."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -42,13 +42,13 @@
 @wire_type("RunnerRecord")
 @dataclass(frozen=True, slots=True)
 class RunnerRecord:
-    """One incarnation of a runner, as it last described itself.
+    """One incarnation of a runner, from its latest report.
 
-    ``born`` is when it started, in milliseconds since 1970 (0: it doesn't say): a runner that
-    starts again may keep its id, and is another one. ``sequence`` rises with each report of one
-    incarnation, so that a late one is known. ``warm_up_left_s`` is how much longer it warms up, in
-    seconds from when it said so. ``superseded_at`` is the sequence up to which another incarnation
-    is known to hold its address (``NOT_SUPERSEDED``: none does).
+    ``born`` is its start time in milliseconds since 1970 (0: not given). A runner that restarts may
+    keep its id and is a new incarnation. ``sequence`` increases with each report of an incarnation,
+    so that late reports can be recognized. ``warm_up_left_s`` is the remaining warm-up time in
+    seconds at the time of the report. ``superseded_at`` is the sequence up to which another
+    incarnation is known to hold its address (``NOT_SUPERSEDED``: none does).
     """
 
     runner: str
@@ -64,43 +64,43 @@
 
     @property
     def report_order(self) -> tuple[int, int]:
-        """What orders its reports: first the incarnation that says it, then the count within it."""
+        """Sort key of its reports: the incarnation first, then the sequence within it."""
         return self.born, self.sequence
 
     @property
     def is_superseded(self) -> bool:
-        """Tell whether another incarnation took its address after its last report."""
+        """Whether another incarnation has taken its address since its last report."""
         return self.superseded_at >= self.sequence
 
     @property
     def takes_work(self) -> bool:
-        """Tell whether it may get new work, as far as it says itself."""
+        """Whether it may get new work according to its own report."""
         return self.state == RunnerState.READY and not self.is_superseded
 
 
 @wire_type("LedgerStatus")
 @dataclass(frozen=True, slots=True)
 class LedgerStatus:
-    """What a storage node says of the ledger group: whether it leads, and the voters."""
+    """A storage node's status in the ledger group: whether it leads, its term and the voters."""
 
     leads: bool
     term: int
     voters: tuple[str, ...]
     settled: bool
-    """No learner and no replacement is under way."""
+    """Whether there is no learner and no replacement of a member under way."""
 
 
 @wire_type("FleetView")
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a controller knows of the fleet and tells every node.
-
-    ``storage`` are the storage nodes heard of lately, ``founders`` those that found the ledger
-    group (empty until that is decided), ``leaving`` the storage nodes that are to be emptied.
-    ``voters`` and ``ledger_voters`` are the members of the root group and of the ledger that
-    decide, ``ledger_term`` is the term of the ledger's leader; ``gateways`` is about how many there
-    are, rounded up so that it seldom changes. ``zone_drains`` has the newest order on each zone,
-    ``quarantine`` the requests that no runner may get.
+    """A controller's view of the fleet, sent to every node.
+
+    ``storage`` lists the live storage nodes, ``founders`` the founders of the ledger group (empty
+    until they are chosen), ``leaving`` the storage nodes to be emptied. ``voters`` and
+    ``ledger_voters`` are the voting members of the root group and of the ledger group;
+    ``ledger_term`` is the term of the ledger's leader. ``gateways`` is the number of gateways,
+    rounded up so that it rarely changes. ``zone_drains`` holds the newest order on each zone,
+    ``quarantine`` the requests that must not reach any runner.
     """
 
     controllers: tuple[str, ...]
@@ -119,10 +119,10 @@
 @wire_record("NodeBeat")
 @dataclass(frozen=True, slots=True)
 class NodeHeartbeat:
-    """Says that a node is there, and up to where it knows this controller's registry.
+    """A node's heartbeat, with the position up to which it knows this controller's registry.
 
     ``epoch`` and ``revision`` are those of the last reply or update from this controller, ``view``
-    the number of the last view that came from it in that epoch.
+    is the number of the last view received from it in that epoch.
     """
 
     node: NodeRecord
@@ -135,10 +135,10 @@
 @wire_record("NodeBeatReply")
 @dataclass(frozen=True, slots=True)
 class NodeHeartbeatReply:
-    """The fleet, and the runners that have changed since the revision that the node knows.
+    """The view of the fleet and the runners that changed after the revision that the node knows.
 
-    ``view`` is None when the node knows the newest one, of number ``view_number``. ``runners`` is
-    an encoded ``RunnerPage`` (empty: none has changed), since many nodes get the same.
+    ``view`` is None if the node already has view number ``view_number``. ``runners`` is an encoded
+    ``RunnerPage`` (empty: no change); it is encoded once for the many nodes that get the same page.
     """
 
     view: FleetView | None
@@ -152,7 +152,7 @@
 @wire_record("RunnerPage")
 @dataclass(frozen=True, slots=True)
 class RunnerPage:
-    """Runners that have changed, oldest change first."""
+    """Changed runners, oldest change first."""
 
     runners: tuple[RunnerRecord, ...]
 
@@ -160,7 +160,7 @@
 @wire_record("RunnerUpdate")
 @dataclass(frozen=True, slots=True)
 class RunnerUpdate:
-    """Pushed to nodes as soon as runners change; a gap is made good by the next beat."""
+    """Pushed to nodes as soon as runners change; the next heartbeat covers a lost push."""
 
     epoch: int
     previous_revision: int
@@ -179,7 +179,7 @@
 @wire_record("ZoneDrainNotice")
 @dataclass(frozen=True, slots=True)
 class ZoneDrainNotice:
-    """Pushed to nodes when an order on a zone is committed: the newest order on each zone."""
+    """Pushed to nodes when a zone drain order is committed: the newest order on each zone."""
 
     zone_drains: tuple[ZoneDrain, ...]
 
@@ -187,7 +187,7 @@
 @wire_record("OrderZoneDrain")
 @dataclass(frozen=True, slots=True)
 class OrderZoneDrain:
-    """Asks the leader to begin or end a zone's drain, on top of the order that the caller knows."""
+    """Asks the leader to begin or end a zone's drain if its newest order is the expected one."""
 
     zone: str
     draining: bool
@@ -197,7 +197,7 @@
 @wire_record("ZoneDrainAnswer")
 @dataclass(frozen=True, slots=True)
 class ZoneDrainAnswer:
-    """The newest order on a zone, as a quorum confirms it; ``taken`` when it is what was asked."""
+    """The newest order on a zone, confirmed by a quorum; ``taken`` if it matches the request."""
 
     drain: ZoneDrain
     taken: bool
@@ -218,7 +218,7 @@
 @wire_record("TableDocument")
 @dataclass(frozen=True, slots=True)
 class TableDocument:
-    """A routing table as the operator sent it; version 0 stands for none."""
+    """A routing table as the operator sent it; version 0 means none."""
 
     version: int
     content: bytes
@@ -227,7 +227,7 @@
 @wire_record("ShareRunner")
 @dataclass(frozen=True, slots=True)
 class ShareRunner:
-    """Tells another controller runners' reports; the answer says that they are known there."""
+    """Forwards runners' reports to another controller; the reply acknowledges them."""
 
     records: tuple[RunnerRecord, ...]
 
@@ -235,7 +235,7 @@
 @wire_record("RunnerShared")
 @dataclass(frozen=True, slots=True)
 class RunnerShared:
-    """The report is known and on its way to the nodes that follow this controller."""
+    """The reports are registered and being pushed to the nodes that follow this controller."""
 
 
 @wire_record("SubmitTable")
@@ -272,7 +272,7 @@
 @wire_record("ReadEmptying")
 @dataclass(frozen=True, slots=True)
 class ReadEmptying:
-    """Asks the leader how far a node's emptying is."""
+    """Asks the leader for the progress of a node's emptying."""
 
     name: str
 
@@ -280,7 +280,7 @@
 @wire_record("EmptyingStatus")
 @dataclass(frozen=True, slots=True)
 class EmptyingStatus:
-    """``done`` once the ledger bears its losses without the node."""
+    """``done`` once the ledger tolerates the configured losses without the node."""
 
     name: str
     done: bool
@@ -289,7 +289,7 @@
 @wire_record("RunnerReads")
 @dataclass(frozen=True, slots=True)
 class RunnerPrefill:
-    """A gateway's report that a runner reads a long prompt; a controller hands it to the others."""
+    """A gateway's notice that a runner processes a long prompt; a controller relays it."""
 
     runner: str
     reading_s: float
@@ -298,7 +298,7 @@
 @wire_record("LedgerLeader")
 @dataclass(frozen=True, slots=True)
 class LedgerLeader:
-    """Pushed to nodes when another storage node leads the ledger."""
+    """Pushed to nodes when another storage node becomes the ledger's leader."""
 
     address: str
     term: int
--- a/src/rainsail/cluster/node_heartbeats.py
+++ b/src/rainsail/cluster/node_heartbeats.py
@@ -1,8 +1,8 @@
-"""A controller's side of the nodes' heartbeats.
+"""The controller's side of the nodes' heartbeats.
 
-Each heartbeat is answered with what its sender lacks: the view of the fleet, the runners that have
-changed, the version of the routing table. Hands on at once what gateways need sooner than that: a
-new leader of the ledger, and runners that are busy with a long prompt.
+The reply to a heartbeat holds what its sender lacks: the view of the fleet, the changed runners and
+the version of the routing table. Two events are pushed to gateways at once, as they are needed
+sooner: a new leader of the ledger, and a runner that is busy with a long prompt.
 """
 
 from rainsail.cluster.committed_copy import CommittedCopies
@@ -20,12 +20,15 @@
 from rainsail.logs import logger
 
 MAX_PREFILL_NOTICES = 64
-"""Gateways that hear of a runner's long prefill: in a larger fleet each of them sends that runner
-so little that the notice is worth less than it costs."""
+"""Most gateways that are notified of one long prefill.
+
+In a larger fleet each gateway sends so little to one runner that the notice costs more than it
+gains.
+"""
 
 
 class NodeHeartbeats:
-    """Answers heartbeats, and keeps the directory of the nodes that send them."""
+    """Answers heartbeats and maintains the directory of the nodes that send them."""
 
     def __init__(
         self, context: ControllerContext, views: FleetViews, committed: CommittedCopies
@@ -63,7 +66,7 @@
         self._notice_ledger_leader(heartbeat)
 
     def _notice_ledger_leader(self, heartbeat: NodeHeartbeat) -> None:
-        """Push the ledger's new leader at once: gateways report to it what they have running."""
+        """Push a new leader of the ledger at once: gateways report their running requests to it."""
         status = heartbeat.ledger
         if status is None or not status.leads or status.term <= self._ledger_term:
             return
@@ -72,11 +75,11 @@
         self._context.messenger.send_all(self._context.live_nodes(), notice)
 
     def _relay_prefill(self, source: str, message: RunnerPrefill) -> None:
-        """Tell other gateways, in turn, that a runner is busy with a long prompt."""
+        """Notify a rotating subset of the other gateways of a runner's long prompt."""
         context = self._context
         now = context.clock.seconds()
         gateways = context.directory.addresses(NodeRole.GATEWAY, now)
         others = [address for address in gateways if address != source]
         self._prefills += 1
-        told = rotating_subset(others, self._prefills, MAX_PREFILL_NOTICES)
-        context.messenger.send_all(told, message)
+        notified = rotating_subset(others, self._prefills, MAX_PREFILL_NOTICES)
+        context.messenger.send_all(notified, message)
--- a/src/rainsail/cluster/push_queue.py
+++ b/src/rainsail/cluster/push_queue.py
@@ -1,7 +1,8 @@
-"""Gathers changed runners, so that a burst of reports costs each follower few messages.
+"""Batches changed runners, so that a burst of reports costs each follower few messages.
 
-The first change after a rest goes out at once. The next ones wait until the time is over that
-telling all followers takes, so a controller of a large fleet is never busy with pushes alone.
+The first change after an idle period is pushed at once. Later changes wait for an interval that is
+proportional to the number of followers, so that pushes never take up all of a controller's time in
+a large fleet.
 """
 
 from collections.abc import Callable
@@ -10,11 +11,11 @@
 from rainsail.runtime.clock import Clock
 
 PUSH_INTERVAL_PER_FOLLOWER_S = 0.0015
-"""Time between two pushes for each follower: several times what one message takes."""
+"""Interval between two pushes, per follower: several times the cost of one message."""
 
 
 class PushQueue:
-    """Hands the latest records on in batches."""
+    """Passes the latest record of each changed runner to ``push`` in batches."""
 
     def __init__(
         self,
@@ -30,7 +31,7 @@
         self._next_push_s = float("-inf")
 
     def add(self, records: list[RunnerRecord]) -> None:
-        """Have records pushed, now or with the next batch."""
+        """Push records now or with the next batch."""
         for record in records:
             self._waiting.pop(record.runner, None)
             self._waiting[record.runner] = record
@@ -46,7 +47,7 @@
     def _flush(self) -> None:
         self._planned = False
         waiting, self._waiting = self._waiting, {}
-        rest_s = PUSH_INTERVAL_PER_FOLLOWER_S * self._followers()
-        self._next_push_s = self._clock.seconds() + rest_s
+        interval_s = PUSH_INTERVAL_PER_FOLLOWER_S * self._followers()
+        self._next_push_s = self._clock.seconds() + interval_s
         if waiting:
             self._push(tuple(waiting.values()))
--- a/src/rainsail/cluster/quorum_wait.py
+++ b/src/rainsail/cluster/quorum_wait.py
@@ -9,7 +9,7 @@
 
 
 class QuorumWait:
-    """Fires ``done`` with Ok after ``needed`` successes, with a fault once these can't come."""
+    """Fires ``done``: Ok after ``needed`` successes, a fault once they are out of reach."""
 
     def __init__(self, needed: int, calls: int, step: str) -> None:
         self.done: Deferred[Result[None, Fault]] = Deferred()
@@ -20,7 +20,7 @@
         self._check()
 
     def take(self, result: Result[Any, Fault]) -> None:
-        """Note the end of one call."""
+        """Record the result of one call."""
         self._open -= 1
         if result.is_ok():
             self._needed -= 1
--- a/src/rainsail/cluster/registry.py
+++ b/src/rainsail/cluster/registry.py
@@ -1,21 +1,23 @@
-"""The registry of runners: soft state that merges reports from anywhere, in any order.
-
-A runner that starts again under its id is another one: reports are ordered by when their sender was
-born, then by their sequence, and a late report of the incarnation before changes nothing. Where its
-clock was set back in between, ``incarnation_order`` has the new one come last all the same.
-
-Two incarnations may be heard of at one address, and a report of the crashed one may come last: a
-cut can hold it back. The one that was born later holds the address. Where births are not told, ids
-have no order, so the incarnation that reported last is taken to hold it. The other is superseded up
-to the sequence of its last report, and back with its next: the one that is alive goes on reporting.
-An older one has the address again once the younger is silent, since births are told by clocks that
-may be off.
-
-A report for a service that no routing table names may be another writer's: it takes neither an
-address nor the id of a runner.
-
-What a controller recalls from its disk after a start may be older than what it had told nodes. So
-the next report of each runner that it recalls is told on, even if it says nothing new to this one.
+"""The registry of runners: soft state that merges reports from any source, in any order.
+
+A runner that restarts under the same id is a new incarnation. Reports are ordered by the start time
+of the incarnation (``born``), then by their sequence, so a late report of the previous incarnation
+changes nothing. If the clock was set back in between, ``incarnation_order`` still ranks the new
+incarnation last.
+
+Two incarnations may report the same address, and a report of the crashed one may arrive last,
+delayed by a network partition. The incarnation with the later start holds the address. Without
+start times the two have no order, so the one that reported last is assumed to hold it. The other
+one is superseded up to the sequence of its last report and valid again with its next report, since
+the live one keeps reporting. As start times depend on clocks that may be wrong, an older
+incarnation gets the address back once the younger one is silent.
+
+A report for a service that is not in the routing table may not come from a runner at all: it takes
+over neither an address nor the id of a runner.
+
+The records that a controller restores from its disk may be older than what it had pushed to nodes
+before the restart. Therefore the next report of each restored runner is pushed even if it is not
+newer than the restored record.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,11 +31,11 @@
 
 _STATE_RANK = {RunnerState.READY: 0, RunnerState.DRAINING: 1, RunnerState.GONE: 2}
 MAX_GONE_RUNNERS = 2_000
-"""Runners that are gone and still remembered, so that a late report doesn't bring them back."""
+"""Gone runners that are still remembered, so that a late report does not revive them."""
 
 
 def merged_record(known: RunnerRecord | None, report: RunnerRecord) -> RunnerRecord:
-    """Return what is known after a report; a runner that leaves never comes back as it was."""
+    """Return the record after a report; an incarnation that drains or is gone never gets ready."""
     if known is None or report.born > known.born:
         return report
     if report.born < known.born:
@@ -52,7 +54,7 @@
 
 
 class RunnerRegistry:
-    """Every runner heard of, by id, and a revision that rises with each change."""
+    """All known runners by id, with a revision that increases with each change."""
 
     def __init__(
         self, seconds: Callable[[], float] = lambda: 0.0, resolves_address_conflicts: bool = True
@@ -68,7 +70,7 @@
         self.warm_ups = WarmUpClock(seconds)
         self._resolves_address_conflicts = resolves_address_conflicts
         self.named_services: frozenset[str] | None = None
-        """The services of the routing table; None while none is known."""
+        """The services of the routing table; None until a table is known."""
         self._seconds = seconds
         self._incarnations = IncarnationOrder()
         self._heard_s: dict[str, float] = {}
@@ -76,16 +78,16 @@
         self._by_address: dict[str, str] = {}
         self._changed_at: dict[str, int] = {}
         self._restored: set[str] = set()
-        """Runners known from the disk alone: nothing was heard of them since the start."""
+        """Runners known only from the disk: no report has arrived since the start."""
 
     def restore(self, records: Iterable[RunnerRecord]) -> None:
-        """Take what this process knew before its start, and has perhaps told more of since."""
+        """Load the records stored before the restart; nodes may have been sent newer ones."""
         restored = list(records)
         self.take(restored)
         self._restored.update(record.runner for record in restored)
 
     def take(self, reports: Iterable[RunnerRecord]) -> list[RunnerRecord]:
-        """Merge reports; return the records that others must hear of."""
+        """Merge reports; return the records that must be pushed to others."""
         changed: dict[str, RunnerRecord] = {}
         for report in reports:
             for record in self._merge(report):
@@ -94,7 +96,7 @@
         return list(changed.values())
 
     def _merge(self, report: RunnerRecord) -> list[RunnerRecord]:
-        """Merge one report; return the records that others must hear of."""
+        """Merge one report; return the records that must be pushed to others."""
         known = self._records.get(report.runner)
         if known is not None and self._would_hijack_id(known, report):
             return []
@@ -102,7 +104,7 @@
             silent_s = self._silent_s(known.runner)
             report = self._incarnations.resolve(known, report, silent_s, self._seconds())
         record = merged_record(known, report)
-        # Whoever takes a runner as superseded that has reported since has to hear of it.
+        # A sender that considers this runner superseded has to learn of its later report.
         refutes = report.is_superseded and not record.is_superseded and report.born == record.born
         if record is known and not refutes:
             return []
@@ -128,7 +130,7 @@
         return changed
 
     def _assign_address(self, sender: RunnerRecord) -> list[RunnerRecord]:
-        """Take the address from the incarnation before; return what changed by that."""
+        """Move an address from its former holder to the sender; return the changed records."""
         if sender.state == RunnerState.GONE or sender.is_superseded:
             return []
         if not self._is_named(sender.service):
@@ -148,19 +150,19 @@
         return [self._supersede(former)]
 
     def _would_hijack_id(self, known: RunnerRecord, report: RunnerRecord) -> bool:
-        """Tell whether a report would make a runner in use one that nothing can be sent to."""
+        """Tell whether a report would move a runner to a service that is not in the table."""
         if report.state == RunnerState.GONE or self._is_named(report.service):
             return False
         return self._is_named(known.service)
 
     def _keeps_address_from(self, younger: RunnerRecord, sender: RunnerRecord) -> bool:
-        """Tell whether a runner was born after the sender, and has reported lately."""
+        """Tell whether a runner started after the sender and has reported recently."""
         if sender.born >= younger.born or sender.runner == younger.runner:
             return False
         return self._silent_s(younger.runner) <= REPLACEABLE_AFTER_S
 
     def _silent_s(self, runner: str) -> float:
-        """Return for how long nothing new was heard of a runner's incarnation in force."""
+        """Return the time since the last new report of a runner's current incarnation."""
         return self._seconds() - self._heard_s.get(runner, float("-inf"))
 
     def _supersede(self, record: RunnerRecord) -> RunnerRecord:
@@ -177,7 +179,7 @@
         self._changed_at[runner] = self.revision
 
     def take_zone_drains(self, drains: Iterable[ZoneDrain]) -> list[ZoneDrain]:
-        """Merge the operator's orders on zones; return those that were not known."""
+        """Merge zone drain orders; return those that were not known."""
         newer = self.zone_drains.take(drains)
         for drain in newer:
             if not drain.draining:
@@ -187,9 +189,9 @@
         return newer
 
     def gone_record(self, runner: str, born: int | None = None) -> RunnerRecord:
-        """Return the record of a runner that says it is gone, also one never heard of.
+        """Return the record for the deregistration of a runner, which may be unknown.
 
-        ``born`` is the incarnation that says so; None stands for the one that is known.
+        ``born`` is the start time of its incarnation; None means the known incarnation.
         """
         known = self._records.get(runner)
         if known is not None and born is not None:
@@ -208,17 +210,17 @@
         return tuple(reversed(found))
 
     def _as_of_now(self, record: RunnerRecord) -> RunnerRecord:
-        """Return a record whose warm-up has run down since it was heard."""
+        """Return a record with the warm-up time that remains now."""
         if record.warm_up_left_s <= 0:
             return record
         return replace(record, warm_up_left_s=self.warm_ups.left_s(record.runner))
 
     def get(self, runner: str) -> RunnerRecord | None:
-        """Return a runner's record."""
+        """Return a runner's record, None if it is unknown."""
         return self._records.get(runner)
 
     def ready(self, service: str) -> list[RunnerRecord]:
-        """Return the runners of a service that may get new work, in order of arrival."""
+        """Return the runners of a service that may get new work, by their first reports."""
         return [
             record
             for record in self._records.values()
@@ -234,15 +236,15 @@
         return record.takes_work and not self.zone_drains.is_draining(record.zone)
 
     def is_warming(self, runner: str) -> bool:
-        """Tell whether a runner still warms up."""
+        """Tell whether a runner is still warming up."""
         return self.warm_ups.left_s(runner) > 0
 
     def records(self) -> tuple[RunnerRecord, ...]:
-        """Return every record that is kept."""
+        """Return all records."""
         return tuple(map(self._as_of_now, self._records.values()))
 
     def zones(self) -> frozenset[str]:
-        """Return the zones of all runners heard of."""
+        """Return the zones of all known runners."""
         return frozenset(record.zone for record in self._records.values())
 
     def _forget_oldest_gone(self) -> None:
@@ -267,9 +269,9 @@
 
 
 def is_significant_change(before: RunnerRecord, after: RunnerRecord) -> bool:
-    """Tell whether a newer report says more than that the runner is still there.
+    """Tell whether a newer report is more than a sign of life and has to be pushed.
 
-    A runner's warm-up runs down by itself at every node; one that begins anew is news.
+    Every node counts down the warm-up time by itself, so only an increase has to be pushed.
     """
     if after.warm_up_left_s > before.warm_up_left_s:
         return True
--- a/src/rainsail/cluster/runner_journal.py
+++ b/src/rainsail/cluster/runner_journal.py
@@ -1,12 +1,12 @@
-"""What a controller keeps of runners on its disk, so that it knows them right after a start.
+"""Durable journal of a controller's runner records, so that it knows them right after a restart.
 
-Runners tell about themselves once a second or so. After a loss of all power a fleet would know few
-of them for as long, just when all clients come back. The journal is a file of records; the last one
-of a runner counts. A report of leaving is synced before it is acknowledged, so that no controller
-of a quorum takes the runner as ready after a start. Other reports are synced a little later: what
-is lost of them is heard again.
+Runners report about once a second. After a power loss of the whole fleet most of them would be
+unknown for that long, just when all clients reconnect. The journal is a file of records; the last
+record of a runner counts. A report that a runner drains or is gone is synced before it is
+acknowledged, so that no controller of a quorum considers the runner ready after a restart. Other
+reports are synced a little later; lost ones are replaced by the runner's next report.
 
-A file that has grown, or could not be written, is written anew from the registry.
+A file that has grown too large, or that a write to has failed, is rewritten from the registry.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -35,16 +35,16 @@
 REWRITTEN_PATH = f"{FOLDER}/journal.new"
 NO_GROUP = 0
 SYNC_AFTER_S = 0.5
-"""Reports that nobody waits for are synced this long after the first of them."""
+"""Reports without a pending acknowledgement are synced this long after the first of them."""
 MIN_REWRITE_BYTES = 256 * 1024
 REWRITE_GROWTH_FACTOR = 4
-"""The journal is written anew once it has so many times the bytes of its last rewriting."""
+"""The journal is rewritten once it exceeds its size after the last rewrite by this factor."""
 
 
 @wire_record("JournaledRunner")
 @dataclass(frozen=True, slots=True)
 class JournaledRunner:
-    """A runner, and until when it warms up by the time of day (seconds since 1970)."""
+    """A runner's record, with the wall-clock end of its warm-up (seconds since 1970)."""
 
     record: RunnerRecord
     warm_at_unix_s: float
@@ -60,7 +60,7 @@
         unix_seconds: Callable[[], float],
         records: Callable[[], Iterable[RunnerRecord]],
     ) -> None:
-        """``records`` returns what is known of all runners, ``unix_seconds`` the time of day."""
+        """``records`` returns the records of all runners, ``unix_seconds`` the wall-clock time."""
         self._files = files
         self._clock = clock
         self._unix_seconds = unix_seconds
@@ -73,9 +73,9 @@
         self._waiting: list[Deferred[Result[None, Fault]]] = []
 
     def load(self) -> list[RunnerRecord]:
-        """Return the runners of the journal, the oldest report first; none when it can't be read.
+        """Return the runners in the journal, oldest report first; none if it cannot be read.
 
-        The journal is written anew with the first report that follows.
+        The journal is rewritten with the next report.
         """
         self._stale = True
         try:
@@ -94,7 +94,7 @@
         ]
 
     def note(self, records: Iterable[RunnerRecord]) -> None:
-        """Keep reports about runners, durable a little later."""
+        """Append runners' records, to be synced a little later."""
         if not self._stale:
             self._append(self._encoded(records))
         if not self._planned:
@@ -102,7 +102,7 @@
             self._clock.callLater(SYNC_AFTER_S, self._sync_planned)
 
     def sync(self) -> "Deferred[Result[None, Fault]]":
-        """Make all that was noted durable; a fault says that it is not."""
+        """Sync everything appended so far; the result is a fault if that failed."""
         done: Deferred[Result[None, Fault]] = Deferred()
         self._waiting.append(done)
         self._begin()
@@ -145,7 +145,7 @@
         return self._file.size() > limit
 
     async def _rewrite(self) -> Result[None, Fault]:
-        """Write a new file beside the old one, and put it in its place once it is durable."""
+        """Write a new file next to the old one and rename it into place once it is synced."""
         file = self._files.open(REWRITTEN_PATH)
         file.truncate(0)
         former, self._file, self._stale = self._file, file, False
@@ -181,10 +181,10 @@
 
 
 def _readable_records(data: bytes) -> Iterator[Record]:
-    """Yield what can be read; a damaged record costs that one, not those behind it.
+    """Yield the readable records; a damaged record loses only itself, not the ones behind it.
 
-    One of those may be the report of a runner that leaves, which was acknowledged. A torn end is
-    what a loss of power leaves of reports that nobody had waited for.
+    Those may include an acknowledged report that a runner drains or is gone. A torn tail is what a
+    power loss leaves of reports that were not synced yet.
     """
     scanned = scan(data, NO_GROUP)
     yield from scanned.records
--- a/src/rainsail/cluster/runner_reports.py
+++ b/src/rainsail/cluster/runner_reports.py
@@ -1,8 +1,8 @@
-"""What runners report to a controller: kept, shared with a quorum of controllers, pushed to nodes.
+"""Runners' reports at a controller: stored, shared with a quorum of controllers, pushed to nodes.
 
-A report that a runner leaves is acknowledged once a quorum of controllers knows it and those have
-it on disk. Nodes follow the voters, so what another controller hears first is known to a quorum
-too. Relies on the registry for which of two reports is newer.
+A report that a runner drains or is gone is acknowledged once a quorum of controllers has it on
+disk. Nodes follow the voters, so a report that reaches another controller first is shared with a
+quorum of the voters too. Relies on the registry for which of two reports is newer.
 """
 
 from typing import Any
@@ -27,7 +27,7 @@
 
 
 class RunnerReports:
-    """Takes reports from runners and from other controllers."""
+    """Handles reports from runners and from other controllers."""
 
     def __init__(
         self, context: ControllerContext, views: FleetViews, journal: RunnerJournal
@@ -43,7 +43,7 @@
         context.messenger.serve(ShareRunner, self._take_shared)
 
     def take(self, record: RunnerRecord) -> "Deferred[Result[None, Fault]]":
-        """Take a runner's report; one that it leaves is known to a quorum when this fires."""
+        """Handle a runner's report; if it drains or is gone, a quorum knows it when this fires."""
         known = self._registry.get(record.runner)
         changed = self._register(record)
         now_known = self._registry.get(record.runner)
@@ -58,11 +58,11 @@
     def take_deregistration(
         self, runner: str, born: int | None = None
     ) -> "Deferred[Result[None, Fault]]":
-        """Take the report that a runner is gone; ``born`` names its start, None the one known."""
+        """Handle a deregistration; ``born`` is the incarnation's start, None the known one."""
         return self.take(self._registry.gone_record(runner, born))
 
     def _register(self, record: RunnerRecord) -> list[RunnerRecord]:
-        """Register a report from anywhere; return the records that others must hear of."""
+        """Merge a report from any source; return the records that must be pushed to others."""
         changed = self._registry.take((record,))
         if changed:
             self._push(changed)
@@ -74,7 +74,7 @@
     # --- other controllers ---------------------------------------------------------------
 
     def _share_ready(self, record: RunnerRecord, changed: bool) -> "Deferred[Result[None, Fault]]":
-        """Share a ready runner only where nodes don't hear of it from this controller."""
+        """Share a ready runner only if nodes do not learn of it from this controller."""
         if self._views.is_followed() or not (changed or record.runner in self._unshared):
             return succeed(Ok(None))
         self._unshared.add(record.runner)
@@ -86,7 +86,7 @@
         return result
 
     def _share(self, record: RunnerRecord) -> "Deferred[Result[None, Fault]]":
-        """Tell the other controllers, and wait until a quorum of them knows."""
+        """Send a record to the other voters, and wait until a quorum has acknowledged it."""
         own_address = self._context.node.address
         voters = self._views.voters()
         quorum = len(voters) // 2 + 1
@@ -110,7 +110,7 @@
         return kept.addCallback(lambda result: result if result.is_error() else RunnerShared())
 
     def _keep(self, records: tuple[RunnerRecord, ...]) -> "Deferred[Result[None, Fault]]":
-        """Fire once those records are on disk that must outlive a restart: all but ready ones."""
+        """Fire once the records that must survive a restart are on disk: all but ready ones."""
         if all(record.state == RunnerState.READY for record in records):
             return succeed(Ok(None))
         return self._journal.sync()
--- a/src/rainsail/cluster/table_service.py
+++ b/src/rainsail/cluster/table_service.py
@@ -1,6 +1,6 @@
-"""The routing table at a controller: put in force by the root group, read back, told to nodes.
+"""The routing table at a controller: committed by the root group, read back, published to nodes.
 
-A table counts once a quorum has synced it. Nodes learn the version at once and fetch the content.
+A table is in force once a quorum has synced it. Nodes get the version pushed and fetch the content.
 """
 
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 from rainsail.state.cluster_commands import ReplaceTable
 
 ServicesOf = Callable[[bytes], frozenset[str] | None]
-"""Names the services of a routing table's content; None when it can't be read."""
+"""Returns the services in an encoded routing table; None if it cannot be read."""
 
 
 class TableService:
-    """Takes routing tables at any controller; the leader decides on them."""
+    """Accepts routing tables at any controller and forwards them to the leader, which decides."""
 
     def __init__(
         self,
@@ -53,18 +53,18 @@
         self._name_services()
 
     def replace(self, version: int, content: bytes) -> "Deferred[Result[Any, Fault]]":
-        """Put a valid table in force; fires once a quorum has synced it."""
+        """Replace the routing table by a valid one; fires once a quorum has synced it."""
         message = SubmitTable(version, content)
         within_s = self._context.settings.order_within_s
         return self._calls.call(message, self._submit_as_leader, within_s)
 
     def read(self) -> "Deferred[Result[Any, Fault]]":
-        """Return the newest table, as a quorum confirms it."""
+        """Return the newest table, confirmed by a quorum."""
         within_s = self._context.settings.order_within_s
         return self._calls.call(ReadTable(), self._read_as_leader, within_s)
 
     def on_applied(self, index: int) -> None:
-        """Take up a table that was committed, and tell the nodes of it."""
+        """Put a newly committed table into effect here and notify the nodes."""
         context = self._context
         self._name_services()
         self._committed.changed()
@@ -100,12 +100,12 @@
         return TableDocument(self._committed.version, self._committed.content)
 
     def _take_followed(self, document: TableDocument) -> None:
-        """Take a table that another controller has told of, while this one is outside the group."""
+        """Take a table from another controller while this one is outside the group."""
         self._committed.note_table(document)
         self._name_services()
 
     def _name_services(self) -> None:
-        """Have the registry know the services of the newest table: others hold no address."""
+        """Pass the newest table's services to the registry; runners of others hold no address."""
         if self._committed.version > self._named_version:
             self._named_version = self._committed.version
             self._context.registry.named_services = self._services_of(self._committed.content)
--- a/src/rainsail/cluster/zone_drain_orders.py
+++ b/src/rainsail/cluster/zone_drain_orders.py
@@ -1,10 +1,10 @@
-"""Draining zones: an operator's order at any controller, decided by the root group's leader.
+"""Zone drains: ordered by an operator at any controller, decided by the root group's leader.
 
-An order counts once a quorum has synced it. Orders on one zone take effect one after the other;
-each names the order that its proposer knew, so that one which was held up between controllers
-while a newer one was acknowledged changes nothing. One that waited at a controller which stood
-still is known by its operator, who has left meanwhile: operators send an order elsewhere, or a
-newer one, only after they have given up on the call. That makes it safe to send an order again.
+An order is in force once a quorum has synced it. Orders on one zone are serialized: each carries
+the revision that its proposer has read, so an order that was delayed between controllers while a
+newer one was acknowledged has no effect. An order that was stuck at a frozen controller is
+recognized by its closed connection: operators retry elsewhere, or send a newer order, only after
+they have given up on the call. This makes it safe to repeat an order.
 """
 
 from collections.abc import Callable
@@ -30,12 +30,12 @@
 from rainsail.wire.messenger import Messenger
 
 ORDER_WITHIN_S = 0.9
-"""After this time the operator hears that the outcome is unclear."""
+"""After this time the operator is told that the outcome is unknown."""
 STEP = "cluster.order_zone_drain"
 
 
 class ZoneDrainOrders:
-    """Takes orders at any controller; the leader decides on them."""
+    """Accepts orders at any controller and forwards them to the leader, which decides."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         clock: Clock,
         zones: Callable[[], frozenset[str]],
     ) -> None:
-        """``zones`` returns the zones of the fleet."""
+        """``zones`` returns the zones of the fleet; orders on others are refused."""
         self._group = group
         self._state = state
         self._calls = calls
@@ -53,16 +53,16 @@
         self._zones = zones
 
     def serve(self, messenger: Messenger) -> None:
-        """Answer other controllers while this one leads."""
+        """Register the handlers for calls that other controllers forward to the leader."""
         messenger.serve(OrderZoneDrain, lambda source, message: self._order_as_leader(message))
         messenger.serve(ReadZoneDrains, lambda source, message: self._read_as_leader(message))
 
     def order(
         self, zone: str, draining: bool, is_awaited: Callable[[], bool] = lambda: True
     ) -> "Deferred[Result[ZoneDrain, Fault]]":
-        """Begin or end the drain of a zone; NOT_FOUND when the fleet has no such zone.
+        """Begin or end the drain of a zone; NOT_FOUND if the fleet has no such zone.
 
-        ``is_awaited`` tells whether the operator still waits for the answer.
+        ``is_awaited`` tells whether the operator still waits for the reply.
         """
         if zone not in self._zones():
             return succeed(Error(Fault(FaultCode.NOT_FOUND, STEP, f"no zone {zone}")))
@@ -70,15 +70,15 @@
         return Deferred.fromCoroutine(self._order(zone, draining, is_awaited))
 
     def read(self) -> "Deferred[Result[ZoneDrainNotice, Fault]]":
-        """Return the newest order on each zone, as a quorum confirms it."""
+        """Return the newest order on each zone, confirmed by a quorum."""
         return self._calls.call(ReadZoneDrains(), self._read_as_leader, ORDER_WITHIN_S, True)
 
     async def _order(
         self, zone: str, draining: bool, is_awaited: Callable[[], bool]
     ) -> Result[ZoneDrain, Fault]:
-        """Read the zone's newest order from the leader, then have the next one take its place.
+        """Read a zone's newest order from the leader, then propose the next (compare-and-set).
 
-        An order that comes in between may be newer than this one, so nothing is tried again then.
+        If another order gets in between it may be newer than this one, so there is no retry.
         """
         deadline_s = self._clock.seconds() + ORDER_WITHIN_S
         known = await self._calls.call(
@@ -88,8 +88,8 @@
         if known.is_error() or left_s <= 0:
             return Error(_unclear("the newest order was not read in time"))
         if not is_awaited():
-            # It may have waited here while a newer order was taken: what was read just now can't
-            # tell, since it holds the newer one already.
+            # The order may have been stuck here while a newer one was accepted. The revision
+            # that was just read does not reveal that, since it already includes the newer order.
             logger.bind(zone=zone, draining=draining).warning("zone_drain_order_dropped")
             return Error(Fault(FaultCode.UNAVAILABLE, STEP, "the operator has left"))
         expected = _revision_of(zone, known.ok)
--- a/src/rainsail/cluster/zone_drains.py
+++ b/src/rainsail/cluster/zone_drains.py
@@ -1,7 +1,7 @@
-"""Which zones are being drained, as one node has heard of it. Pure.
+"""The zone drains that one node knows. Pure logic.
 
-What is heard may come from several controllers, late and in any order. The order of the highest
-revision on each zone counts, so a late message never takes a newer order back.
+Orders may arrive from several controllers, late and out of order. The order with the highest
+revision on each zone counts, so a late message never reverts a newer order.
 """
 
 from collections.abc import Iterable
@@ -26,12 +26,12 @@
         return newer
 
     def is_draining(self, zone: str) -> bool:
-        """Tell whether the runners of a zone are to get nothing new."""
+        """Tell whether the runners of a zone must not get new work."""
         known = self._drains.get(zone)
         return known is not None and known.draining
 
     def orders(self) -> tuple[ZoneDrain, ...]:
-        """Return the newest order on each zone, by zone."""
+        """Return the newest order on each zone, sorted by zone."""
         return tuple(self._drains[zone] for zone in sorted(self._drains))
 
     def draining(self) -> tuple[str, ...]:
