--- a/features/fleet/broken_off.feature
+++ b/features/fleet/broken_off.feature
@@ -1,4 +1,4 @@
-Feature: A client of a relaying fleet never takes an answer that broke off for whole
+Feature: A client of a relaying fleet can always tell an aborted answer from a complete one
 
   Scenario Outline: The gateway ends in the middle of an answer
     Given the nodes of examples/relaying run in one process with a grace time of 3 seconds
--- a/features/fleet/own_interface.feature
+++ b/features/fleet/own_interface.feature
@@ -1,20 +1,20 @@
-Feature: A relaying fleet is run and reached by the product's own interface
+Feature: A relaying fleet is operated and used through the native API
 
   Scenario: The example's nodes in one process serve requests and jobs, and end on SIGTERM
     Given the nodes of examples/relaying run in one process
     When the example's routing table is put at a controller
     Then a table without services is refused with 400 and the fault names the place
     And the routing table reads back byte by byte
-    When a runner of the product's own interface says that it is ready
+    When a runner reports through the native API that it is ready
     Then a request is relayed to it and its answer comes back
     And a job of 2 items is accepted, and its results can be read
     And the metrics page of a gateway counts the request
-    And no request is held, and what is no fingerprint or is not held can't be let go
-    When the runner says that it is gone
-    Then a request is refused with 503 and a time to come back
+    And no request is held, and releasing an invalid fingerprint or one that is not held fails
+    When the runner deregisters
+    Then a request is refused with 503 and a time to retry after
     And the process ends on SIGTERM with code 0
 
-  Scenario Outline: What is wrong with a node's file is said before anything starts
+  Scenario Outline: An invalid settings file is reported before anything starts
     When "rainsail settings check" reads the gateway's example with <change>
     Then it ends with code <code> and says "<words>"
 
--- a/features/fleet/unreadable_snapshot.feature
+++ b/features/fleet/unreadable_snapshot.feature
@@ -1,10 +1,10 @@
-Feature: A node's states take a snapshot whole or not at all
+Feature: A node's states are restored from a snapshot completely or not at all
 
-  Scenario Outline: A reading that fails on the way changes nothing of the state
+  Scenario Outline: A read that fails halfway leaves the state unchanged
     Given the <state> with something in it
-    When it is restored from a reading of other content that fails after <count> chunks
-    Then the error of the reading has come through
-    And that state still holds what it held
+    When it is restored from a read of other content that fails after <count> chunks
+    Then the read error is raised
+    And that state is unchanged
 
     Examples:
       | state                          | count |
@@ -13,11 +13,11 @@
       | state of the root group        | 0     |
       | state of the root group        | 1     |
 
-  Scenario: A state of no jobs is restored from no chunk
+  Scenario: A state without jobs is restored from zero chunks
     Given the state of the ledger group with something in it
-    When it is restored from the snapshot of a state of no jobs
+    When it is restored from the snapshot of a state without jobs
     Then that state holds no job
 
-  Scenario: A node whose snapshot can't be read to its end is told so when its group is opened
-    When a node opens a group whose snapshot can't be read to its end
+  Scenario: Opening a group whose snapshot is incomplete fails with a fault
+    When a node opens a group whose snapshot is incomplete
     Then it gets a fault at "fleet.open_group" that names the group and the reason
--- a/features/steps/fleet_broken_off_steps.py
+++ b/features/steps/fleet_broken_off_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that break off on their way through a relaying fleet."""
+"""Steps on answers that are aborted on their way through a relaying fleet."""
 
 import json
 import socket
@@ -22,7 +22,7 @@
 
 
 def _patient_table():
-    """Return the example's table with time enough for an answer that never ends."""
+    """Return the example's table with time-outs long enough for an answer that never ends."""
     table = json.loads((EXAMPLES / "routing-table.json").read_text())
     for route in table["routes"]:
         route["timeout_s"] = LONG_S
@@ -51,7 +51,7 @@
 
 
 def _begins(context, request):
-    """Ask once; False when the fleet refuses, as it does before it knows the runner."""
+    """Send one request; False if the fleet refuses it, as it does before it knows the runner."""
     client = socket.create_connection((context.own.address(3, 1), CLIENTS), LIMIT_S)
     client.sendall(request)
     start = b"HTTP/1.1 200"
--- a/features/steps/fleet_own_steps.py
+++ b/features/steps/fleet_own_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a fleet that speaks the product's own interface."""
+"""Steps on a fleet that serves the native API."""
 
 import base64
 import json
@@ -69,7 +69,7 @@
         exchange.answer(200, tuple(fields), b"pong " + exchange.request.body)
 
 
-@when("a runner of the product's own interface says that it is ready")
+@when("a runner reports through the native API that it is ready")
 def runner_ready(context):
     ip = context.own.address(4, 1)
     server = HttpServer(_answer, MonotonicClock(reactor), HttpLimits())
@@ -133,7 +133,7 @@
     assert line in body.decode(), body.decode()
 
 
-@then("no request is held, and what is no fingerprint or is not held can't be let go")
+@then("no request is held, and releasing an invalid fingerprint or one that is not held fails")
 def nothing_held(context):
     status, body = _control(context, "GET", "/v1/held-requests")
     assert (status, json.loads(body)) == (200, {"requests": []}), (status, body)
@@ -141,12 +141,12 @@
     assert _control(context, "DELETE", f"/v1/held-requests/{'0' * 32}")[0] == 404
 
 
-@when("the runner says that it is gone")
+@when("the runner deregisters")
 def runner_gone(context):
     wait_until(lambda: _control(context, "DELETE", "/v1/runners/r-1")[0] == 200, "the word")
 
 
-@then("a request is refused with 503 and a time to come back")
+@then("a request is refused with 503 and a time to retry after")
 def refused(context):
     wait_until(
         lambda: _client(context, "POST", "/pings/1", b"", Rainsail_Request="p-2")[0] == 503,
--- a/features/steps/unreadable_snapshot_steps.py
+++ b/features/steps/unreadable_snapshot_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a node's states and readings of snapshots that don't come to their end."""
+"""Steps on restoring a node's states from snapshots that cannot be read completely."""
 
 from types import SimpleNamespace
 
@@ -40,7 +40,7 @@
     context.state, context.other = _with_table(3), _with_table(9)
 
 
-@when("it is restored from a reading of other content that fails after {count:d} chunks")
+@when("it is restored from a read of other content that fails after {count:d} chunks")
 def restore_broken(context, count):
     chunks = list(context.other.snapshot())
     context.before = list(context.state.snapshot())
@@ -56,17 +56,17 @@
         context.error = error
 
 
-@then("the error of the reading has come through")
-def came_through(context):
+@then("the read error is raised")
+def error_raised(context):
     assert context.error is not None and context.error.fault.detail == "input/output error"
 
 
-@then("that state still holds what it held")
-def holds_still(context):
+@then("that state is unchanged")
+def is_unchanged(context):
     assert list(context.state.snapshot()) == context.before
 
 
-@when("it is restored from the snapshot of a state of no jobs")
+@when("it is restored from the snapshot of a state without jobs")
 def restore_empty(context):
     chunks = list(JobState().snapshot())
     assert chunks == []
@@ -79,7 +79,7 @@
 
 
 class _BrokenStorage:
-    """A storage that opens, and whose snapshot's reading ends without its sum."""
+    """A storage that opens, but whose snapshot ends before its checksum."""
 
     last_index = 3
     hard_state = None
@@ -89,7 +89,7 @@
         return iter([b"1,2"])
 
 
-@when("a node opens a group whose snapshot can't be read to its end")
+@when("a node opens a group whose snapshot is incomplete")
 def open_broken(context):
     node = SimpleNamespace(address="node-1:1")
     messenger = SimpleNamespace(serve=lambda record, handler: None)
--- a/features/support/process_soak.py
+++ b/features/support/process_soak.py
@@ -1,8 +1,8 @@
-"""Random faults against the adapter's real processes on loopback, under work of clients.
+"""Random faults against the adapter's real processes on loopback, under client load.
 
-Faults are drawn from a seed and strike one after the other; at most one machine with a disk is away
-or catching up at a time, but for the kills of all controllers or of everything, which leave disks
-as they are. The verdict is that of ``soak_history``: it holds whatever the timing.
+Faults are drawn from a seed and injected sequentially. At most one machine with a disk is down or
+catching up at a time, except when all controllers or all nodes are killed, which keeps the disks
+intact. ``soak_history`` checks the result; its checks do not depend on timing.
 """
 
 import json
@@ -46,14 +46,14 @@
 ORDER_PERIOD_S = 0.7
 CLIENT_PAUSE_S = 0.01
 LEAVE_SHARE = 1 / 7
-"""Of the answers after which a client closes its connection; it keeps it after the others."""
+"""Share of the answers after which a client closes its connection."""
 AWAY_S = (0.2, 1.5)
 FROZEN_S = (0.3, 3.0)
 
 
 @dataclass(frozen=True)
 class SoakResult:
-    """How a soak ended: the faults in their order, and what was found."""
+    """Result of a soak: the faults in order, the violations and counts of what was served."""
 
     faults: tuple[str, ...]
     violations: tuple[str, ...]
@@ -102,7 +102,7 @@
         )
 
     def run(self, faults: int) -> SoakResult:
-        """Strike so many times, mend everything, and judge."""
+        """Inject this many faults, repair everything, and check the history."""
         platform = self._platform
         for _ in range(self._runners):
             self._add_runner()
@@ -116,7 +116,7 @@
             self._strike(faults)
             self._settle()
         except AssertionError as error:
-            # What was found until then is told all the same.
+            # Violations found up to the failure are reported as well.
             self._stopped_by = str(error)
         finally:
             self._over.set()
@@ -126,7 +126,7 @@
         return self._result()
 
     def _strike(self, faults: int) -> None:
-        """Strike so many times, once after the other."""
+        """Inject this many faults sequentially."""
         for _ in range(faults):
             self._faults.append(self._random.choice(self._strikes)())
 
@@ -175,7 +175,7 @@
     def _away(
         self, names: list[str], wiped: bool = False, draw: random.Random | None = None
     ) -> None:
-        """Kill nodes, and start them again a drawn time later."""
+        """Kill nodes, and restart them after a random time."""
         away_s = (draw or self._random).uniform(*AWAY_S)
         for name in names:
             self._history.kills.append(Kill(name, time.monotonic()))
@@ -210,9 +210,9 @@
         return f"stop {name}"
 
     def _stop(self, name: str) -> None:
-        """Have a node end as planned and start it again.
+        """Stop a node as planned and restart it.
 
-        A process that is asked before it has started ends by the signal, as nothing is open yet.
+        A process that gets the signal before it has started is ended by it, as nothing is open yet.
         """
         wait_until(lambda: self._platform.is_up(name), f"{name} is up")
         begun_s = time.monotonic()
@@ -260,7 +260,7 @@
         return f"runners refuse {refuse} and break off after {break_after}"
 
     def _drain_a_zone(self) -> str:
-        """Drain a zone through another fault, for longer than nodes may take to obey."""
+        """Drain a zone during another fault, for longer than nodes may take to apply the order."""
         zone = self._random.choice(sorted({runner.zone for runner in self._platform.runners}))
         wait_until(lambda: self._platform.drain_zone(zone) == 200, f"{zone} drained")
         fault = self._random.choice((self._kill_one, self._kill_controllers, self._kill_all))()
@@ -269,7 +269,7 @@
         return f"drain {zone} ({fault})"
 
     def _settle(self) -> None:
-        """Wait until everything is back and both groups bear a loss again."""
+        """Wait until everything is back and both groups tolerate a loss again."""
         wait_until(
             lambda: all(map(self._borne, ("controller", "storage"))), "groups that bear a loss"
         )
@@ -343,7 +343,7 @@
                 self._platform.beat(runner, "draining" if runner.leaving else "ready")
 
     def _operate(self) -> None:
-        """Send configurations, each until it is acknowledged, and read at any controller."""
+        """Send configurations, each until it is acknowledged, and read them at any controller."""
         version = self._platform.version
         draw = random.Random(self._client_seeds[0])
         while not self._over.wait(self._order_period_s):
@@ -361,9 +361,9 @@
             self._history.reads.append(Read(begun_s, json.loads(body)["version"]))
 
     def _read_to_the_end(self) -> None:
-        """Read what was kept once all is calm: the configuration, and every job to its end.
+        """Read the configuration and the results of every job after the faults have ended.
 
-        A job that doesn't come to its end is left to the verdict.
+        The checks report a job that does not complete.
         """
         reads = len(self._history.reads)
 
--- a/features/support/relayed_fleet.py
+++ b/features/support/relayed_fleet.py
@@ -1,5 +1,5 @@
-"""A relaying fleet in virtual time: controllers, storage nodes and followers of the product's own,
-over simulated networks and disks."""
+"""A relaying fleet in virtual time: real controllers, storage nodes and followers over simulated
+networks and disks."""
 
 import random
 from collections.abc import Callable
@@ -30,11 +30,11 @@
 JOB_PATH = "/jobs/1"
 ZONES = {"zone-0": "east", "zone-1": "west", "zone-2": "west"}
 COMPLETION_S = 5.0
-"""Time within which the tests' jobs are due."""
+"""Deadline of the tests' jobs after their submission."""
 
 
 def table_of(content: bytes) -> Any:
-    """Read the tests' tables: a version, for all jobs one service, and the jobs' regions if any.
+    """Read the tests' tables: a version, one service for all jobs, and the jobs' regions if any.
 
     ``7`` is version 7; ``8 east west`` is version 8, and its jobs may run in these regions.
     """
@@ -68,7 +68,7 @@
 
 
 class RelayedFleet:
-    """Nodes by name; a machine's disk outlives its process."""
+    """Nodes by name; a machine's disk survives its process."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         gateways: int = 2,
         seeds: int | None = None,
     ) -> None:
-        """Start all nodes; the first ``seeds`` controllers (all, when None) found the group."""
+        """Start all nodes; the first ``seeds`` controllers (None: all) found the root group."""
         self.clock = VirtualClock()
         self.max_queued_tokens = 0
         self.random = random.Random(seed)
@@ -153,7 +153,7 @@
         return table_of(content)
 
     def make_gateway(self, base: NodeBase) -> Any:
-        """Return what a gateway does: here it only hands jobs in."""
+        """Return the gateway role, which only submits jobs here."""
         calls = LeaderCaller(base.messenger, base.clock, None, lambda: base.follower.view().storage)
         return JobClient(calls)
 
@@ -184,16 +184,16 @@
         self.network.freeze(self.address(name))
 
     def thaw(self, name: str) -> None:
-        """Let a paused process go on: what its timers owe comes first, then what has arrived."""
+        """Resume a paused process: overdue timers run first, then messages that have arrived."""
         self.nodes[name].clock.thaw()
         self.network.thaw(self.address(name))
 
     def isolate(self, name: str) -> None:
-        """Cut a node off from all others, in silence."""
+        """Isolate a node from all others by dropping messages."""
         self.network.isolate(self.address(name))
 
     def cut_from_group(self, name: str) -> None:
-        """Cut a node off from the others of its kind, in silence; all else still reaches it."""
+        """Isolate a node from the others of its kind by dropping messages."""
         own = self.address(name)
         for other in self.names(name.partition("-")[0]):
             if other != name:
@@ -201,13 +201,13 @@
                 self.network.cut(self.address(other), own)
 
     def rejoin(self, name: str) -> None:
-        """End a node's cut."""
+        """End a node's isolation."""
         self.network.rejoin(self.address(name))
 
-    # --- looking -------------------------------------------------------------------------
+    # --- observation ---------------------------------------------------------------------
 
     def run_until(self, condition: Callable[[], bool], what: str, limit_s: float = LIMIT_S) -> None:
-        """Run the virtual world until something holds."""
+        """Run the virtual world until a condition holds."""
         wait_until(self.clock, condition, limit_s, what)
 
     def run_for(self, seconds: float) -> None:
@@ -240,7 +240,7 @@
         return self.nodes[name].role.controller
 
     def submit(self, gateway: str, job: str, count: int, tenant: str = "") -> Any:
-        """Have a gateway hand a job in; returns its Deferred."""
+        """Submit a job through a gateway; returns its Deferred."""
         items = tuple(
             RelayedItem(f"{job}-{number}", f"{JOB_PATH}/{number}", (), b"body", 10)
             for number in range(count)
@@ -249,5 +249,5 @@
         return self.nodes[gateway].role.submit(tenant, job, HOST, JOB_PATH, items, limit)
 
     def calls(self) -> list[Any]:
-        """Return every item's sending, of all storage nodes."""
+        """Return the calls that all storage nodes have made to run items."""
         return [call for pool in self.pools.values() for call in pool.calls]
--- a/src/rainsail/fleet/__init__.py
+++ b/src/rainsail/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes of a fleet that relays, put together from their parts: gateway, controller, storage."""
+"""The node processes of a relaying fleet: gateway, controller and storage roles."""
--- a/src/rainsail/fleet/base.py
+++ b/src/rainsail/fleet/base.py
@@ -1,4 +1,4 @@
-"""What every node has: a clock, a transport, a registry and a follower of the controllers."""
+"""Parts shared by all roles: clock, transport, runner registry, follower of the controllers."""
 
 import random as random_module
 from dataclasses import dataclass, field
@@ -33,16 +33,17 @@
     plaintext_off_loopback=True,
     names_are_addresses=True,
 )
-"""Links between nodes: a peer behind a cut must be given up within a few seconds.
+"""Connections between nodes: a partitioned peer must be given up within a few seconds.
 
-A machine without power says nothing. A node that starts while others are still dark tries to reach
-them again soon: with a second for each try gateways had their first table 0.5 s later than they
-could, of 1.0 s (process start to table after a loss of all power, 58 gateways and 6 controllers).
+A machine without power sends no reset, so connection attempts to it time out. The connect timeout
+is short so that a node that starts before its peers retries soon: with a timeout of one second,
+gateways got their first table after 1.0 s, 0.5 s later than necessary (from process start, after a
+power loss of 58 gateways and 6 controllers).
 """
 
 
 def count_warming(registry: RunnerRegistry) -> int:
-    """Return how many runners that may get work still warm up."""
+    """Return how many of the runners that may get work are warming up."""
     return sum(
         1
         for record in registry.records()
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class NodeBase:
-    """The parts that all roles share."""
+    """The parts shared by all roles."""
 
     settings: NodeSettings
     node: NodeRecord
@@ -63,17 +64,17 @@
     registry: RunnerRegistry
     follower: FleetFollower
     started_s: float
-    """When the process began, by ``clock``."""
+    """Start time of the process, by ``clock``."""
     metrics: NodeMetrics = field(default_factory=NodeMetrics)
 
     def listen(self) -> "Deferred[Result[int, Fault]]":
-        """Accept other nodes on the transport of a daemon."""
+        """Accept connections from other nodes; requires a TCP transport."""
         assert isinstance(self.transport, TcpTransport)
         return self.transport.listen_on(self.settings.node.ip, self.settings.transport_port())
 
 
 def make_base(settings: NodeSettings, reactor: Any, started_s: float | None = None) -> NodeBase:
-    """Make the shared parts of a daemon; nothing is started."""
+    """Create the shared parts of a process without starting anything."""
     random = random_module.Random(random_module.SystemRandom().getrandbits(64))
     name = settings.process_name()
     transport = TcpTransport(
@@ -96,7 +97,7 @@
     transport: Transport,
     started_s: float | None = None,
 ) -> NodeBase:
-    """Put the shared parts together over given seams."""
+    """Assemble the shared parts over a given clock, random generator and transport."""
     messenger = Messenger(transport, clock)
     node = NodeRecord(
         settings.process_name(),
--- a/src/rainsail/fleet/controller_node.py
+++ b/src/rainsail/fleet/controller_node.py
@@ -1,4 +1,4 @@
-"""The controller role of a process: runners and operators on one HTTP address."""
+"""The controller role of a process: serves runners and operators on one HTTP address."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,11 +15,11 @@
 from rainsail.storage.interface import FileSystem
 
 LAST_REPLIES_TIMEOUT_S = 1.5
-"""Calls under way at a planned stop are answered within this time, or cut."""
+"""At a planned stop, calls in progress are answered within this time or aborted."""
 
 
 class ControllerNode:
-    """Starts and ends a controller."""
+    """Starts and stops a controller."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._role = ControllerRole(base, files, fatal, read_table=port.read_table)
 
     async def start(self) -> Result[None, Fault]:
-        """Start the role, then take calls."""
+        """Start the role, then accept calls."""
         started = await self._role.start()
         if started.is_error():
             return Error(started.error)
@@ -50,8 +50,8 @@
         return Ok(None)
 
     async def planned_stop(self) -> None:
-        """Answer the calls that have come, hand leadership over, then stop."""
+        """Answer the calls that have arrived, hand over leadership, then stop."""
         if self._close is not None:
-            # An operator whose order is cut can't tell whether it is in force.
+            # An operator whose call is aborted cannot tell whether the order is in force.
             await self._close.finish(LAST_REPLIES_TIMEOUT_S)
         await self._role.planned_stop()
--- a/src/rainsail/fleet/controller_role.py
+++ b/src/rainsail/fleet/controller_role.py
@@ -1,4 +1,4 @@
-"""A controller without its HTTP address: the root group, its state and what nodes are told."""
+"""A controller without its HTTP server: the root group, its state and the service to nodes."""
 
 import time
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class ControllerRole:
-    """Opens the root group and serves nodes; runs over real and simulated seams alike."""
+    """Opens the root group and serves nodes, over real or simulated disks and networks."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         unix_seconds: Callable[[], float] = time.time,
         read_table: TableReader | None = None,
     ) -> None:
-        """``unix_seconds`` reads the time of day."""
+        """``unix_seconds`` reads the wall clock."""
         self._read_table = read_table
         self._base = base
         self._fatal = fatal
@@ -47,7 +47,7 @@
         self.controller: FleetController | None = None
 
     async def start(self) -> Result[None, Fault]:
-        """Open the root group and begin to follow the other controllers."""
+        """Open the root group and start to follow the other controllers."""
         base = self._base
         opened = await self._folder.open()
         if opened.is_error():
@@ -91,14 +91,14 @@
         )
 
     def _services_of(self, content: bytes) -> frozenset[str] | None:
-        """Return the services of a routing table, None when there is none or it can't be read."""
+        """Return the services in a routing table, None if there is no table or it is unreadable."""
         if self._read_table is None or not content:
             return None
         read = self._read_table(content)
         return None if read.is_error() else frozenset(read.ok.services)
 
     def _founders(self) -> tuple[str, ...]:
-        """Return the founders of the root group: the seeds of the fleet's first start."""
+        """Return the founders of the root group: the seeds, if this one is to found the fleet."""
         settings = self._base.settings
         seeds = settings.seed_controllers()
         if not settings.node.founding or self._base.node.address not in seeds:
@@ -106,7 +106,7 @@
         return seeds
 
     async def planned_stop(self) -> None:
-        """Hand leadership over, then stop."""
+        """Hand over leadership, then stop."""
         if self.driver is not None:
             await hand_over(self.driver, self._base.clock)
         self.stop()
--- a/src/rainsail/fleet/gateway_node.py
+++ b/src/rainsail/fleet/gateway_node.py
@@ -1,4 +1,4 @@
-"""The gateway role: clients on one address, readiness checks on another."""
+"""The gateway role: serves clients on one address and readiness checks on another."""
 
 from typing import Any
 
@@ -24,13 +24,13 @@
 
 LEDGER_CALL_TIMEOUT_S = 1.6
 CLIENT_DRAIN_DELAY_S = 2.3
-"""After SIGTERM new clients still come until two readiness checks have been missed."""
+"""After SIGTERM new clients still arrive until two readiness checks have failed."""
 GRACE_MARGIN_S = 0.4
 MILLISECONDS_PER_S = 1000.0
 
 
 class GatewayNode:
-    """Starts and ends a relaying gateway."""
+    """Starts and stops a relaying gateway."""
 
     def __init__(self, base: NodeBase, port: PlatformPort, reactor: Any) -> None:
         self._base = base
@@ -68,7 +68,7 @@
         base.metrics.gauge("runner_connections_opened", lambda: float(pool.opened))
 
     async def start(self) -> Result[None, Fault]:
-        """Listen everywhere and begin to follow the fleet."""
+        """Listen on all addresses and start to follow the controllers."""
         base = self._base
         clients = listen(self._reactor, self._clients, base.settings.listen.clients)
         if clients.is_error():
@@ -83,7 +83,7 @@
         return Ok(None)
 
     async def planned_stop(self) -> None:
-        """Say that no client should come, finish what is under way, then return."""
+        """Report as not ready, finish the requests in progress, then return."""
         logger.bind(under_way=self._clients.requests_under_way).info("drain_begun")
         self.gateway.draining = True
         self._clients.drain()
--- a/src/rainsail/fleet/group_folder.py
+++ b/src/rainsail/fleet/group_folder.py
@@ -1,4 +1,4 @@
-"""Opening one replicated group in a node's data folder."""
+"""Opens the durable state of one replicated group in a node's data folder."""
 
 from expression import Error, Ok, Result
 
@@ -25,17 +25,17 @@
 CACHE_BYTES = MEBIBYTE
 HEARTBEAT_PERIOD_S = 0.08
 ELECTION_TIMEOUT_S = 0.35
-"""Nodes are a few milliseconds apart, and what is refused while no node leads is lost for good."""
+"""Short because nodes are a few milliseconds apart, and calls refused without a leader are lost."""
 REPAIR_AFTER_S = 1.5
 SNAPSHOT_DISK_SHARE = 0.125
 SNAPSHOT_MEMORY_SHARE = 0.06
-"""The log behind the last snapshot is held in memory too."""
+"""Bounded by memory as well, since the log after the last snapshot is also held there."""
 LEAST_SNAPSHOT_LOG_BYTES = 4 * MEBIBYTE
 RETAINED_BYTES = MEBIBYTE
 
 
 class GroupFolder:
-    """A group's durable state on this node, and the driver made over it."""
+    """A group's durable state on this node, and the factory of its driver."""
 
     def __init__(self, base: NodeBase, group: GroupId, files: FileSystem) -> None:
         self._base = base
@@ -45,7 +45,7 @@
         self._storage: DurableGroupStorage | None = None
 
     async def open(self) -> Result[None, Fault]:
-        """Open the folder, making it when it is empty."""
+        """Open the folder; initialize it if it is empty."""
         base = self._base
         identity = await load_or_create_identity(
             self._files,
@@ -65,14 +65,14 @@
         return Ok(None)
 
     def is_empty(self) -> bool:
-        """Tell whether nothing of the group was ever stored here."""
+        """Tell whether nothing of the group has ever been stored here."""
         assert self._storage is not None
         return self._storage.last_index == 0 and self._storage.snapshot_meta is None
 
     def make_driver(
         self, state: StateMachine, founders: tuple[str, ...]
     ) -> Result[GroupDriver, Fault]:
-        """Make the group's driver; ``founders`` found it when all of them are empty."""
+        """Create the group's driver; ``founders`` found the group if all of them are empty."""
         assert self._identity is not None and self._storage is not None
         base = self._base
         member = GroupMember(self._group, base.node.address, self._identity, founders)
--- a/src/rainsail/fleet/leadership_handover.py
+++ b/src/rainsail/fleet/leadership_handover.py
@@ -1,4 +1,4 @@
-"""A planned stop of a group's member."""
+"""Leadership handover before the planned stop of a group member."""
 
 from rainsail.consensus.driver import GroupDriver
 from rainsail.runtime.clock import Clock, sleep
@@ -8,7 +8,7 @@
 
 
 async def hand_over(driver: GroupDriver, clock: Clock) -> None:
-    """Hand leadership over and wait until that is done, for a bounded time."""
+    """Transfer leadership and wait until that is done or ``HAND_OVER_WITHIN_S`` has passed."""
     if not driver.is_leader():
         return
     driver.transfer_leadership()
--- a/src/rainsail/fleet/listening.py
+++ b/src/rainsail/fleet/listening.py
@@ -1,4 +1,4 @@
-"""Listening for HTTP on an address of the settings."""
+"""Opens an HTTP listener on an address from the settings."""
 
 from typing import Any
 
@@ -13,9 +13,10 @@
 
 
 def listen(reactor: Any, server: HttpServer, address: str) -> Result[Any, Fault]:
-    """Accept connections on ``IP:PORT``; a fault says why that can't be done.
+    """Accept connections on ``IP:PORT``; the result is a fault if the address cannot be bound.
 
-    When the reactor ends, it closes all connections in order; what must not end so is cut before.
+    On shutdown the reactor closes all connections gracefully, which would make an incomplete answer
+    look complete. Those connections are aborted beforehand.
     """
     place = parse_address(address)
     try:
--- a/src/rainsail/fleet/port.py
+++ b/src/rainsail/fleet/port.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter gives to a node: translation, and nothing else."""
+"""The interface (port) that a platform adapter implements: translation only, no decisions."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformPort:
-    """The adapter's parts.
+    """The parts of an adapter.
 
-    ``client_handler`` serves clients, ``readiness_handler`` whoever asks whether a gateway is
-    ready, ``control_handler`` runners and operators.
+    ``client_handler`` serves clients, ``readiness_handler`` readiness checks of a gateway,
+    ``control_handler`` runners and operators.
     """
 
     protocol: RelayProtocol
--- a/src/rainsail/fleet/process.py
+++ b/src/rainsail/fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of the fleet: reads its settings, runs its role, ends on SIGTERM or a fatal fault."""
+"""A process of the fleet: reads settings, runs its role, ends on SIGTERM or a fatal fault."""
 
 import signal
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class FleetProcess:
-    """Runs one role on a reactor that others may share; tells ``ended`` when it is over."""
+    """Runs one role on a reactor that others may share; calls ``ended`` when it has ended."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.exit_code = EXIT_DONE
 
     def start(self) -> None:
-        """Start the role; called once the reactor runs."""
+        """Start the role; called once the reactor is running."""
         Deferred.fromCoroutine(self._start_role()).addErrback(self._crashed)
         self._watch_settings()
 
@@ -92,7 +92,7 @@
         self._ended(self)
 
     def stop(self) -> None:
-        """Stop as planned."""
+        """Begin the planned stop; repeated calls have no effect."""
         if self._stopping:
             return
         self._stopping = True
@@ -101,7 +101,7 @@
         done.addErrback(self._crashed)
         done.addCallback(lambda _: self._ended(self))
 
-    # --- settings that change ------------------------------------------------------------
+    # --- settings reload -----------------------------------------------------------------
 
     def _watch_settings(self) -> None:
         if self._stopping:
@@ -111,7 +111,7 @@
         self._reactor.callLater(SETTINGS_CHECK_PERIOD_S, self._watch_settings)
 
     def reload(self) -> None:
-        """Take what may change while running: the seeds. A bad file changes nothing."""
+        """Reload the settings that may change while running: the seeds. Ignores an invalid file."""
         self._text = _content(self._path)
         loaded = load_node_settings(self._path)
         if loaded.is_error():
@@ -130,7 +130,7 @@
 
 
 def make_role(base: NodeBase, port: PlatformPort, reactor: Any, fatal: Any) -> Any:
-    """Make the role that the settings name; only its own modules are loaded."""
+    """Create the role named in the settings; only its own modules are imported."""
     match base.settings.node.role:
         case NodeKind.GATEWAY:
             from rainsail.fleet.gateway_node import GatewayNode
@@ -185,7 +185,7 @@
             node.reload()
 
     def ended(self, node: FleetProcess) -> None:
-        """Note the end of a node; a failure ends the process at once."""
+        """Handle the end of a node; a failure ends the whole process at once."""
         if node in self.nodes:
             self.nodes.remove(node)
         self.exit_code = self.exit_code or node.exit_code
@@ -196,14 +196,14 @@
 def run_node(path: Path, port: PlatformPort, started_s: float | None = None) -> int:
     """Run the process of a settings file; return its exit code.
 
-    ``started_s`` is when the process began, by ``steady_seconds``: a program whose imports take
-    long notes it before them, and its groups elect their leaders sooner by as much.
+    ``started_s`` is the start time of the process, by ``steady_seconds``. A program with slow
+    imports records it before them, so that its groups elect their leaders earlier by that time.
     """
     return run_nodes([path], port, started_s)
 
 
 def run_nodes(paths: list[Path], port: PlatformPort, started_s: float | None = None) -> int:
-    """Run the nodes of several settings files in this process; return the exit code."""
+    """Run the nodes of several settings files in one process; return the exit code."""
     loaded = [(path, load_node_settings(path)) for path in paths]
     faults = [result.error for _, result in loaded if result.is_error()]
     if faults:
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -1,4 +1,4 @@
-"""The storage role: a member of the ledger group; its leader also runs the items."""
+"""The storage role: a member of the ledger group, whose leader also dispatches the items."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,11 +37,11 @@
 LEDGER_GROUP: GroupId = 1
 HOUSEKEEPING_PERIOD_S = 1.0
 CONTROLLER_ANSWER_MAX_AGE_S = 1.6
-"""A beat and its answer; what a runner or an operator says must count within two seconds."""
+"""A heartbeat period and the reply; reports and orders must take effect within two seconds."""
 
 
 class StorageNode:
-    """Starts and ends a member of the ledger group."""
+    """Starts and stops a member of the ledger group."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._regions = RegionMap(base.settings.node.zones)
         self.dispatcher = self._make_dispatcher(protocol, ledger_time)
         self.state.observer = self.dispatcher.observer
-        # Controllers may tell of a table while this node still opens its disk; it is told once.
+        # Controllers push each table once, maybe while this node still opens its disk.
         base.follower.on_table = self._take_table
         base.follower.on_runners = self._runners_changed
         self._incarnations = IncarnationTracker()
@@ -103,7 +103,7 @@
         return Dispatcher(node, ledger)
 
     async def start(self) -> Result[None, Fault]:
-        """Open the folder, listen and follow the fleet; the group starts once it has members."""
+        """Open the folder and follow the controllers; the group starts once it has members."""
         base = self._base
         opened = await self._folder.open()
         if opened.is_error():
@@ -139,14 +139,14 @@
         driver.start()
 
     def _may_start_items(self) -> bool:
-        """Tell whether items may go out: under the leader's lease, and hearing of controllers."""
+        """Tell whether items may be sent: under the leader's lease, while controllers answer."""
         needed = self._base.settings.node.losses + 1
         return self._leads() and self._base.follower.controllers.answered_within(
             needed, CONTROLLER_ANSWER_MAX_AGE_S
         )
 
     def _may_place(self) -> bool:
-        """Tell whether this node may place requests: it leads, and knows a table."""
+        """Tell whether this node may place requests: it leads and has a table."""
         return self._leads() and self.dispatcher.table_version > 0
 
     def _leads(self) -> bool:
@@ -179,7 +179,7 @@
                 self.dispatcher.on_runner_restarted(record)
         self.dispatcher.on_runners_changed(changed)
 
-    # --- the fleet -----------------------------------------------------------------------
+    # --- updates from controllers --------------------------------------------------------
 
     def _view_changed(self, view: FleetView) -> None:
         if self.driver is None and view.founders:
@@ -190,7 +190,7 @@
             self.driver.let_go(frozenset(view.leaving))
 
     def _contacts(self, view: FleetView) -> tuple[str, ...]:
-        """Return the storage nodes that may join, or whom this one asks to let it join."""
+        """Return the storage nodes that may join, or the ones to ask for admission."""
         assert self.driver is not None
         members = {member.replica for member in self.driver.members().members}
         asked = {*members, *view.ledger_voters}
@@ -225,7 +225,7 @@
         self._base.clock.callLater(HOUSEKEEPING_PERIOD_S, self._run_housekeeping)
 
     async def planned_stop(self) -> None:
-        """Hand leadership over, then stop."""
+        """Hand over leadership, then stop."""
         self._stopped = True
         if self.driver is not None:
             await hand_over(self.driver, self._base.clock)
