--- a/src/rainsail/fleet_api/__init__.py
+++ b/src/rainsail/fleet_api/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own HTTP interface to a fleet that relays: runners, operators, jobs, readiness."""
+"""The native HTTP API of a relaying fleet: runners, operators, jobs, readiness checks."""
--- a/src/rainsail/fleet_api/control.py
+++ b/src/rainsail/fleet_api/control.py
@@ -1,4 +1,4 @@
-"""Runners' and operators' calls to a controller, in the product's own names."""
+"""Calls of runners and operators to a controller, in the native API."""
 
 import json
 from typing import Any
@@ -32,18 +32,18 @@
 
 
 def control_handler(controller: FleetController) -> Handler:
-    """Return the handler of a controller's address."""
+    """Return the HTTP handler of a controller."""
     return ControlApi(controller).handle
 
 
 class ControlApi:
-    """Each call is one of the controller's; an unclear end is 503, since all may be repeated."""
+    """Maps calls to the controller; an unknown outcome is 503, since all calls are idempotent."""
 
     def __init__(self, controller: FleetController) -> None:
         self._controller = controller
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Handle one call."""
         if take_quarantine_call(exchange, self._controller.quarantine):
             return
         method = exchange.request.method.decode("latin-1")
@@ -115,7 +115,7 @@
         done.addCallback(answer)
 
     def _read_status(self, exchange: Exchange) -> None:
-        """Answer what an operator wants to know of the fleet, as a quorum confirms it."""
+        """Reply with a summary of the fleet; the zone drains are confirmed by a quorum."""
 
         def body(notice: ZoneDrainNotice) -> dict[str, Any]:
             status = self._controller.status()
--- a/src/rainsail/fleet_api/heartbeats.py
+++ b/src/rainsail/fleet_api/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats and deregistrations of runners as JSON, read strictly.
+"""Strict parsing of runners' heartbeats and deregistrations from JSON.
 
-They may come from other writers than runners: with fields missing, of another type, or out of
-range. None of that may reach the registry: a number that the wire between nodes cannot carry would
-end the push to every one of them.
+Calls may come from other programs than runners: with fields missing, of a wrong type or out of
+range. None of these may reach the registry: a number that the protocol between nodes cannot encode
+would break the push to every node.
 """
 
 import json
@@ -15,13 +15,13 @@
 from rainsail.wire.address import parse_address
 
 MAX_TEXT_LENGTH = 256
-"""Characters of a name. Not measured; chosen far above the names in use."""
+"""Maximum length of a name in characters, far above the names in use."""
 MAX_NUMBER = 2**63 - 1
-"""The largest number that the wire between nodes carries (a long of Avro)."""
+"""The largest number that the protocol between nodes can encode (an Avro long)."""
 MAX_SLOTS = 1_000_000
-"""Slots of a runner. Not measured; chosen far above what an accelerator runs at once."""
+"""Maximum slots of a runner, far above what an accelerator runs concurrently."""
 MAX_WARM_UP_S = 1e6
-"""Not measured; chosen far above any warm-up, and small enough for sums of times."""
+"""Far above any warm-up, and small enough to be added to times."""
 
 
 def _listening(address: str) -> str:
@@ -35,7 +35,7 @@
 
 
 class HeartbeatBody(BaseModel):
-    """A heartbeat; ``born`` is the runner's start in milliseconds since 1970, 0 if not known."""
+    """A heartbeat; ``born`` is the runner's start time in milliseconds since 1970, 0 if unknown."""
 
     model_config = ConfigDict(frozen=True, extra="ignore", strict=True)
 
@@ -50,7 +50,7 @@
 
 
 class DeregistrationBody(BaseModel):
-    """A deregistration; without ``born`` it is of the incarnation that is known."""
+    """A deregistration; without ``born`` it applies to the known incarnation."""
 
     model_config = ConfigDict(frozen=True, extra="ignore", strict=True)
 
@@ -58,7 +58,7 @@
 
 
 def read_heartbeat(runner: str, fields: Any) -> RunnerRecord:
-    """Return the record of a runner's heartbeat; raises one of ``json_fields.UNREADABLE``."""
+    """Return the record for a runner's heartbeat; raises one of ``json_fields.UNREADABLE``."""
     if not runner or len(runner) > MAX_TEXT_LENGTH:
         raise ValueError(f"the runner's id: expected 1 to {MAX_TEXT_LENGTH} characters")
     body = HeartbeatBody.model_validate(fields)
@@ -76,7 +76,7 @@
 
 
 def read_deregistration(content: bytes) -> int | None:
-    """Return ``born`` of the incarnation that leaves, None if it is not given.
+    """Return ``born`` of the incarnation that deregisters, None if it is not given.
 
     Raises one of ``json_fields.UNREADABLE``.
     """
--- a/src/rainsail/fleet_api/items.py
+++ b/src/rainsail/fleet_api/items.py
@@ -1,4 +1,4 @@
-"""Jobs as JSON: items with their requests, results by position."""
+"""Parsing of jobs from JSON: the items with their requests."""
 
 import base64
 import json
@@ -11,13 +11,13 @@
 
 STEP = "fleet_api.items"
 MAX_ITEMS = 200
-"""Items of one job. Not measured; chosen so that a job's command stays small."""
+"""Maximum items of one job, so that the replicated command that holds the job stays small."""
 
 
 def read_items(content: bytes) -> Result[tuple[RelayedItem, ...], Fault]:
-    """Read a job's items, each with ``id``, ``path``, ``headers``, base64 ``body``, ``tokens``.
+    """Parse a job's items, each with ``id``, ``path``, ``headers``, base64 ``body``, ``tokens``.
 
-    An INVALID fault names the first field that is wrong and what was expected there.
+    The INVALID fault names the first invalid field and what was expected there.
     """
     try:
         entries = Fields(json.loads(content)).entries("items")
@@ -55,5 +55,5 @@
 
 
 def whole_number(text: str) -> int:
-    """Return a number of a query, 0 when it is none."""
+    """Return a non-negative number from a query parameter, 0 if it is not a number."""
     return int(text) if text.isascii() and text.isdigit() else 0
--- a/src/rainsail/fleet_api/job_calls.py
+++ b/src/rainsail/fleet_api/job_calls.py
@@ -1,8 +1,7 @@
-"""Serves clients' calls about relayed jobs, whatever these calls look like on the wire.
+"""Serves clients' calls about relayed jobs, independent of their format on the wire.
 
-A job is handed in by a request on a batch route, its id in the request's header. How the other
-calls are written is up to a ``JobCallFormat``; each of them is one of the ledger's, wherever its
-leader is.
+A job is submitted by a request on a batch route, with the job's id in a header. A ``JobCallFormat``
+defines the format of the other calls. Each call is forwarded to the leader of the ledger group.
 """
 
 from collections.abc import Mapping
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadJobResults:
-    """Read results from a position on, waiting for one for up to ``wait_s``."""
+    """Read the results from a position on; waits up to ``wait_s`` for a result to arrive."""
 
     job: str
     after: int
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadJobBody:
-    """Read the body of an item that is not listed yet."""
+    """Read the request body of an item that has no result yet."""
 
     job: str
     item: str
@@ -49,33 +48,33 @@
 
 @dataclass(frozen=True, slots=True)
 class EndJob:
-    """Run nothing more of a job."""
+    """Cancel a job: run none of its remaining items."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownJobCall:
-    """No call that there is, at a path of jobs: its key is checked, then it is relayed."""
+    """An unknown call under the jobs path: its key is checked, then it is relayed."""
 
 
 JobCall = ReadJobResults | ReadJobBody | EndJob | UnknownJobCall
 
 
 class JobCallFormat(Protocol):
-    """How calls about jobs and their answers are written."""
+    """The format of calls about jobs and of their replies."""
 
     def read_call(self, request: HttpRequest) -> JobCall | None:
-        """Return the call that a request makes, None when it is no call about a job."""
+        """Return the call in a request, None if it is not a call about a job."""
         ...
 
     def page_body(self, page: ResultPage) -> Mapping[str, Any]:
-        """Return a page of results as JSON has it."""
+        """Return the JSON body for a page of results."""
         ...
 
 
 def client_handler(gateway: RelayGateway, jobs: JobClient, calls: JobCallFormat) -> Handler:
-    """Return the handler of a gateway's address for clients."""
+    """Return the HTTP handler of a gateway for clients."""
     service = JobCallService(gateway, jobs, calls)
     gateway.on_batch = service.submit
 
@@ -87,7 +86,7 @@
 
 
 class JobCallService:
-    """Answers calls about jobs with what the ledger says."""
+    """Handles calls about jobs by means of the ledger."""
 
     def __init__(self, gateway: RelayGateway, jobs: JobClient, calls: JobCallFormat) -> None:
         self._gateway = gateway
@@ -97,7 +96,7 @@
     def submit(
         self, exchange: Exchange, route: Route, facts: RequestFacts, identity: Identity
     ) -> None:
-        """Hand a job in; 202 once a quorum has synced all of it."""
+        """Submit a job; replies 202 once a quorum has synced all of it."""
         log = logger.bind(job=facts.request)
         items = read_items(exchange.request.body)
         if items.is_error():
@@ -120,7 +119,7 @@
         done.addCallback(answer)
 
     def handle(self, exchange: Exchange) -> bool:
-        """Answer a call about a job that is there; False when it is another request."""
+        """Handle a call about a job; return False for any other request."""
         call = self._calls.read_call(exchange.request)
         if call is None:
             return False
--- a/src/rainsail/fleet_api/jobs.py
+++ b/src/rainsail/fleet_api/jobs.py
@@ -1,4 +1,4 @@
-"""Clients' calls about relayed jobs, in the product's own names."""
+"""Clients' calls about relayed jobs, in the native API."""
 
 from typing import Any
 from urllib.parse import parse_qs, unquote
@@ -21,7 +21,7 @@
 
 
 def client_handler(gateway: RelayGateway, jobs: JobClient) -> Handler:
-    """Return the handler of a gateway's address for clients."""
+    """Return the HTTP handler of a gateway for clients."""
     return job_calls.client_handler(gateway, jobs, NativeJobCalls())
 
 
@@ -44,7 +44,7 @@
         return UnknownJobCall()
 
     def page_body(self, page: ResultPage) -> dict[str, Any]:
-        """Return a page of results as JSON has it."""
+        """Return the JSON body for a page of results."""
         results = [
             {"item": entry.item, "done": entry.done, "text": entry.text} for entry in page.results
         ]
--- a/src/rainsail/fleet_api/json_fields.py
+++ b/src/rainsail/fleet_api/json_fields.py
@@ -1,7 +1,7 @@
-"""Reads the fields of JSON objects that clients, runners and operators send.
+"""Typed access to the fields of JSON objects sent by clients, runners and operators.
 
-An error names the field and what was expected there. It never repeats a value: a body may hold
-keys.
+An error names the field and what was expected. It never repeats the value, since a body may contain
+API keys.
 """
 
 import json
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 
 UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, RecursionError, OverflowError)
-"""What reading a body raises when it is not what was expected; ``explain`` says it in words."""
+"""Exceptions raised by reading an invalid body; ``explain`` turns them into a message."""
 
 A_STRING = "a string"
 A_NUMBER = "a number"
@@ -27,7 +27,7 @@
 
 
 class Fields:
-    """The fields of one JSON object; ``path`` is where it stands in the whole body.
+    """The fields of one JSON object; ``path`` is its position in the whole body.
 
     Methods raise ``FieldError``.
     """
@@ -39,18 +39,18 @@
         self._path = path
 
     def path_of(self, name: str) -> str:
-        """Return where a field stands in the whole body."""
+        """Return the path of a field in the whole body."""
         return f"{self._path}.{name}" if self._path else name
 
     def __contains__(self, name: str) -> bool:
         return name in self._values
 
     def get(self, name: str) -> Any:
-        """Return a field's value as it is, None when it is missing."""
+        """Return a field's raw value, None if it is missing."""
         return self._values.get(name)
 
     def required(self, name: str, expected: str) -> Any:
-        """Return the value, of any type, of a field that must be there."""
+        """Return the raw value of a required field."""
         if name not in self._values:
             raise FieldError(self.path_of(name), expected, "nothing")
         return self._values[name]
@@ -63,19 +63,19 @@
         return value
 
     def number(self, name: str) -> float:
-        """Return a required number; a string that is one counts."""
+        """Return a required number; numeric strings are accepted."""
         return self._to_number(name, self.required(name, A_NUMBER))
 
     def number_or(self, name: str, default: float) -> float:
-        """Return a number, the default when it is missing, null or 0."""
+        """Return a number, or the default if it is missing, null or 0."""
         return self._to_number(name, self.get(name) or default)
 
     def whole(self, name: str) -> int:
-        """Return a required number without its fraction; a string that is one counts."""
+        """Return a required integer; numbers are truncated and numeric strings are accepted."""
         return self._to_whole(name, self.required(name, A_WHOLE_NUMBER))
 
     def whole_or(self, name: str, default: int) -> int:
-        """Return a number without its fraction, the default when it is missing, null or 0."""
+        """Return a number truncated to an integer, or the default if it is missing, null or 0."""
         return self._to_whole(name, self.get(name) or default)
 
     def _to_whole(self, name: str, value: Any) -> int:
@@ -101,7 +101,7 @@
 
 
 def json_type(value: Any) -> str:
-    """Return what a JSON value is, in words."""
+    """Return the name of a JSON value's type for messages."""
     match value:
         case None:
             return "null"
@@ -118,9 +118,9 @@
 
 
 def explain(error: Exception, renamed: Mapping[str, str] = _NO_FIELDS_RENAMED) -> str:
-    """Return what is wrong with a body, from one of ``UNREADABLE``.
+    """Return a message for an invalid body, given one of the ``UNREADABLE`` exceptions.
 
-    ``renamed`` has the sender's name of each field that pydantic knows by another.
+    ``renamed`` maps names of pydantic fields to the names that the sender uses, where they differ.
     """
     match error:
         case ValidationError():
@@ -139,5 +139,5 @@
 
 
 def _place(problem: Mapping[str, Any]) -> str:
-    """Return the field of one of pydantic's errors."""
+    """Return the path of the field in a pydantic error."""
     return ".".join(map(str, problem["loc"])) or "the body"
--- a/src/rainsail/fleet_api/port.py
+++ b/src/rainsail/fleet_api/port.py
@@ -1,4 +1,4 @@
-"""The product's own interface as the port of a node; a role loads only the parts it uses."""
+"""The native API as a node's ``PlatformPort``; a role imports only the parts it uses."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def make_native_port() -> PlatformPort:
-    """Return the port of a fleet that speaks the product's own names."""
+    """Return the port of a fleet that serves the native API."""
     return PlatformPort(
         HeaderProtocol(HeaderNames()),
         read_table,
--- a/src/rainsail/fleet_api/quarantine.py
+++ b/src/rainsail/fleet_api/quarantine.py
@@ -1,4 +1,4 @@
-"""An operator's calls about held requests: what is held, and letting one go."""
+"""Operators' calls about held (quarantined) requests: list them and release one."""
 
 from typing import Any
 
@@ -13,9 +13,9 @@
 
 
 def take_quarantine_call(exchange: Exchange, quarantine: QuarantineControl) -> bool:
-    """Answer ``GET /v1/held-requests`` and ``DELETE /v1/held-requests/FINGERPRINT``.
+    """Handle ``GET /v1/held-requests`` and ``DELETE /v1/held-requests/FINGERPRINT``.
 
-    False for any other call, which is left as it is.
+    Returns False for any other call, which is not answered.
     """
     method = exchange.request.method
     path = exchange.request.target.decode("latin-1").partition("?")[0]
@@ -31,7 +31,7 @@
 
 
 def _list(notice: QuarantineNotice) -> dict[str, Any]:
-    """Return each request's fingerprint, whether it is held now, and how often it was."""
+    """Return each request's fingerprint, whether it is held now, and how often it was held."""
     requests = [
         {"fingerprint": name_of(each.fingerprint), "held": each.held, "times": each.times}
         for each in notice.quarantine.requests
--- a/src/rainsail/fleet_api/replies.py
+++ b/src/rainsail/fleet_api/replies.py
@@ -1,4 +1,4 @@
-"""Answers of our own over HTTP, and how faults become statuses."""
+"""HTTP replies of the node itself, and the mapping of faults to statuses."""
 
 import json
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 def reply(
     exchange: Exchange, status: int, body: bytes = b"", retry_after_s: float | None = None
 ) -> None:
-    """Answer with a body of JSON, or none."""
+    """Reply with a JSON body or without a body."""
     fields = [JSON_TYPE] if body else []
     if retry_after_s is not None:
         fields.append((b"Retry-After", f"{retry_after_s:g}".encode()))
@@ -39,14 +39,14 @@
 
 
 def reply_json(exchange: Exchange, status: int, body: Any) -> None:
-    """Answer with a value as JSON."""
+    """Reply with a value encoded as JSON."""
     reply(exchange, status, json.dumps(body, separators=(",", ":")).encode())
 
 
 def reply_fault(
     exchange: Exchange, fault: Fault, unknown_outcome_status: int = STATUS_OUTCOME_UNKNOWN
 ) -> None:
-    """Answer a fault; 429 and 503, with the time to come back, only where nothing was done."""
+    """Reply with a fault's status; 429 and 503 with ``Retry-After`` only if nothing has run."""
     status = _STATUSES.get(fault.code)
     if status is not None:
         reply_json(exchange, status, {"error": fault.detail})
@@ -65,7 +65,7 @@
     status: int = STATUS_OK,
     unknown_outcome_status: int = STATUS_OUTCOME_UNKNOWN,
 ) -> None:
-    """Answer with ``body`` of the result, or with its fault."""
+    """Reply with ``body`` of the result, or with its fault, once ``done`` fires."""
 
     def answer(result: Result[Any, Fault]) -> None:
         if result.is_ok():
--- a/src/rainsail/fleet_api/tables.py
+++ b/src/rainsail/fleet_api/tables.py
@@ -1,4 +1,4 @@
-"""The routing table as an operator writes it: JSON, checked whole."""
+"""Parsing and validation of an operator's routing table in JSON."""
 
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
@@ -61,7 +61,7 @@
 
 
 class TenantBody(_Part):
-    """One tenant and its keys; a rate of 0 stands for no limit."""
+    """One tenant and its API keys; a rate of 0 means no limit."""
 
     name: str
     keys: tuple[str, ...] = Field(default=(), repr=False)
@@ -72,7 +72,7 @@
 
 
 class LimitsBody(_Part):
-    """What a client may send."""
+    """Limits on clients' requests."""
 
     max_header_bytes: int = Field(default=16 * 1024, gt=0)
     max_body_bytes: int = Field(default=4 * 1024 * 1024, gt=0)
@@ -81,7 +81,7 @@
 
 
 class TableBody(_Part):
-    """A whole table."""
+    """A complete routing table."""
 
     version: int = Field(gt=0)
     routes: tuple[RouteBody, ...]
@@ -102,7 +102,7 @@
 
 
 def read_table(content: bytes) -> Result[RoutingTable, Fault]:
-    """Read a table; an INVALID fault names the first place that is wrong."""
+    """Parse a table; the INVALID fault names the first invalid field."""
     try:
         body = TableBody.model_validate_json(content)
     except ValidationError as error:
