--- a/features/platform/soak.feature
+++ b/features/platform/soak.feature
@@ -1,6 +1,6 @@
-Feature: Real processes keep their promises under random faults
+Feature: Real processes keep their guarantees under random faults
 
-  Scenario Outline: A history in which <what> is seen as broken
+  Scenario Outline: The checks find a violation in a history in which <what>
     Given a history of a soak in which <what>
     Then the checks find "<words>"
 
@@ -21,7 +21,7 @@
       | a planned stop cuts a request that was sent | cut by a planned     |
       | a planned stop ends with a failure          | failed stop          |
 
-  Scenario Outline: A history in which <what> is clean
+  Scenario Outline: The checks find no violation in a history in which <what>
     Given a history of a soak in which <what>
     Then the checks find nothing
 
@@ -31,22 +31,22 @@
       | a runner breaks off a stream during a planned stop            |
       | another gateway's planned stop goes on while a request is cut |
 
-  Scenario: A history in which everything was kept is clean
+  Scenario: The checks find no violation in a history without faults
     Given a history of a soak in which nothing went wrong
     Then the checks find nothing
 
-  Scenario: Kills, freezes, stops and lost disks of real processes break no promise
+  Scenario: Kills, freezes, stops and lost disks of real processes violate no guarantee
     Given the platform's stand-in with 3 controllers, 3 storage nodes, 2 gateways and 0 runners
     When 6 faults drawn from seed 1 strike while clients, runners and an operator work
     Then no promise was broken, and requests, jobs and configurations were served
 
-  # Guards against: planned stops that cut requests while other roles restart and the configuration changes.
-  Scenario: Faults of all roles that overlap, and planned stops, break no promise
+  # Guards against: planned stops that abort requests while other roles restart and the configuration changes.
+  Scenario: Overlapping faults of all roles and planned stops violate no guarantee
     When 1 faults a role overlap by seed 10 while clients keep their connections
     Then no promise was broken, and requests, jobs and configurations were served
 
-  # Guards against: a soak that does not see a port which accepts connections and then resets them.
-  Scenario: The soak catches gateways whose ports close in a later turn than their queues are emptied
+  # Guards against: a soak that does not detect a port which accepts connections and then resets them.
+  Scenario: The soak detects gateways whose ports close in a later reactor turn than their accept queues are emptied
     Given gateways whose ports close in a later turn than their queues are emptied
     When each gateway is restarted 1 time while clients keep their connections
     Then the soak finds requests that were cut by a planned stop
--- a/features/platform/translation.feature
+++ b/features/platform/translation.feature
@@ -1,13 +1,13 @@
-Feature: The adapter translates, and refuses what it can't read whole
+Feature: The adapter translates, and rejects whatever it cannot parse completely
 
-  Scenario: A whole configuration becomes a routing table
+  Scenario: A complete configuration becomes a routing table
     Given the platform's example configuration
     Then the table has version 7, 2 routes and 2 services
     And route 1 is a resumable stream of 2 attempts, 5 seconds and a target of 0.5 seconds
     And route 2 is split 90 to 10 and is not repeatable
     And the limits are 16384 and 4194304 bytes, 3 and 15 seconds
 
-  Scenario Outline: An invalid configuration is refused whole
+  Scenario Outline: An invalid configuration is refused as a whole
     Given the platform's example configuration
     When the configuration comes <spoiled>
     Then it is refused and the fault names "<word>"
@@ -27,7 +27,7 @@
       | with a tenant's key as a number | tenants[0].apiKeys: expected a list of strings, got a list |
       | no table but a list             | the body: expected an object, got a list |
 
-  Scenario Outline: Of a large configuration the route that is wrong is named
+  Scenario Outline: The error for a large configuration names the invalid route
     Given the platform's example configuration with 2000 more routes
     When route 1500 of it comes <spoiled>
     Then it is refused and the fault names "route 1500 (<name>): the route<problem>"
@@ -38,16 +38,16 @@
       | with a time-out of 0 | more-1498 | .timeoutMs: expected a number above 0, got 0    |
       | as a bare text       | None      | : expected an object, got a string              |
 
-  Scenario: A route of a large configuration is found, and no other takes its place
+  Scenario: Each route of a large configuration is found by its own host and path
     Given the platform's example configuration with 2000 more routes
     Then each of its routes is found by its own host and path
     And a path that none of them has is of no route
 
-  Scenario: What a client's request says is read
+  Scenario: The facts of a client's request are read from its headers
     Given a client's request with the platform's headers
     Then its facts are id "9c41", host "h.example", path "/x/y", 8 seconds and 3 prompt parts
 
-  Scenario: What goes to a runner names the runner and the time left
+  Scenario: A request to a runner carries the runner's id and the remaining time
     Given a client's request with the platform's headers
     When the request is translated for runner "i-1" with 2.5 seconds left behind event 4
     Then the runner gets these fields
@@ -61,7 +61,7 @@
       | X-Own           | kept      |
     And no field "Connection" and no field "Keep-Alive"
 
-  Scenario Outline: A runner's head is judged
+  Scenario Outline: The head of a runner's answer is classified
     Given an answer <status> with the fields "<fields>"
     Then it is <verdict> for request "9c41"
 
@@ -76,11 +76,11 @@
       | 400    | Request-Id: 9c41             | an answer              |
       | 503    | Request-Id: 9c41             | an unkept promise      |
 
-  Scenario Outline: A heartbeat that can't be read gets 400 and changes nothing
+  Scenario Outline: An unreadable heartbeat gets 400 and changes nothing
     When a controller gets the heartbeat '<body>'
     Then the call is answered 400
     And the answer's error has "<problem>"
-    And the controller was told nothing
+    And the controller got no report
 
     Examples:
       | body                                                              | problem                                   |
@@ -89,7 +89,7 @@
       | {"service":"s"                                                    | the body is not JSON                      |
       | []                                                                | the body: expected an object, got a list  |
 
-  Scenario Outline: The error of a heartbeat names the field as the platform does: <field> is <value>
+  Scenario Outline: The error for a heartbeat uses the platform's field names: <field> is <value>
     When a controller gets a runner's heartbeat in which <field> is <value>
     Then the call is answered 400
     And the answer's error has "<problem>"
@@ -103,10 +103,10 @@
       | coldLeftMs | "0"     | coldLeftMs: Input should be a valid number        |
       | born       | null    | born: Input should be a valid integer             |
 
-  Scenario Outline: A heartbeat of another writer gets 400 and changes nothing: <field> is <value>
+  Scenario Outline: A heartbeat with an invalid field gets 400 and changes nothing: <field> is <value>
     When a controller gets a runner's heartbeat in which <field> is <value>
     Then the call is answered 400
-    And the controller was told nothing
+    And the controller got no report
 
     Examples:
       | field      | value              |
@@ -154,7 +154,7 @@
   Scenario Outline: A heartbeat of <kind> gets 400 and changes nothing
     When a controller gets a heartbeat of <kind>
     Then the call is answered 400
-    And the controller was told nothing
+    And the controller got no report
 
     Examples:
       | kind                        |
@@ -164,19 +164,19 @@
       | a number of 5000 digits     |
       | a text                      |
 
-  Scenario: A runner's word says when it was born, also the last one
+  Scenario: A runner's heartbeats and its deregistration carry its start time
     When a controller gets a runner's heartbeat in which born is 1796254995480
     Then the call is answered 200
-    And the controller was told of a runner born at 1796254995480
-    When that runner takes its leave with its birth in the body
+    And the controller got a report of a runner born at 1796254995480
+    When that runner deregisters with its start time in the body
     Then the call is answered 200
-    And the controller was told that the life born at 1796254995480 is gone
-    When that runner takes its leave with an empty body
-    Then the controller was told that the life that it knows is gone
-    When that runner takes its leave with its birth written "1796254995480"
+    And the controller got a deregistration of the incarnation born at 1796254995480
+    When that runner deregisters with an empty body
+    Then the controller got a deregistration of the known incarnation
+    When that runner deregisters with its start time written as the string "1796254995480"
     Then the call is answered 400
 
-  Scenario Outline: A job that can't be read gets 400, with the field that is wrong, and is not handed in
+  Scenario Outline: An unreadable job gets 400 with the name of the invalid field, and is not submitted
     When a gateway gets the job '<body>'
     Then the call is answered 400
     And the answer's error has "<problem>"
@@ -199,7 +199,7 @@
       | []                                                      | the body: expected an object, got a list        |
       | {"items":                                               | the body is not JSON                            |
 
-  Scenario Outline: How a job's call ended is said truly
+  Scenario Outline: The status of a job's submission matches its outcome
     When a gateway gets a job, and the ledger's answer is <answer>
     Then the call is answered <status>
 
@@ -210,7 +210,7 @@
       | unclear        | 504    |
       | over the limit | 429    |
 
-  Scenario Outline: A settings file that can't be used is refused with the place
+  Scenario Outline: An invalid settings file is refused with the name of the setting
     Given a node's settings where <place> is <value>
     Then they are refused and the fault names "<place>"
 
--- a/features/steps/platform_fatal_request_steps.py
+++ b/features/steps/platform_fatal_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a body that ends runners, with the adapter's real processes."""
+"""Steps on a request body that crashes runners, with the adapter's real processes."""
 
 import json
 import time
@@ -92,8 +92,8 @@
     wait_until(lambda: bool(_held(context)), "the held requests read back")
 
 
-@when("the operator lets it go, and runners bear it")
-def let_go(context):
+@when("the operator releases it, and runners no longer crash on it")
+def release(context):
     (held,) = _held(context)
     platform_stand_in.FATAL_BODY = b"another"
     context.add_cleanup(setattr, platform_stand_in, "FATAL_BODY", FATAL_BODY)
--- a/features/steps/platform_translation_steps.py
+++ b/features/steps/platform_translation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the platform's adapter: translation alone."""
+"""Steps on the platform adapter's translations."""
 
 import json
 import tempfile
@@ -273,41 +273,41 @@
 # --- calls ---------------------------------------------------------------------------------
 
 
-class _ToldController:
-    """Notes what a controller is told."""
+class _RecordingController:
+    """Records the reports and deregistrations that a controller gets."""
 
     def __init__(self):
-        self.told = []
+        self.reported = []
         self.gone = []
         self.reports = self
 
     def take_deregistration(self, runner, born=None):
-        """Note a leave."""
+        """Record a deregistration."""
         self.gone.append((runner, born))
         return succeed(Ok(None))
 
     def take(self, record):
-        """Note a report."""
-        self.told.append(record)
+        """Record a report."""
+        self.reported.append(record)
         return succeed(Ok(None))
 
 
 class _StandInJobs:
-    """Answers in the ledger's place."""
+    """Replies in place of the ledger."""
 
     def __init__(self, answer):
         self.answer = answer
         self.handed_in = []
 
     def submit(self, tenant, job, host, path, items, limit):
-        """Note a job."""
+        """Record a job."""
         self.handed_in.append((job, items))
         self.limit = limit
         return succeed(self.answer)
 
 
 class _StandInGateway:
-    """Keeps what the adapter sets."""
+    """Holds the handler that the adapter sets."""
 
     on_batch = None
 
@@ -319,12 +319,12 @@
 
 @when("a controller gets the heartbeat '{body}'")
 def heartbeat(context, body):
-    context.told = _ToldController()
+    context.controller_calls = _RecordingController()
     context.exchange = _exchange(b"/api/Instances.Heartbeat/i-1", body.encode())
-    control_handler(context.told)(context.exchange)
+    control_handler(context.controller_calls)(context.exchange)
 
 
-SOUND_WORD = {
+VALID_HEARTBEAT = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -339,7 +339,7 @@
 
 @when("a controller gets a runner's heartbeat in which {field} is {value}")
 def heartbeat_with(context, field, value):
-    fields = {name: json.dumps(each) for name, each in SOUND_WORD.items()}
+    fields = {name: json.dumps(each) for name, each in VALID_HEARTBEAT.items()}
     if value == "missing":
         del fields[field]
     else:
@@ -357,45 +357,45 @@
         "a number of 5000 digits": b"9" * 5000,
         "a text": b'"ready"',
     }
-    context.told = _ToldController()
+    context.controller_calls = _RecordingController()
     context.exchange = _exchange(b"/api/Instances.Heartbeat/i-1", bodies[kind])
-    control_handler(context.told)(context.exchange)
+    control_handler(context.controller_calls)(context.exchange)
 
 
-@then("the controller was told of a runner born at {born:d}")
-def told_born(context, born):
-    (record,) = context.told.told
+@then("the controller got a report of a runner born at {born:d}")
+def got_born(context, born):
+    (record,) = context.controller_calls.reported
     assert record.born == born, record
 
 
-@when("that runner takes its leave with its birth in the body")
-def leaves(context):
-    _leave(context, b'{"born":1796254995480}')
+@when("that runner deregisters with its start time in the body")
+def deregisters(context):
+    _deregister(context, b'{"born":1796254995480}')
 
 
-@when("that runner takes its leave with an empty body")
-def leaves_silently(context):
-    _leave(context, b"")
+@when("that runner deregisters with an empty body")
+def deregisters_with_empty_body(context):
+    _deregister(context, b"")
 
 
-@when('that runner takes its leave with its birth written "1796254995480"')
-def leaves_badly(context):
-    _leave(context, b'{"born":"1796254995480"}')
+@when('that runner deregisters with its start time written as the string "1796254995480"')
+def deregisters_with_string(context):
+    _deregister(context, b'{"born":"1796254995480"}')
 
 
-def _leave(context, body):
+def _deregister(context, body):
     context.exchange = _exchange(b"/api/Instances.Deregister/i-1", body)
-    control_handler(context.told)(context.exchange)
+    control_handler(context.controller_calls)(context.exchange)
 
 
-@then("the controller was told that the life born at {born:d} is gone")
-def told_gone(context, born):
-    assert context.told.gone[-1] == ("i-1", born), context.told.gone
+@then("the controller got a deregistration of the incarnation born at {born:d}")
+def got_gone(context, born):
+    assert context.controller_calls.gone[-1] == ("i-1", born), context.controller_calls.gone
 
 
-@then("the controller was told that the life that it knows is gone")
-def told_known_gone(context):
-    assert context.told.gone[-1] == ("i-1", None), context.told.gone
+@then("the controller got a deregistration of the known incarnation")
+def got_known_gone(context):
+    assert context.controller_calls.gone[-1] == ("i-1", None), context.controller_calls.gone
 
 
 @then("the call is answered {status:d}")
@@ -403,9 +403,9 @@
     assert context.exchange.status == status, context.exchange
 
 
-@then("the controller was told nothing")
-def told_nothing(context):
-    assert context.told.told == []
+@then("the controller got no report")
+def got_nothing(context):
+    assert context.controller_calls.reported == []
 
 
 def _hand_in(context, body, answer):
@@ -441,7 +441,7 @@
 def ledger_answers(context, answer):
     outcome = Outcome.UNKNOWN if answer == "unclear" else Outcome.NOT_RUN
     code = FaultCode.OVER_LIMIT if answer == "over the limit" else FaultCode.UNAVAILABLE
-    fault = Fault(code, "test", "the leader's words", outcome=outcome)
+    fault = Fault(code, "test", "the leader's detail", outcome=outcome)
     result = Ok(RelayedJobAccepted("9c41")) if answer == "accepted" else Error(fault)
     body = (
         b'{"items":[{"id":"a","path":"/jobs/a","headers":{"Model":"m"},"body":"aGk=","tokens":3}]}'
--- a/features/steps/platform_whole_path_steps.py
+++ b/features/steps/platform_whole_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter's processes and the platform's stand-in."""
+"""Steps on the adapter's processes and the stand-in for the platform."""
 
 import json
 import tempfile
@@ -33,7 +33,7 @@
     assert context.platform.control("GET", "/api/Config.Read")[0] == 503
 
 
-@then("a client that comes too early is refused with a time to come back, and the log says why")
+@then("a client that comes too early is refused with a time to retry after, and the log says why")
 def refused_early(context):
     wait_until(lambda: context.platform.listens("gateway-1"), "gateway-1 listening")
     status, _, headers = _served(context, "/safe/1", "early-1")
@@ -142,7 +142,7 @@
     assert {entry["id"] for entry in page["results"]} == {f"job-1-{n}" for n in range(3)}
 
 
-@then("the job handed in again is accepted again and nothing runs anew")
+@then("the job submitted again is accepted again and nothing runs twice")
 def submit_again(context):
     before = sum(len(runner.ran) for runner in context.platform.runners)
     assert context.platform.submit("gateway-2", "job-1", 3) == 202
@@ -163,7 +163,7 @@
     assert platform.metric("gateway-1", "table_version") == platform.version
     for role in ("controller", "storage"):
         names = [name for name in platform.nodes if name.startswith(role)]
-        # Two of three serve; the third of those that were killed may still be starting.
+        # Two of three controllers suffice; the third one that was killed may still be starting.
         wait_until(lambda names=names: _all_have_voters(platform, names), f"every {role}'s voters")
         leads = [platform.metric(name, "group_leads") for name in names]
         assert sum(leads) == 1, leads
@@ -199,7 +199,7 @@
     platform.beat(platform.runners[1])
 
 
-@then("its word is acknowledged and it gets nothing more")
+@then("its report is acknowledged and it gets nothing more")
 def nothing_more(context):
     runner = context.platform.runners[0]
     wait_until(lambda: _spared(context, runner), "a drained runner that gets nothing")
@@ -237,8 +237,8 @@
     assert process.returncode == 0, process.returncode
 
 
-@then("the story of the broken stream can be told from the logs")
-def story(context):
+@then("the course of the broken stream can be followed in the logs")
+def broken_stream_logged(context):
     logs = [str(context.platform.log_path(name)) for name in context.platform.nodes]
     finished = rainsail_here(["story", "stream-2", *logs])
     assert finished.code == 0, finished
@@ -291,7 +291,7 @@
 
 
 def _ran_counts(context, count, prefix):
-    """Send safe requests one after the other; return how many each runner has run."""
+    """Send safe requests sequentially; return how many each runner has run."""
     platform = context.platform
     before = [len(runner.ran) for runner in platform.runners]
     for number in range(count):
@@ -339,6 +339,6 @@
     assert counts[context.platform.runners.index(context.drained)] > 0, counts
 
 
-@then("an order on a zone that nobody has is answered 404")
+@then("an order on an unknown zone is answered 404")
 def unknown_zone(context):
     assert context.platform.control("POST", "/api/Evacuate.Start/nowhere")[0] == 404
--- a/features/support/platform_adapter_path.py
+++ b/features/support/platform_adapter_path.py
@@ -1,4 +1,4 @@
-"""Makes the adapter's package importable for the tests: it stands outside ``src``."""
+"""Makes the adapter's package importable for the tests, as it is outside ``src``."""
 
 import sys
 from pathlib import Path
--- a/features/support/platform_stand_in.py
+++ b/features/support/platform_stand_in.py
@@ -1,7 +1,7 @@
 """A stand-in of the users' platform on loopback: nodes as processes, runners, clients, an operator.
 
-Written from the platform's pages. Runners answer on connections of the test's own reactor; nodes
-are real processes of the adapter, found and ended by their process ids alone.
+Follows the platform's documentation. Runners answer on connections of the test's own reactor; nodes
+are real processes of the adapter, which are signalled only by their process ids.
 """
 
 import base64
@@ -51,10 +51,11 @@
 HOST = "a.example"
 EVENTS = 5
 ZONE_DRAIN_S = 5.0
+"""This long after the acknowledgement of a zone's drain its runners get no more requests."""
 FATAL_BODY = b"fatal"
-"""A runner ends when it begins to run this."""
+"""A runner process ends when it starts to run this body."""
 BACK_AFTER_S = 1.5
-"""From the acknowledgement of a zone's drain its runners get nothing after this time."""
+"""A runner process that has ended restarts after this time."""
 SETTINGS = """
 [node]
 name = "{name}"
@@ -98,13 +99,13 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the process is there."""
+        """Tell whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
 
 @dataclass
 class StandInRunner:
-    """A runner: what it has run, and how it misbehaves for the next requests."""
+    """A runner: the requests that it has run, and the faults of the next requests."""
 
     runner: str
     service: str
@@ -112,33 +113,33 @@
     zone: str
     ran: list[str] = field(default_factory=list)
     drained_since_s: float | None = None
-    """Since when its zone is drained, by the acknowledgement; None while it is not."""
+    """When the drain of its zone was acknowledged; None while the zone is not drained."""
     ran_in_drain: list[str] = field(default_factory=list)
-    """Requests that came to it although its zone was drained for a while."""
+    """Requests that arrived more than ``ZONE_DRAIN_S`` after that acknowledgement."""
     misnamed: list[str] = field(default_factory=list)
-    """Requests that came with a key, or not in the name of their tenant."""
+    """Requests that arrived with an API key or without the name of their tenant."""
     broken_off: list[str] = field(default_factory=list)
-    """Requests whose streams it has broken off."""
+    """Requests whose streams it has aborted."""
     resumed_after: list[str] = field(default_factory=list)
     refuse: int = 0
     break_after: int | None = None
-    """Break the next stream off after so many events."""
+    """Abort the next stream after this many events."""
     event_pause_s: float = 0.0
     together: list["StandInRunner"] = field(default_factory=list)
-    """All runners: only the first of them breaks its stream off."""
+    """All runners: only the first one that streams aborts its stream."""
     faults: RunnerFaults | None = None
-    """Draws the faults of a soak."""
+    """Random generator for the faults of a soak."""
     leaving: bool = False
     sequence: int = 0
     born_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     server: Any = None
     port: Any = None
     fatal_runs: list[float] = field(default_factory=list)
-    """When the fatal body began to run here."""
+    """When the fatal body started to run here."""
     come_back: Callable[[], None] = lambda: None
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer as the platform's runners do."""
+        """Answer a request as the platform's runners do."""
         fields = exchange.request.headers
         request = header_text(fields, b"request-id")
         if header_text(fields, b"expect-instance") != self.runner:
@@ -169,7 +170,7 @@
             exchange.answer(200, tuple(answer), b"echo " + exchange.request.body)
 
     def die(self) -> None:
-        """End as a process does: nobody listens, and each connection closes in order."""
+        """End like a process: stop listening and close each connection gracefully."""
         self.port.stopListening()
         for connection in list(self.server.connections):
             connection.transport.loseConnection()
@@ -213,7 +214,7 @@
 
 
 class StandInPlatform:
-    """Starts nodes, and plays runners, clients and the operator."""
+    """Starts nodes, and simulates runners, clients and the operator."""
 
     def __init__(
         self,
@@ -225,7 +226,7 @@
         """``program`` is what each node's process runs."""
         self._program = program
         self._spawner = ThreadPoolExecutor(1)
-        """Starts all nodes: the kernel ends them with the thread that started them."""
+        """Thread that starts all nodes: the kernel ends them together with this thread."""
         self._folder = tempfile.TemporaryDirectory()
         self._network = LoopbackNetwork()
         self.octet = self._network.octet
@@ -245,7 +246,7 @@
     # --- nodes ---------------------------------------------------------------------------
 
     def start(self, name: str, founding: bool = False) -> None:
-        """Start a node's process with settings of this moment."""
+        """Start a node's process with newly written settings."""
         role, _, number = name.partition("-")
         ip = self._ip(role, int(number))
         folder = Path(self._folder.name) / name
@@ -296,7 +297,7 @@
         process.wait()
 
     def terminate(self, name: str) -> None:
-        """Ask a node's process to end."""
+        """Send SIGTERM to a node's process."""
         process = self.nodes[name].process
         assert process is not None
         process.send_signal(signal.SIGTERM)
@@ -308,7 +309,7 @@
         process.send_signal(number)
 
     def wipe(self, name: str) -> None:
-        """Empty the data folder of a node whose process is gone."""
+        """Empty the data folder of a node whose process has ended."""
         folder = Path(self._folder.name) / name
         shutil.rmtree(folder)
         folder.mkdir()
@@ -324,13 +325,13 @@
         return Path(self._folder.name) / f"{name}.log"
 
     def keep_logs(self, folder: Path) -> None:
-        """Copy the nodes' output to a folder that stays."""
+        """Copy the nodes' output to a permanent folder."""
         folder.mkdir(parents=True, exist_ok=True)
         for name in self.nodes:
             shutil.copy(self.log_path(name), folder)
 
     def close(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for node in self.nodes.values():
             if node.running:
                 assert node.process is not None
@@ -347,7 +348,7 @@
     def call(
         self, ip: str, port: int, method: str, path: str, body: bytes = b"", **headers: str
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Make one call on a new connection; status 0 stands for no answer."""
+        """Make one call on a new connection; status 0 means no answer."""
         connection = http.client.HTTPConnection(ip, port, timeout=10)
         try:
             named = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -360,7 +361,7 @@
             connection.close()
 
     def control(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        """Call controllers one after the other until one answers below 500."""
+        """Call the controllers in turn until one answers with a status below 500."""
         content = b"" if body is None else json.dumps(body).encode()
         status, answer = 0, b""
         for name in [n for n in self.nodes if n.startswith("controller")]:
@@ -370,14 +371,14 @@
         return status, answer
 
     def drain_zone(self, zone: str) -> int:
-        """Have a zone drained; returns the status."""
+        """Drain a zone; returns the status."""
         status, _ = self.control("POST", f"/api/Evacuate.Start/{zone}")
         if status == 200:
             self._note_drain(zone, time.monotonic())
         return status
 
     def end_drain(self, zone: str) -> int:
-        """Have a zone's drain ended; returns the status."""
+        """End a zone's drain; returns the status."""
         self._note_drain(zone, None)
         return self.control("POST", f"/api/Evacuate.Finish/{zone}")[0]
 
@@ -425,7 +426,7 @@
     # --- runners -------------------------------------------------------------------------
 
     def add_runner(self) -> StandInRunner:
-        """Start a runner and have it beat."""
+        """Start a runner and its heartbeats."""
         number = len(self.runners) + 1
         ip = self._ip("runner", number)
         address = f"{ip}:{RUNNER_PORT}"
@@ -439,7 +440,7 @@
         return runner
 
     def _come_back(self, runner: StandInRunner, ip: str) -> None:
-        """Start a runner again under its id, in the reactor's thread; the platform tells of it."""
+        """Restart a runner under its id, in the reactor's thread, and report it to the platform."""
         runner.port = reactor.listenTCP(RUNNER_PORT, runner.server, 50, ip)
         runner.sequence = 0
         runner.born_ms = int(time.time() * 1000)
@@ -472,7 +473,7 @@
         return self.call(ip, CLIENT_PORT, method, path, body, **client_fields(**headers))
 
     def metric(self, node: str, name: str, **labels: str) -> float:
-        """Return a figure of a node's metrics page, 0 when it is not there."""
+        """Return a value from a node's metrics page, 0 if it is missing."""
         _, body, _ = self.call(self.nodes[node].ip, METRICS_PORT, "GET", "/metrics")
         wanted = "".join(f'{key}="{value}"' for key, value in labels.items())
         for line in body.decode().splitlines():
@@ -481,22 +482,22 @@
         return 0.0
 
     def is_up(self, node: str) -> bool:
-        """Tell whether a node's process has started, which it has once its metrics can be read."""
+        """Tell whether a node's process has started, that is, whether its metrics can be read."""
         ip = self.nodes[node].ip
         return self.call(ip, METRICS_PORT, "GET", "/metrics")[0] == HTTPStatus.OK
 
     def is_ready(self, gateway: str) -> bool:
-        """Ask a gateway as the ingress does."""
+        """Send a readiness check to a gateway, as the ingress does."""
         status, _, _ = self.call(self.nodes[gateway].ip, READY_PORT, "GET", "/api/readyz")
         return status == 200
 
     def listens(self, gateway: str) -> bool:
-        """Tell whether a gateway's process has come up: it opens its clients' port before this."""
+        """Tell whether a gateway's process is up: the clients' port opens before this one."""
         status, _, _ = self.call(self.nodes[gateway].ip, READY_PORT, "GET", "/api/readyz")
         return status != 0
 
     def submit(self, gateway: str, job: str, count: int) -> int:
-        """Hand a job in; returns the status."""
+        """Submit a job; returns the status."""
         items = [
             {
                 "id": f"{job}-{number}",
@@ -512,7 +513,7 @@
         return status
 
     def results(self, gateway: str, job: str, after: int = 0) -> dict[str, Any] | None:
-        """Read a job's results; None while that is not answered."""
+        """Read a job's results; None if the read is not answered."""
         status, body, _ = self.client(gateway, "GET", f"/api/lots/{job}?after={after}")
         return json.loads(body) if status == 200 else None
 
@@ -538,7 +539,7 @@
 
 @contextlib.contextmanager
 def platform(**counts: int) -> Any:
-    """Run a platform and end it."""
+    """Run a platform and stop it at the end."""
     running = StandInPlatform(**counts)
     try:
         yield running
