--- a/features/cluster/controllers.feature
+++ b/features/cluster/controllers.feature
@@ -47,7 +47,7 @@
     Then the runner's report is acknowledged
     And no gateway takes runner 1 as ready within 1.5 seconds
 
-  Scenario Outline: An acknowledged table outlives <loss>
+  Scenario Outline: An acknowledged table survives <loss>
     Given a relayed fleet
     When an operator sends table 7 to controller 2
     Then the operator's order is taken
--- a/src/rainsail/cluster/directory.py
+++ b/src/rainsail/cluster/directory.py
@@ -31,9 +31,9 @@
     def live(self, role: NodeRole, now: float) -> list[NodeRecord]:
         """Return the live nodes of a role, sorted by address."""
         found = [
-            heard.node
-            for heard in self._nodes.values()
-            if heard.node.role == role and now - heard.at_s < NODE_SILENT_AFTER_S
+            entry.node
+            for entry in self._nodes.values()
+            if entry.node.role == role and now - entry.at_s < NODE_SILENT_AFTER_S
         ]
         return sorted(found, key=lambda node: node.address)
 
@@ -43,31 +43,31 @@
 
     def zones(self) -> frozenset[str]:
         """Return the zones of all nodes that have ever sent a heartbeat."""
-        return frozenset(heard.node.zone for heard in self._nodes.values())
+        return frozenset(entry.node.zone for entry in self._nodes.values())
 
     def find(self, name: str, role: NodeRole) -> NodeRecord | None:
         """Return the node of a name and role, the last heard from if several, None if unknown."""
         found = [
-            heard
-            for heard in self._nodes.values()
-            if heard.node.name == name and heard.node.role == role
+            entry
+            for entry in self._nodes.values()
+            if entry.node.name == name and entry.node.role == role
         ]
-        return max(found, key=lambda heard: heard.at_s).node if found else None
+        return max(found, key=lambda entry: entry.at_s).node if found else None
 
     def live_addresses(self, now: float) -> list[str]:
         """Return the addresses of all live nodes, to push changes to."""
         return [
             address
-            for address, heard in self._nodes.items()
-            if now - heard.at_s < NODE_SILENT_AFTER_S
+            for address, entry in self._nodes.items()
+            if now - entry.at_s < NODE_SILENT_AFTER_S
         ]
 
     def ledger_status(self, now: float) -> tuple[str, LedgerStatus] | None:
         """Return the address and the report of the ledger's leader of the highest term."""
         best: tuple[str, LedgerStatus] | None = None
-        for address, heard in self._nodes.items():
-            status = heard.ledger
-            if status is None or not status.leads or now - heard.at_s >= NODE_SILENT_AFTER_S:
+        for address, entry in self._nodes.items():
+            status = entry.ledger
+            if status is None or not status.leads or now - entry.at_s >= NODE_SILENT_AFTER_S:
                 continue
             if best is None or status.term > best[1].term:
                 best = (address, status)
--- a/src/rainsail/cluster/emptying.py
+++ b/src/rainsail/cluster/emptying.py
@@ -63,13 +63,13 @@
             return Fault(FaultCode.NOT_FOUND, step, f"no storage node {message.name}")
         if node.address in self._state.released:
             return EmptyingStatus(message.name, False)
-        staying = self._staying_without(node.address)
-        if staying < voters_for(self._losses):
-            return Fault(FaultCode.CONFLICT, step, f"only {staying} storage nodes would stay")
+        remaining = self._remaining_without(node.address)
+        if remaining < voters_for(self._losses):
+            return Fault(FaultCode.CONFLICT, step, f"only {remaining} storage nodes would remain")
         proposed = self._group.propose(ReleaseNode(node.address))
         return proposed.addCallback(reply_to_proposal, EmptyingStatus(message.name, False))
 
-    def _staying_without(self, address: str) -> int:
+    def _remaining_without(self, address: str) -> int:
         """Return how many live storage nodes would remain without this one."""
         leaving = {address, *self._state.released}
         live = self._directory.live(NodeRole.STORAGE, self._clock.seconds())
--- a/src/rainsail/cluster/registry.py
+++ b/src/rainsail/cluster/registry.py
@@ -16,8 +16,8 @@
 over neither an address nor the id of a runner.
 
 The records that a controller restores from its disk may be older than what it had pushed to nodes
-before the restart. Therefore the next report of each restored runner is pushed even if it is not
-newer than the restored record.
+before the restart. Therefore the next report of each restored runner is pushed even if it differs
+from the restored record in nothing but its sequence.
 """
 
 from collections.abc import Callable, Iterable
@@ -59,7 +59,7 @@
     def __init__(
         self, seconds: Callable[[], float] = lambda: 0.0, resolves_address_conflicts: bool = True
     ) -> None:
-        """``seconds`` reads the steady clock.
+        """``seconds`` reads the monotonic clock.
 
         ``resolves_address_conflicts``: this registry decides which incarnation holds an address.
         Controllers do so and publish the result, so that the other nodes do not decide by the order
