--- a/features/cluster/zone_drains.feature
+++ b/features/cluster/zone_drains.feature
@@ -98,7 +98,7 @@
   Scenario Outline: A late first report of a crashed incarnation displaces the live one only briefly, seed <seed>
     Given a relayed fleet of 2 zones with runners
     When reports of two incarnations at one address arrive in random order at random controllers, seed <seed>
-    Then every node sends to the living one alone within 2.5 seconds of its heartbeats
+    Then every node sends to the live one alone within 2.5 seconds of its heartbeats
 
     Examples:
       | seed |
@@ -111,9 +111,9 @@
 
   Scenario: A live runner gets work again although the controllers lost the record they had pushed
     Given a relayed fleet of 2 zones with runners
-    When a late report of a crashed incarnation takes a living runner's address at every node
+    When a late report of a crashed incarnation takes a live runner's address at every node
     And all controllers lose power before they have stored that, and start again
-    Then every node sends to the living one within 2.5 seconds of its heartbeats
+    Then every node sends to the live one within 2.5 seconds of its heartbeats
 
   Scenario: An order that waited at a frozen controller does not revert a newer one
     # Guards against: a zone that stays drained for good. An order goes to a frozen controller, then to
--- a/features/steps/runners_again_steps.py
+++ b/features/steps/runners_again_steps.py
@@ -27,7 +27,9 @@
     return replace(record, state=RunnerState(state))
 
 
-@given('a controller that heard runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
+@given(
+    'a controller that heard runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}'
+)
 def heard_first(context, runner, born, state, n):
     context.now_s = 0.0
     context.registry = RunnerRegistry(lambda: context.now_s)
@@ -35,17 +37,19 @@
     hears(context, runner, born, state, n)
 
 
-@step('it heard runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
-@step('it hears runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
+@step('it heard runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}')
+@step('it hears runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}')
 def hears(context, runner, born, state, n):
     context.changed = context.registry.take((report(runner, born, state, n),))
 
 
 @step(
-    'it heard runner "{runner}" born at {born:d} say "{state}" with count {n:d} at the same address'
+    'it heard runner "{runner}" born at {born:d} say "{state}" with sequence {n:d} '
+    "at the same address"
 )
 @step(
-    'it hears runner "{runner}" born at {born:d} say "{state}" with count {n:d} at the same address'
+    'it hears runner "{runner}" born at {born:d} say "{state}" with sequence {n:d} '
+    "at the same address"
 )
 def hears_there(context, runner, born, state, n):
     hears(context, runner, born, state, n)
@@ -53,7 +57,7 @@
 
 @when(
     '{seconds:d} s pass, and it hears runner "{runner}" born at {born:d} say "{state}" '
-    "with count {n:d} there"
+    "with sequence {n:d} there"
 )
 def hears_later(context, seconds, runner, born, state, n):
     context.now_s += seconds
@@ -66,7 +70,7 @@
 
 
 @step(
-    'it hears runner "{runner}" born at {born:d} say "{state}" with count {n:d} '
+    'it hears runner "{runner}" born at {born:d} say "{state}" with sequence {n:d} '
     "for another service there"
 )
 def hears_unnamed(context, runner, born, state, n):
@@ -75,7 +79,7 @@
 
 
 @when(
-    'it hears runner "{runner}" born at {born:d} say "{state}" with count {n:d}, '
+    'it hears runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}, '
     "with {left_s:d} s of warm-up left"
 )
 def hears_warming(context, runner, born, state, n, left_s):
@@ -156,8 +160,8 @@
 
 
 @given(
-    'controllers that heard runner "{runner}" born at {first:d} with count {n:d}, '
-    "and born at {second:d} with count {m:d}"
+    'controllers that heard runner "{runner}" born at {first:d} with sequence {n:d}, '
+    "and born at {second:d} with sequence {m:d}"
 )
 def controllers_heard(context, runner, first, n, second, m):
     context.fleet = fleet = RelayedFleet(SEED)
@@ -181,7 +185,7 @@
     fleet.run_for(2.0)
 
 
-@when('runner "{runner}" born at {born:d} says "{state}" with count {n:d}')
+@when('runner "{runner}" born at {born:d} says "{state}" with sequence {n:d}')
 def says(context, runner, born, state, n):
     done = context.fleet.controller("controller-2").reports.take(report(runner, born, state, n))
     context.fleet.result_of(done, "the report is answered")
@@ -281,7 +285,9 @@
 HEARTBEAT_S = 1.2
 
 
-@given('2 controllers that heard runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
+@given(
+    '2 controllers that heard runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}'
+)
 def two_heard(context, runner, born, state, n):
     context.now_s = 0.0
     context.registries = [RunnerRegistry(lambda: context.now_s) for _ in range(2)]
@@ -315,7 +321,7 @@
     _tell(context.registries[1], context.registries[0])
 
 
-@when('the second hears runner "{runner}" born at {born:d} say "{state}" with count {n:d}')
+@when('the second hears runner "{runner}" born at {born:d} say "{state}" with sequence {n:d}')
 def second_hears(context, runner, born, state, n):
     context.now_s += HEARTBEAT_S
     context.registries[1].take((report(runner, born, state, n),))
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -267,7 +267,7 @@
         context.fleet.run_for(context.draw.choice((0.0, 0.05, 0.6)))
 
 
-@when("a late report of a crashed incarnation takes a living runner's address at every node")
+@when("a late report of a crashed incarnation takes a live runner's address at every node")
 def late_report(context):
     fleet = context.fleet
     context.draw = random.Random(SEED)
@@ -298,13 +298,13 @@
     return [node.base.registry for node in context.fleet.nodes.values()]
 
 
-@then("every node sends to the living one within {seconds:g} seconds of its heartbeats")
+@then("every node sends to the live one within {seconds:g} seconds of its heartbeats")
 def living_again(context, seconds):
     registries = _report_living(context, seconds)
     assert all(registry.is_ready(LIVING) for registry in registries)
 
 
-@then("every node sends to the living one alone within {seconds:g} seconds of its heartbeats")
+@then("every node sends to the live one alone within {seconds:g} seconds of its heartbeats")
 def living_alone(context, seconds):
     registries = _report_living(context, seconds)
     assert all(registry.is_ready(LIVING) for registry in registries)
--- a/features/support/process_soak.py
+++ b/features/support/process_soak.py
@@ -42,7 +42,7 @@
 RUNNERS = 4
 JOB_ITEMS = 4
 JOB_SHARE = 0.08
-BEAT_PERIOD_S = 0.4
+HEARTBEAT_PERIOD_S = 0.4
 ORDER_PERIOD_S = 0.7
 CLIENT_PAUSE_S = 0.01
 LEAVE_SHARE = 1 / 7
@@ -338,7 +338,7 @@
             self._history.pages.append(page)
 
     def _beat(self) -> None:
-        while not self._over.wait(BEAT_PERIOD_S):
+        while not self._over.wait(HEARTBEAT_PERIOD_S):
             for runner in list(self._platform.runners):
                 self._platform.beat(runner, "draining" if runner.leaving else "ready")
 
