--- a/src/rainsail/cluster/quorum_wait.py
+++ b/src/rainsail/cluster/quorum_wait.py
@@ -9,7 +9,7 @@
 
 
 class QuorumWait:
-    """Fires ``done`` with Ok after ``needed`` successes, with a fault once these can't come."""
+    """Fires ``done``: Ok after ``needed`` successes, a fault once they are out of reach."""
 
     def __init__(self, needed: int, calls: int, step: str) -> None:
         self.done: Deferred[Result[None, Fault]] = Deferred()
@@ -20,7 +20,7 @@
         self._check()
 
     def take(self, result: Result[Any, Fault]) -> None:
-        """Note the end of one call."""
+        """Record the result of one call."""
         self._open -= 1
         if result.is_ok():
             self._needed -= 1
@@ -34,6 +34,6 @@
             self.done.callback(Ok(None))
         elif self._open < self._needed:
             self._fired = True
-            detail = f"{self._needed} more would have had to answer"
+            detail = f"quorum not reached: {self._needed} acknowledgements missing"
             fault = Fault(FaultCode.UNAVAILABLE, self._step, detail, outcome=Outcome.UNKNOWN)
             self.done.callback(Error(fault))
