--- a/features/steps/fuzz_protocol_steps.py
+++ b/features/steps/fuzz_protocol_steps.py
@@ -18,6 +18,7 @@
 from rainsail.wire.framing import HELLO_FRAME_BYTES
 from rainsail.wire.hello import LinkHello
 from rainsail.wire.messenger import Envelope, EnvelopeKind, Messenger
+from rainsail.wire.names import wire_name
 from rainsail.wire.protocol import PROTOCOL_MODULES
 from rainsail.wire.settings import WireSettings
 
@@ -85,7 +86,7 @@
 
 def encode_type(cls):
     """Return the type id of a record type."""
-    return crc32c.crc32c(cls.__name__.encode()).to_bytes(TYPE_ID_BYTES, "little")
+    return crc32c.crc32c(wire_name(cls).encode()).to_bytes(TYPE_ID_BYTES, "little")
 
 
 @then("each fuzzed decoding gave a record or a codec error")
--- a/features/steps/wire_codec_steps.py
+++ b/features/steps/wire_codec_steps.py
@@ -28,6 +28,7 @@
 )
 from rainsail.wire.envelope import decode_envelope
 from rainsail.wire.hello import LinkHello
+from rainsail.wire.names import wire_name
 
 INT64 = st.integers(-(2**63), 2**63 - 1)
 SMALLEST_BYTES = {"null": 0, "boolean": 1, "long": 1, "double": 8, "string": 1, "bytes": 1}
@@ -130,7 +131,7 @@
 
 
 def _type_id(cls):
-    return crc32c.crc32c(cls.__name__.encode()).to_bytes(4, "little")
+    return crc32c.crc32c(wire_name(cls).encode()).to_bytes(4, "little")
 
 
 def _outcome(decoder, data):
