--- a/features/steps/warm_up_steps.py
+++ b/features/steps/warm_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the request rate of runners that are warming up."""
+"""Steps on runners that warm up."""
 
 import random
 
@@ -29,9 +29,9 @@
     world.clock.advance(for_s + 1)
 
 
-def _all_go_cold(world, delay_s):
+def _all_go_cold(world, silent_s):
     for runner in world.runners:
-        world.go_cold(runner, delay_s)
+        world.go_cold(runner, silent_s)
 
 
 @when(
--- a/features/support/relayed_soak.py
+++ b/features/support/relayed_soak.py
@@ -133,7 +133,7 @@
         while self.now < end_s and not self._is_settled():
             self._step(faults=False)
             self._read_from_the_start()
-        self._check()
+        self._judge()
 
     def _step(self, faults: bool) -> None:
         self.fleet.run_for(STEP_S)
@@ -145,7 +145,7 @@
         if faults:
             self._play_operator()
             self._play_clients()
-            self._inject_faults()
+            self._play_faults()
         self._read_jobs()
 
     # --- runners -------------------------------------------------------------------------
@@ -171,7 +171,7 @@
         return self.fleet.controller(name) if name else None
 
     def _controller_name(self) -> str:
-        """Return the name of a controller that has opened its storage, empty if there is none."""
+        """Return the name of a controller that is open, empty when none is."""
         names = [
             name
             for name in self.fleet.names("controller")
@@ -387,8 +387,8 @@
         Reads at random positions and nodes alone might miss a result until the time limit.
         """
         for job in self.jobs.values():
-            unfinished = job.accepted_s is not None and not job.results.is_whole()
-            if unfinished and self.random.random() < STEP_S:
+            owed = job.accepted_s is not None and not job.results.is_whole()
+            if owed and self.random.random() < STEP_S:
                 done = self._gateway().read("", job.job, 0, 0.0)
                 done.addCallback(self._page_read, job, 0, job.results.least(0))
 
@@ -434,7 +434,7 @@
 
     # --- faults --------------------------------------------------------------------------
 
-    def _inject_faults(self) -> None:
+    def _play_faults(self) -> None:
         for due_s, name, kind in list(self._down):
             if self.now >= due_s:
                 self._down.remove((due_s, name, kind))
@@ -518,20 +518,20 @@
         for read in waiting:
             read()
 
-    def _end_faults(self) -> None:
+    def _heal(self) -> None:
         for _, name, kind in self._down:
             self._recover(name, kind)
         self._down = []
 
-    # --- final checks --------------------------------------------------------------------
+    # --- judging -------------------------------------------------------------------------
 
     def _is_settled(self) -> bool:
         if self._outdated_gateways():
             return False
         if not all(order.ended for order in self.zone_orders) or self._unused_runners():
             return False
-        unfinished = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
-        return all(job.results.is_whole() for job in unfinished)
+        owed = [j for j in self.jobs.values() if j.accepted_s is not None and not j.end_asked]
+        return all(job.results.is_whole() for job in owed)
 
     def _outdated_gateways(self) -> dict[str, int]:
         """Return the gateways whose table is older than the newest one, with its version."""
@@ -551,8 +551,8 @@
                 continue
             if not job.results.is_whole():
                 self.violations.append(f"{job.job} was accepted and is not finished")
-        self._check_sendings()
-        self._check_runners()
+        self._judge_sendings()
+        self._judge_runners()
 
     def _judge_runners(self) -> None:
         """Check that after the faults every live runner with heartbeats gets work everywhere."""
@@ -577,7 +577,7 @@
             if not registry.is_ready(runner)
         ]
 
-    def _check_zone_drains(self, sending: Sending) -> None:
+    def _judge_zone_drains(self, sending: Sending) -> None:
         zone = self.zones.get(sending.runner)
         for order in self.zone_orders:
             if order.zone != zone or order.acknowledged_s is None:
@@ -588,9 +588,9 @@
                 late_s = sending.at_s - order.acknowledged_s
                 self.violations.append(f"{sending.runner} got an item {late_s:.1f} s into a drain")
 
-    def _check_sendings(self) -> None:
+    def _judge_sendings(self) -> None:
         for sending in self.sendings:
-            self._check_zone_drains(sending)
+            self._judge_zone_drains(sending)
             drained_s = self.drained_s.get(sending.runner)
             if drained_s is not None and sending.at_s > drained_s + DRAIN_S + STEP_S:
                 late_s = sending.at_s - drained_s
--- a/features/support/warm_up_world.py
+++ b/features/support/warm_up_world.py
@@ -45,7 +45,7 @@
 SLOTS = 8
 SLOT_TIME_S = 0.7
 RATE_PER_S = 7.0
-WARM_UP_S = 3.0
+LASTS_S = 3.0
 BOUND = WarmUpBound(1.5, 5.0)
 REPORT_DELAY_S = 0.15
 """A runner's report reaches each node within this time."""
@@ -93,7 +93,7 @@
     """Return a table of one stream route to a service whose runners warm up."""
     shares = (ServiceShare(SERVICE, 1.0),)
     route = Route("r", HOST, "/a/", RouteKind.STREAM, shares, 4.0, 0.3, 2, gap_target_s=1.0)
-    service = Service(SERVICE, 100, True, WarmUpTerms(RATE_PER_S, WARM_UP_S))
+    service = Service(SERVICE, 100, True, WarmUpTerms(RATE_PER_S, LASTS_S))
     return RoutingTable(1, (route,), (service,), ClientLimits())
 
 
@@ -244,7 +244,7 @@
             self.placement_nodes[PLACEMENT_NODES.index(name)].service.on_leadership_changed()
             self.clock.callLater(notified_after_s, self._tell_leader, name)
 
-    def _notify_leader(self, name: str) -> None:
+    def _tell_leader(self, name: str) -> None:
         for gateway in self.gateways:
             gateway.follower.on_ledger_leader(name)
 
@@ -294,12 +294,12 @@
         self.clock.callLater(for_s, self._end_drain, zone)
 
     def _end_drain(self, zone: str) -> None:
-        self._notify_drain(ZoneDrain(zone, 2, False))
+        self._tell_drain(ZoneDrain(zone, 2, False))
         for runner in self.runners:
             if runner.record.zone == zone:
                 self.go_cold(runner, 1.2 * self.random.random())
 
-    def _notify_drain(self, drain: ZoneDrain) -> None:
+    def _tell_drain(self, drain: ZoneDrain) -> None:
         for registry in self.registries():
             after_s = REPORT_DELAY_S * self.random.random()
             self.clock.callLater(after_s, registry.take_zone_drains, (drain,))
