--- a/src/rainsail/gateway/admission.py
+++ b/src/rainsail/gateway/admission.py
@@ -130,7 +130,7 @@
     def _refusal(self, ticket: Ticket, queues: ServiceQueues, now_s: float) -> Fault | None:
         slots = self._slots(ticket.service)
         if slots.total <= 0:
-            detail = f"no runner of {ticket.service} accepts work now"
+            detail = f"no runner of {ticket.service} takes work now"
             return self._fault(FaultCode.UNAVAILABLE, detail, self._settings.max_queue_s)
         queue = queues.queue_of(ticket)
         limit_s = min(self._settings.max_queue_s, ticket.latest_start_s - now_s)
--- a/src/rainsail/gateway/session_placement.py
+++ b/src/rainsail/gateway/session_placement.py
@@ -92,9 +92,7 @@
             view = read.ok
             target = self._target(session, view, failed)
             if not target:
-                return Error(
-                    Fault(FaultCode.UNAVAILABLE, STEP, "no runner is available for the session")
-                )
+                return Error(Fault(FaultCode.UNAVAILABLE, STEP, "no runner for the session"))
             if target == view.runner and view.gateway == self.holder and not failed:
                 return Ok(place_of(view))
             attached = await self._attach(session, view, target, view.runner not in failed)
--- a/src/rainsail/gateway/sessions.py
+++ b/src/rainsail/gateway/sessions.py
@@ -79,7 +79,7 @@
         if session is None:
             session = self._live[caller.session] = LiveSession(caller.session, resource.spec)
         if len(session.waiting) >= self._settings.max_waiting_turns:
-            detail = "too many turns of this session are waiting"
+            detail = "too many turns of this session wait"
             return Fault(FaultCode.OVERLOADED, STEP, detail, retry_after_s=SESSION_BUSY_RETRY_S)
         return SessionTurn(session, begins)
 
