--- a/features/support/consensus.py
+++ b/features/support/consensus.py
@@ -10,7 +10,7 @@
 from rainsail.consensus.core_state import Role
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_status import GroupStatusReply
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.messages import SnapshotChunk
 from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
@@ -130,9 +130,11 @@
         if self.running.get(name) is not member:
             return
         router = GroupRouter(Messenger(member.transport, member.clock), member.clock)
-        seams = MemberSeams(storage, member.state, router, member.clock, generator, encode_command)
+        dependencies = MemberDependencies(
+            storage, member.state, router, member.clock, generator, encode_command
+        )
         which = GroupMember(GROUP, name, identity, tuple(self.names))
-        member.driver = GroupDriver(which, seams, self.settings)
+        member.driver = GroupDriver(which, dependencies, self.settings)
         member.driver.on_fatal(member.faults.append)
         member.driver.on_leadership(member.leadership.append)
         member.driver.start()
--- a/features/support/consensus_groups.py
+++ b/features/support/consensus_groups.py
@@ -9,7 +9,7 @@
 from features.support.virtual_time import wait_until
 
 from rainsail.consensus.driver import GroupDriver
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.simulation.clock import SkewedClock, VirtualClock
@@ -68,7 +68,7 @@
 
     def _opened(self, storage, name, group, process, identity) -> None:
         state = process.states[group] = RecordingState()
-        seams = MemberSeams(
+        dependencies = MemberDependencies(
             storage.ok,
             state,
             process.router,
@@ -77,7 +77,7 @@
             encode_command,
         )
         member = GroupMember(group, name, identity, tuple(self.names))
-        driver = process.drivers[group] = GroupDriver(member, seams, ConsensusSettings())
+        driver = process.drivers[group] = GroupDriver(member, dependencies, ConsensusSettings())
         driver.start()
 
     def crash(self, name: str) -> None:
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -11,7 +11,7 @@
 from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_placement import members_of_group
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.router import GroupRouter
 from rainsail.errors import Fault, FaultCode, RainsailError
 from rainsail.state.commands import ROOT_GROUP, GroupId, encode_command
@@ -60,7 +60,7 @@
     names = members_of_group(group, config.replicas, config.control.replicas_per_group)
     member = GroupMember(group, config.name, identity, tuple(names))
     node = seams.node
-    given = MemberSeams(storage.ok, state, router, node.clock, node.random, encode_command)
+    given = MemberDependencies(storage.ok, state, router, node.clock, node.random, encode_command)
     try:
         driver = GroupDriver(member, given, config.consensus)
     except (CodecError, RainsailError) as error:
--- a/src/rainsail/cluster/controller.py
+++ b/src/rainsail/cluster/controller.py
@@ -108,7 +108,7 @@
             return
         context = self._context
         now = context.clock.seconds()
-        context.group.open_to(self._views.contacts(), voters_for(context.settings.losses))
+        context.group.open_membership(self._views.contacts(), voters_for(context.settings.losses))
         self._founding.check(now)
         self.quarantine.look()
         context.clock.callLater(PLAN_PERIOD_S, self._plan)
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -21,12 +21,12 @@
 from rainsail.consensus.group_status import GroupStatusReply
 from rainsail.consensus.leadership import Leadership
 from rainsail.consensus.log_window import LogWindow
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.member_log import (
     log_acknowledged_lost,
     log_snapshot_refused,
     log_stranger,
 )
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.membership import Membership
 from rainsail.consensus.messages import GroupMessage
 from rainsail.consensus.proposal_queue import ProposalQueue
@@ -45,29 +45,29 @@
     """One member of a replicated group; implements ``rainsail.consensus.interface.Group``."""
 
     def __init__(
-        self, member: GroupMember, seams: MemberSeams, settings: ConsensusSettings
+        self, member: GroupMember, dependencies: MemberDependencies, settings: ConsensusSettings
     ) -> None:
         self.group = member.group
         self.settings = settings
         self._founders = frozenset(member.founders)
-        self._clock = seams.clock
-        self._router = seams.router
-        self._state_machine = seams.state_machine
-        log = recover_log(seams.storage, seams.state_machine)
-        self.core = _new_core(member, seams, settings, log)
+        self._clock = dependencies.clock
+        self._router = dependencies.router
+        self._state_machine = dependencies.state_machine
+        log = recover_log(dependencies.storage, dependencies.state_machine)
+        self.core = _new_core(member, dependencies, settings, log)
         self._effects: deque[Effects] = deque()
         self._taking = False
         self._stopped = False
         self._fatal_listeners: list[Callable[[Fault], None]] = []
         self._timer = WakeTimer(self._clock, self._wake)
         self._leadership = Leadership()
-        self._applier = Applier(log, seams.state_machine, log.base_index)
+        self._applier = Applier(log, dependencies.state_machine, log.base_index)
         self._reads = ReadBarriers(self._applier)
-        self._sync_queue = SyncQueue(seams.storage, self._send, self._synced, self._fatal)
+        self._sync_queue = SyncQueue(dependencies.storage, self._send, self._synced, self._fatal)
         self._sync_watch = SyncWatch(settings.sync_stall_s)
         self._snapshots = SnapshotWorker(
-            seams.storage,
-            seams.state_machine,
+            dependencies.storage,
+            dependencies.state_machine,
             self._applier,
             self.core,
             self._clock,
@@ -90,7 +90,7 @@
             self._clock,
             self._take,
             self._not_leader,
-            seams.encode_command,
+            dependencies.encode_command,
         )
 
     # --- life cycle ----------------------------------------------------------------------
@@ -192,11 +192,11 @@
 
     # --- open groups ---------------------------------------------------------------------
 
-    def open_to(self, contacts: tuple[str, ...], target_voters: int) -> None:
+    def open_membership(self, contacts: tuple[str, ...], target_voters: int) -> None:
         """Let replicas that were not founders join; ``contacts`` are those known by now."""
-        open_group.open_to(self.core.state, contacts, target_voters)
+        open_group.open_membership(self.core.state, contacts, target_voters)
 
-    def let_go(self, replicas: frozenset[str]) -> None:
+    def set_leaving_replicas(self, replicas: frozenset[str]) -> None:
         """Move the group off these replicas; a leader among them hands its leadership over."""
         self.core.state.leaving = replicas
 
@@ -295,7 +295,10 @@
 
 
 def _new_core(
-    member: GroupMember, seams: MemberSeams, settings: ConsensusSettings, log: LogWindow
+    member: GroupMember,
+    dependencies: MemberDependencies,
+    settings: ConsensusSettings,
+    log: LogWindow,
 ) -> ConsensusCore:
     return ConsensusCore(
         member.group,
@@ -303,9 +306,9 @@
         member.identity.identity,
         member.founders,
         settings,
-        seams.random,
-        seams.storage.hard_state,
+        dependencies.random,
+        dependencies.storage.hard_state,
         log,
-        seams.clock.seconds(),
-        seams.process_started_s,
+        dependencies.clock.seconds(),
+        dependencies.process_started_s,
     )
--- a/src/rainsail/consensus/member_seams.py
+++ b/src/rainsail/consensus/member_dependencies.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberSeams:
+class MemberDependencies:
     """The member's storage, state machine, clock, randomness and way to the other members.
 
     ``encode_command`` makes the payload of a log entry of one of the group's commands.
--- a/src/rainsail/consensus/open_group.py
+++ b/src/rainsail/consensus/open_group.py
@@ -7,7 +7,7 @@
 from rainsail.consensus.core_state import CoreState, Role
 
 
-def open_to(state: CoreState, contacts: tuple[str, ...], target_voters: int) -> None:
+def open_membership(state: CoreState, contacts: tuple[str, ...], target_voters: int) -> None:
     """Let replicas that were not founders join; ``contacts`` are those known by now."""
     state.target_voters = target_voters
     state.contacts = tuple(name for name in contacts if name != state.replica)
--- a/src/rainsail/fleet/controller_role.py
+++ b/src/rainsail/fleet/controller_role.py
@@ -62,7 +62,9 @@
         base.follower.take_zone_drains(committed.zone_drains)
         base.follower.take_quarantine(committed.quarantine)
         context = self._context(driver)
-        driver.open_to(base.settings.seed_controllers(), voters_for(context.settings.losses))
+        driver.open_membership(
+            base.settings.seed_controllers(), voters_for(context.settings.losses)
+        )
         self.controller = FleetController(
             context, self._journal, self._committed, self._services_of
         )
--- a/src/rainsail/fleet/group_folder.py
+++ b/src/rainsail/fleet/group_folder.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok, Result
 
 from rainsail.consensus.driver import GroupDriver
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.router import GroupRouter
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.consensus.status import losses_borne
@@ -76,7 +76,7 @@
         assert self._identity is not None and self._storage is not None
         base = self._base
         member = GroupMember(self._group, base.node.address, self._identity, founders)
-        seams = MemberSeams(
+        seams = MemberDependencies(
             self._storage,
             state,
             GroupRouter(base.messenger, base.clock),
--- a/src/rainsail/fleet/storage_node.py
+++ b/src/rainsail/fleet/storage_node.py
@@ -133,7 +133,7 @@
         self.driver = driver = made.ok
         driver.on_fatal(self._fatal)
         driver.on_leadership(self._leadership_changed)
-        driver.open_to(founders, voters_for(self._base.settings.node.losses))
+        driver.open_membership(founders, voters_for(self._base.settings.node.losses))
         self._service.serve_group(driver)
         logger.bind(founders=",".join(founders)).info("ledger_opened")
         driver.start()
@@ -186,8 +186,10 @@
             own = self._base.node.address in view.founders
             self._start_group(view.founders if own else ())
         if self.driver is not None:
-            self.driver.open_to(self._contacts(view), voters_for(self._base.settings.node.losses))
-            self.driver.let_go(frozenset(view.leaving))
+            self.driver.open_membership(
+                self._contacts(view), voters_for(self._base.settings.node.losses)
+            )
+            self.driver.set_leaving_replicas(frozenset(view.leaving))
 
     def _contacts(self, view: FleetView) -> tuple[str, ...]:
         """Return the storage nodes that may join, or whom this one asks to let it join."""
