--- a/features/steps/consensus_leadership_steps.py
+++ b/features/steps/consensus_leadership_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, step, then, when
 from features.support.consensus import SimulatedGroup, watch_chunks
-from features.support.consensus_member import FedMember
+from features.support.consensus_member import DirectMember
 
 from rainsail.errors import FaultCode, Outcome
 
@@ -150,7 +150,9 @@
     for name in NAMES:
         group.start(name, leader_rate if name == leader else other_rate)
     for _ in range(fail_overs):
-        group.run_until(lambda: group.leaders() == [leader] or _nudge(group, leader), "leader")
+        group.run_until(
+            lambda: group.leaders() == [leader] or _transfer_until_leading(group, leader), "leader"
+        )
         group.run_for(0.5)
         group.network.isolate(leader)
         group.commit(1)
@@ -159,7 +161,7 @@
     return group.most_leaders
 
 
-def _nudge(group, wanted):
+def _transfer_until_leading(group, wanted):
     """Hand leadership on until the wanted replica has it."""
     for name in group.leaders():
         if name != wanted and not group.driver(name).core.state.transfer_target:
@@ -232,7 +234,7 @@
 @given("a consensus member that follows a leader of term {term:d}")
 def following_member(context, term):
     """The member has just answered the leader's heartbeat."""
-    context.consensus_member = FedMember(term)
+    context.consensus_member = DirectMember(term)
     context.consensus_member.hear_leader(term)
 
 
--- a/features/steps/consensus_lost_disk_steps.py
+++ b/features/steps/consensus_lost_disk_steps.py
@@ -13,7 +13,7 @@
     group.lose_disk(name)
     group.start(name)
     leader = group.driver(group.leader()).core.state
-    group.run_until(lambda: name in leader.newcomers, "the new identity has called")
+    group.run_until(lambda: name in leader.join_candidates, "the new identity has called")
 
 
 @then("the consensus group's leader says Degraded and bears {losses:d} loss before it is missed")
--- a/features/support/consensus_member.py
+++ b/features/support/consensus_member.py
@@ -17,7 +17,7 @@
 SELF = "c.1"
 
 
-class FedMember:
+class DirectMember:
     """Member c of five, whose log holds the founding entry of term 1."""
 
     def __init__(self, term: int) -> None:
--- a/src/rainsail/consensus/append_replies.py
+++ b/src/rainsail/consensus/append_replies.py
@@ -23,7 +23,7 @@
         note_match(state, progress, message.match_index)
         advance_commit(state)
     elif has_lost_acknowledged(progress, message):
-        take_match_back(state, member, progress, message)
+        revoke_match(state, member, progress, message)
     else:
         note_refusal(progress, message)
     confirmed_reads.finish_confirmed(state)
@@ -50,7 +50,7 @@
     return message.previous_index <= progress.match_index and message.round > progress.match_round
 
 
-def take_match_back(
+def revoke_match(
     state: CoreState, member: MemberSpec, progress: Progress, message: AppendReply
 ) -> None:
     """Count for no commit what the follower has lost, send it again, and have it reported."""
--- a/src/rainsail/consensus/append_sending.py
+++ b/src/rainsail/consensus/append_sending.py
@@ -11,7 +11,7 @@
     """Start a heartbeat round: every follower gets an append, empty when it has everything."""
     state.round += 1
     state.round_sent_at_s[state.round] = now
-    state.next_heartbeat_s = lease.next_beat_s(now, state.settings.heartbeat_period_s)
+    state.next_heartbeat_s = lease.next_aligned_heartbeat_s(now, state.settings.heartbeat_period_s)
     lease.forget_old_rounds(state, now)
     lease.mark_commit(state, now)
     for member in state.membership.members:
--- a/src/rainsail/consensus/applier.py
+++ b/src/rainsail/consensus/applier.py
@@ -7,7 +7,7 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred
 
-from rainsail.consensus.listeners import tell_each
+from rainsail.consensus.listeners import notify_listeners
 from rainsail.consensus.log_window import LogWindow
 from rainsail.consensus.membership import membership_of_payload
 from rainsail.errors import Fault, FaultCode, Outcome
@@ -105,7 +105,7 @@
             if answer is not None:
                 answers.append(answer)
             self.applied_index = index
-        tell_each(self.on_applied, self.applied_index)
+        notify_listeners(self.on_applied, self.applied_index)
         for proposal, result in answers:
             proposal.done.callback(result)
         self._release_reads()
--- a/src/rainsail/consensus/core.py
+++ b/src/rainsail/consensus/core.py
@@ -97,7 +97,7 @@
             state.reset_election_deadline(now)
             return
         if not state.membership.is_voter(state.identity):
-            founding.say_hello(state)
+            founding.send_hello(state)
         if state.role in (Role.PRE_CANDIDATE, Role.CANDIDATE):
             following.become_follower(state, state.term, now)
         election.campaign(state, now)
--- a/src/rainsail/consensus/core_state.py
+++ b/src/rainsail/consensus/core_state.py
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Newcomer:
+class JoinCandidate:
     """An identity outside the group that called lately, under the name of a replica."""
 
     identity: str
@@ -209,7 +209,7 @@
         self.installing = False
         self.incoming: IncomingSnapshot | None = None
         self.snapshot_index = log.base_index
-        self.newcomers: dict[str, Newcomer] = {}
+        self.join_candidates: dict[str, JoinCandidate] = {}
         self.contacts = tuple(name for name in bootstrap if name != replica)
         """Replicas that are told this member's identity while it is outside the group."""
         self.target_voters = 0
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -25,7 +25,7 @@
 from rainsail.consensus.member_log import (
     log_acknowledged_lost,
     log_snapshot_refused,
-    log_stranger,
+    log_unknown_sender,
 )
 from rainsail.consensus.membership import Membership
 from rainsail.consensus.messages import GroupMessage
@@ -36,7 +36,7 @@
 from rainsail.consensus.snapshot_worker import SnapshotWorker
 from rainsail.consensus.status import status_reply
 from rainsail.consensus.sync_queue import SyncQueue
-from rainsail.consensus.sync_watch import SyncWatch
+from rainsail.consensus.sync_stall_detector import SyncStallDetector
 from rainsail.consensus.wake_timer import WakeTimer
 from rainsail.errors import Fault, FaultCode
 
@@ -64,7 +64,7 @@
         self._applier = Applier(log, dependencies.state_machine, log.base_index)
         self._reads = ReadBarriers(self._applier)
         self._sync_queue = SyncQueue(dependencies.storage, self._send, self._synced, self._fatal)
-        self._sync_watch = SyncWatch(settings.sync_stall_s)
+        self._sync_stall_detector = SyncStallDetector(settings.sync_stall_s)
         self._snapshots = SnapshotWorker(
             dependencies.storage,
             dependencies.state_machine,
@@ -180,7 +180,7 @@
         if not begun:
             return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter is there")))
         done: Deferred[Result[None, Fault]] = Deferred()
-        self._leadership.when_over(lambda: done.callback(Ok(None)))
+        self._leadership.call_when_ended(lambda: done.callback(Ok(None)))
         self._take(effects)
         return done
 
@@ -209,8 +209,10 @@
     def _receive(self, source: str, message: GroupMessage) -> None:
         if self._stopped:
             return
-        if source not in self._founders and not open_group.may_speak(self.core.state, source):
-            log_stranger(source, message)
+        if source not in self._founders and not open_group.accepts_messages_from(
+            self.core.state, source
+        ):
+            log_unknown_sender(source, message)
             return
         self._take(self.core.receive(source, message, self._clock.seconds()))
 
@@ -242,7 +244,7 @@
 
         Nothing new would be committed until another replica leads.
         """
-        stalled = self._sync_watch.is_stalled(self._sync_queue.running_sequence, now)
+        stalled = self._sync_stall_detector.is_stalled(self._sync_queue.running_sequence, now)
         return stalled and self.core.state.role == Role.LEADER
 
     def _hand_over(self, now: float) -> None:
--- a/src/rainsail/consensus/effects.py
+++ b/src/rainsail/consensus/effects.py
@@ -57,7 +57,7 @@
     replica: str
     last_index: int
     received: SnapshotSum
-    told: SnapshotSum
+    expected: SnapshotSum
 
 
 @dataclass(slots=True)
--- a/src/rainsail/consensus/founding.py
+++ b/src/rainsail/consensus/founding.py
@@ -10,7 +10,7 @@
 """
 
 from rainsail.consensus import following, leading
-from rainsail.consensus.core_state import CoreState, Newcomer, Role
+from rainsail.consensus.core_state import CoreState, JoinCandidate, Role
 from rainsail.consensus.messages import FoundingVoteReply, FoundingVoteRequest, Hello
 
 
@@ -29,10 +29,10 @@
     state.election_deadline_s = now + state.settings.hello_period_s
     if is_founder(state) and not state.group_exists:
         ask_for_founding(state)
-    say_hello(state)
+    send_hello(state)
 
 
-def say_hello(state: CoreState) -> None:
+def send_hello(state: CoreState) -> None:
     """Tell the replicas that may know the group under which identity this one runs."""
     for name in state.contacts:
         state.send(name, Hello(state.group, state.term, state.identity, "", state.replica))
@@ -109,4 +109,4 @@
 def handle_hello(state: CoreState, source: str, message: Hello, now: float) -> None:
     """Remember which identity a replica of ours runs under now, for a repair."""
     if message.replica == source and state.membership.find(message.sender) is None:
-        state.newcomers[source] = Newcomer(message.sender, now)
+        state.join_candidates[source] = JoinCandidate(message.sender, now)
--- a/src/rainsail/consensus/leadership.py
+++ b/src/rainsail/consensus/leadership.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rainsail.consensus.listeners import tell_each
+from rainsail.consensus.listeners import notify_listeners
 
 Listener = Callable[[bool], None]
 
@@ -18,7 +18,7 @@
         """Call ``listener(True)`` when leadership begins, ``listener(False)`` when it ends."""
         self._listeners.append(listener)
 
-    def when_over(self, call: Callable[[], None]) -> None:
+    def call_when_ended(self, call: Callable[[], None]) -> None:
         """Call once when leadership ends, also when it was never announced."""
 
         def ended(leads: bool) -> None:
@@ -32,11 +32,11 @@
     def begin(self) -> None:
         """Announce that leadership has begun."""
         self.announced = True
-        tell_each(self._listeners, True)
+        notify_listeners(self._listeners, True)
 
     def end(self) -> None:
         """Announce that leadership has ended, if it was announced."""
         if not self.announced:
             return
         self.announced = False
-        tell_each(self._listeners, False)
+        notify_listeners(self._listeners, False)
--- a/src/rainsail/consensus/lease.py
+++ b/src/rainsail/consensus/lease.py
@@ -20,7 +20,7 @@
     progress.acked_sent_at_s = sent_at
 
 
-def next_beat_s(now: float, period_s: float) -> float:
+def next_aligned_heartbeat_s(now: float, period_s: float) -> float:
     """Return the next multiple of the period, so that all groups of a process beat together."""
     beat_s = (now // period_s + 1) * period_s
     return beat_s if beat_s - now > period_s / 1_000 else beat_s + period_s
--- a/src/rainsail/consensus/listeners.py
+++ b/src/rainsail/consensus/listeners.py
@@ -12,7 +12,7 @@
 News = TypeVar("News")
 
 
-def tell_each(listeners: Iterable[Callable[[News], None]], news: News) -> None:
+def notify_listeners(listeners: Iterable[Callable[[News], None]], news: News) -> None:
     """Call every listener; log what one of them raises."""
     for listener in list(listeners):
         try:
--- a/src/rainsail/consensus/member_log.py
+++ b/src/rainsail/consensus/member_log.py
@@ -17,22 +17,22 @@
 
 
 def log_snapshot_refused(refused: SnapshotRefused) -> None:
-    """Say which leader has sent something else than the snapshot it told of."""
+    """Say which leader has sent something else than the snapshot it expected of."""
     logger.error(
-        "snapshot at {} from {} refused: {} received, {} told; it is asked for anew",
+        "snapshot at {} from {} refused: {} received, {} expected; it is asked for anew",
         refused.last_index,
         refused.replica,
         refused.received,
-        refused.told,
+        refused.expected,
     )
 
 
-def log_snapshot_unread(index: int, replica: str, fault: Fault) -> None:
+def log_snapshot_unreadable(index: int, replica: str, fault: Fault) -> None:
     """Say which snapshot can't be read."""
     logger.error("snapshot at {} can't be read for {}: {}", index, replica, fault)
 
 
-def log_stranger(source: str, message: GroupMessage) -> None:
+def log_unknown_sender(source: str, message: GroupMessage) -> None:
     """Say who speaks consensus without being one of the group's replicas."""
     detail = f"{type(message).__name__} from a process that is no replica of the group"
     logger.warning(str(Fault(FaultCode.FORBIDDEN, "consensus.receive", detail, source)))
--- a/src/rainsail/consensus/model_member.py
+++ b/src/rainsail/consensus/model_member.py
@@ -94,7 +94,7 @@
         self.writes: deque[Write] = deque()
         self.install: SnapshotInstall | None = None
         self.reads: dict[int, int] = {}
-        self.followed_at_s = float("-inf")
+        self.answered_leader_at_s = float("-inf")
         """When it last answered a leader, on its own clock: for the check of its promise."""
         self._names = names
         self._settings = settings
@@ -147,9 +147,9 @@
         self.crash()
         self.generation += 1
         self.disk = ModelDisk(f"{self.name}.{self.generation}")
-        self.followed_at_s = float("-inf")
+        self.answered_leader_at_s = float("-inf")
 
-    def keep(self, effects: Effects) -> list[Outgoing]:
+    def queue_writes(self, effects: Effects) -> list[Outgoing]:
         """Queue the writes of an input; returns the messages that may leave now."""
         if effects.has_writes():
             self.writes.append(
--- a/src/rainsail/consensus/model_schedule.py
+++ b/src/rainsail/consensus/model_schedule.py
@@ -7,7 +7,7 @@
 from rainsail.consensus.model_links import SlowLinks
 from rainsail.consensus.model_member import ModelMember
 from rainsail.consensus.model_start import new_world
-from rainsail.consensus.model_weather import WEATHERS
+from rainsail.consensus.model_weights import WEIGHT_PROFILES
 from rainsail.consensus.model_world import InFlight
 
 MAX_IN_FLIGHT = 60
@@ -25,24 +25,24 @@
 
     def __init__(self, seed: int) -> None:
         self._random = random_module.Random(f"schedule {seed}")
-        weather = self._random.choice(WEATHERS)
-        self._weather = weather
-        self.world = new_world(self._random, self._random.choice(weather.sizes))
+        weights = self._random.choice(WEIGHT_PROFILES)
+        self._weights = weights
+        self.world = new_world(self._random, self._random.choice(weights.sizes))
         self._world = self.world
         self._steps: list[tuple[float, Callable[[], object]]] = []
         total = 0.0
         for weight, step in (
-            (weather.deliver, self._deliver),
-            (weather.sync, self._sync),
-            (weather.pass_time, self._pass_time),
-            (weather.client, self._client),
-            (weather.crash, self._crash_any),
-            (weather.restart, self._start_any),
-            (weather.lose_disk, self._lose_disk),
-            (weather.cut, self._cut_or_mend),
-            (weather.manage, self._manage),
-            (weather.slow_link, self._slow_link),
-            (weather.lose_two_disks, self._lose_two_disks),
+            (weights.deliver, self._deliver),
+            (weights.sync, self._sync),
+            (weights.advance_time, self._advance_time),
+            (weights.client, self._client),
+            (weights.crash, self._crash_any),
+            (weights.restart, self._start_any),
+            (weights.lose_disk, self._lose_disk),
+            (weights.cut, self._cut_or_heal_links),
+            (weights.manage, self._manage),
+            (weights.slow_link, self._slow_link),
+            (weights.lose_two_disks, self._lose_two_disks),
         ):
             total += weight
             self._steps.append((total, step))
@@ -64,12 +64,12 @@
                     step()
                     break
             if self._world.coverage.elections > elections:
-                self._plan_crash(self._weather.crash_after_election)
-                self._plan_cut(self._weather.cut_after_election)
+                self._plan_crash(self._weights.crash_after_election)
+                self._plan_cut(self._weights.cut_after_election)
             if self._world.coverage.commits > commits:
-                self._plan_crash(self._weather.crash_after_commit)
+                self._plan_crash(self._weights.crash_after_commit)
             if self._world.coverage.membership_changes > changes:
-                self._plan_crash(self._weather.crash_in_change)
+                self._plan_crash(self._weights.crash_in_change)
             self._crash_when_planned()
             self._cut_when_planned()
 
@@ -136,7 +136,7 @@
         if not in_flight:
             if self._random.random() < SYNC_WHEN_IDLE and self._sync():
                 return
-            self._pass_time()
+            self._advance_time()
             return
         while len(in_flight) > MAX_IN_FLIGHT:
             self._take(self._random.randrange(len(in_flight)))
@@ -146,9 +146,9 @@
             position = self._slow_links.first_ready(in_flight, self._world.coverage.steps)
         message = self._take(position)
         drawn = self._random.random()
-        if drawn < self._weather.loss:
+        if drawn < self._weights.loss:
             return
-        if drawn > 1 - self._weather.duplication:
+        if drawn > 1 - self._weights.duplication:
             in_flight.append(message)
         self._world.deliver(message)
 
@@ -172,7 +172,7 @@
             self._world.sync(member)
         return True
 
-    def _pass_time(self) -> None:
+    def _advance_time(self) -> None:
         world = self._world
         running = world.running()
         if not running:
@@ -238,7 +238,7 @@
             self._deliver()
         self._lose_disk()
 
-    def _cut_or_mend(self) -> None:
+    def _cut_or_heal_links(self) -> None:
         world = self._world
         names = list(world.members)
         if world.cuts and self._random.random() < 0.6:
--- a/src/rainsail/consensus/model_weather.py
+++ b/src/rainsail/consensus/model_weights.py
@@ -4,12 +4,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class StepWeights:
     """Weights of the kinds of step in one schedule."""
 
     deliver: float
     sync: float
-    pass_time: float
+    advance_time: float
     client: float
     crash: float
     lose_disk: float
@@ -27,12 +27,12 @@
     sizes: tuple[int, ...] = (3, 3, 4, 5, 5)
 
 
-CALM = Weather(70, 20, 0.8, 8, 0.1, 0.1, 0.2, 0.6)
-ROUGH = Weather(70, 18, 0.8, 6, 0.6, 0.1, 0.8, 0.5, loss=0.06)
-CHURN = Weather(70, 18, 0.8, 6, 0.3, 0.4, 0.3, 2.0)
-DISK_LOSS = Weather(70, 12, 0.8, 6, 0.7, 0.7, 0.3, 0.3, crash_after_commit=0.05)
-POWER_CUTS = Weather(70, 6, 0.8, 6, 0.5, 0.0, 0.3, 0.3, crash_after_commit=0.2)
-ELECTIONS = Weather(
+FEW_FAULTS = StepWeights(70, 20, 0.8, 8, 0.1, 0.1, 0.2, 0.6)
+MANY_FAULTS = StepWeights(70, 18, 0.8, 6, 0.6, 0.1, 0.8, 0.5, loss=0.06)
+MEMBERSHIP_CHURN = StepWeights(70, 18, 0.8, 6, 0.3, 0.4, 0.3, 2.0)
+DISK_LOSS = StepWeights(70, 12, 0.8, 6, 0.7, 0.7, 0.3, 0.3, crash_after_commit=0.05)
+POWER_CUTS = StepWeights(70, 6, 0.8, 6, 0.5, 0.0, 0.3, 0.3, crash_after_commit=0.2)
+ELECTIONS = StepWeights(
     70,
     20,
     0.8,
@@ -48,8 +48,8 @@
     cut_after_election=0.8,
     sizes=(3, 3, 5),
 )
-PARTITIONS = Weather(70, 20, 0.8, 8, 0.1, 0.0, 2.5, 0.2, loss=0.02)
-RIVALS = Weather(
+PARTITIONS = StepWeights(70, 20, 0.8, 8, 0.1, 0.0, 2.5, 0.2, loss=0.02)
+COMPETING_CANDIDATES = StepWeights(
     70,
     20,
     1.5,
@@ -64,20 +64,20 @@
     slow_link=3.0,
     sizes=(3, 5, 5),
 )
-HAND_OVERS = Weather(70, 20, 0.8, 8, 0.3, 0.0, 0.2, 6.0, crash_in_change=0.1, slow_link=1.0)
-REPAIRS = Weather(
+TRANSFERS = StepWeights(70, 20, 0.8, 8, 0.3, 0.0, 0.2, 6.0, crash_in_change=0.1, slow_link=1.0)
+REPAIRS = StepWeights(
     70, 20, 3.0, 5, 0.1, 0.1, 0.05, 0.3, loss=0.01, crash_in_change=0.05, lose_two_disks=0.1
 )
-WEATHERS = (
-    CALM,
-    ROUGH,
-    CHURN,
+WEIGHT_PROFILES = (
+    FEW_FAULTS,
+    MANY_FAULTS,
+    MEMBERSHIP_CHURN,
     DISK_LOSS,
     POWER_CUTS,
     ELECTIONS,
     ELECTIONS,
     PARTITIONS,
-    RIVALS,
-    HAND_OVERS,
+    COMPETING_CANDIDATES,
+    TRANSFERS,
     REPAIRS,
 )
--- a/src/rainsail/consensus/model_world.py
+++ b/src/rainsail/consensus/model_world.py
@@ -20,9 +20,9 @@
 from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum
 
 SNAPSHOT_CHUNKS = 2
-UNREAD_SHARE = 0.1
+READ_FAILURE_PROBABILITY = 0.1
 """How often a leader can't read a chunk of its snapshot."""
-EARLY_END_SHARE = 0.05
+EARLY_END_PROBABILITY = 0.05
 """How often a leader tells the end of its snapshot in place of a chunk."""
 
 
@@ -70,7 +70,7 @@
     def take(self, member: ModelMember, effects: Effects, commit_before: int) -> None:
         """Carry an input's effects out and hold them against the properties."""
         self._check(member, effects, commit_before)
-        self.post(member, member.keep(effects))
+        self.post(member, member.queue_writes(effects))
         for order in effects.snapshot_orders:
             self._send_snapshot(member, order.replica, order.identity, order.offset, order.round)
         if effects.install is not None:
@@ -161,11 +161,11 @@
     def _read_piece(self, last_index: int, offset: int) -> SnapshotPiece | None:
         """Return a piece of a snapshot; sometimes none, sometimes the end too early."""
         drawn = self.random.random()
-        if drawn < UNREAD_SHARE:
+        if drawn < READ_FAILURE_PROBABILITY:
             self.coverage.readings_failed += 1
             return None
         ends = offset == SNAPSHOT_CHUNKS
-        early = not ends and drawn < UNREAD_SHARE + EARLY_END_SHARE
+        early = not ends and drawn < READ_FAILURE_PROBABILITY + EARLY_END_PROBABILITY
         self.coverage.early_ends += early
         if ends or early:
             return snapshot_sum(last_index)
@@ -186,21 +186,21 @@
         vote_before = (state.term, state.voted_for)
         now = member.now(self.time_s)
         effects = member.core.receive(message.source, message.outgoing.message, now)
-        self._check_promise(member, message.outgoing.message, vote_before, now)
+        self._check_vote_withheld(member, message.outgoing.message, vote_before, now)
         self.take(member, effects, before)
 
-    def _check_promise(
+    def _check_vote_withheld(
         self, member: ModelMember, message: GroupMessage, vote_before: tuple[int, str], now: float
     ) -> None:
         """A vote must not break the lease of a leader that the member has answered lately."""
         assert member.core is not None
         state = member.core.state
         if isinstance(message, AppendRequest | SnapshotChunk) and message.term == state.term:
-            member.followed_at_s = now
+            member.answered_leader_at_s = now
         if not isinstance(message, VoteRequest) or message.transfer:
             return
         if state.voted_for == message.sender and vote_before != (state.term, state.voted_for):
-            self.properties.voted(state, now - member.followed_at_s)
+            self.properties.voted(state, now - member.answered_leader_at_s)
 
     def tick(self, member: ModelMember) -> None:
         """Let a member do what is due; a leader also takes the next step of a repair."""
--- a/src/rainsail/consensus/open_group.py
+++ b/src/rainsail/consensus/open_group.py
@@ -13,7 +13,7 @@
     state.contacts = tuple(name for name in contacts if name != state.replica)
 
 
-def may_speak(state: CoreState, replica: str) -> bool:
+def accepts_messages_from(state: CoreState, replica: str) -> bool:
     """Tell whether an open group listens to a replica that was not among its founders."""
     if not state.target_voters:
         return False
--- a/src/rainsail/consensus/repair.py
+++ b/src/rainsail/consensus/repair.py
@@ -31,7 +31,7 @@
     surplus = surplus_voter(state, now)
     if surplus is not None:
         return state.membership.without(surplus.identity)
-    return with_newcomer(state, now) or with_stranger(state, now)
+    return with_replacement_learner(state, now) or with_additional_learner(state, now)
 
 
 def after_learner(state: CoreState, learner: MemberSpec, now: float) -> Membership | None:
@@ -39,8 +39,10 @@
 
     A learner that went away for good must not stand in the way of other repairs.
     """
-    if not heard_lately(state, learner.identity, now):
-        if calls_lately(state, learner.replica, now) or is_long_gone(state, learner.identity, now):
+    if not heard_recently(state, learner.identity, now):
+        if sent_hello_recently(state, learner.replica, now) or is_past_repair_timeout(
+            state, learner.identity, now
+        ):
             return state.membership.without(learner.identity)
         return None
     if is_caught_up(state, learner.identity):
@@ -56,13 +58,13 @@
     return None
 
 
-def with_newcomer(state: CoreState, now: float) -> Membership | None:
+def with_replacement_learner(state: CoreState, now: float) -> Membership | None:
     """Add the new identity of a member that has been away for long."""
     for member in state.membership.voters():
-        if not calls_lately(state, member.replica, now):
+        if not sent_hello_recently(state, member.replica, now):
             continue
-        if is_long_gone(state, member.identity, now):
-            newest = state.newcomers[member.replica].identity
+        if is_past_repair_timeout(state, member.identity, now):
+            newest = state.join_candidates[member.replica].identity
             return state.membership.with_learner(member.replica, newest)
     return None
 
@@ -79,18 +81,20 @@
     for member in others:
         if member.replica in state.leaving:
             return member
-    return next((member for member in others if is_long_gone(state, member.identity, now)), None)
+    return next(
+        (member for member in others if is_past_repair_timeout(state, member.identity, now)), None
+    )
 
 
-def with_stranger(state: CoreState, now: float) -> Membership | None:
+def with_additional_learner(state: CoreState, now: float) -> Membership | None:
     """Add a replica of another name to an open group that needs one more voter."""
     if not state.target_voters or not needs_voter(state, now):
         return None
-    for replica in sorted(state.newcomers):
+    for replica in sorted(state.join_candidates):
         known = state.membership.named(replica)
-        if known or replica in state.leaving or not calls_lately(state, replica, now):
+        if known or replica in state.leaving or not sent_hello_recently(state, replica, now):
             continue
-        return state.membership.with_learner(replica, state.newcomers[replica].identity)
+        return state.membership.with_learner(replica, state.join_candidates[replica].identity)
     return None
 
 
@@ -99,20 +103,21 @@
     staying = [
         member
         for member in state.membership.voters()
-        if member.replica not in state.leaving and not is_long_gone(state, member.identity, now)
+        if member.replica not in state.leaving
+        and not is_past_repair_timeout(state, member.identity, now)
     ]
     return len(staying) < state.target_voters
 
 
-def calls_lately(state: CoreState, replica: str, now: float) -> bool:
+def sent_hello_recently(state: CoreState, replica: str, now: float) -> bool:
     """Tell whether a replica has called lately under an identity outside the group."""
-    newcomer = state.newcomers.get(replica)
-    if newcomer is None or state.membership.find(newcomer.identity) is not None:
+    candidate = state.join_candidates.get(replica)
+    if candidate is None or state.membership.find(candidate.identity) is not None:
         return False
-    return now - newcomer.heard_at_s < state.settings.unreachable_after_s
+    return now - candidate.heard_at_s < state.settings.unreachable_after_s
 
 
-def is_long_gone(state: CoreState, identity: str, now: float) -> bool:
+def is_past_repair_timeout(state: CoreState, identity: str, now: float) -> bool:
     """Tell whether a member was not heard of for the repair time, as far as this leader knows."""
     progress = state.progress.get(identity)
     if identity == state.identity or progress is None:
@@ -121,7 +126,7 @@
     return now - heard_at_s >= state.settings.repair_after_s
 
 
-def heard_lately(state: CoreState, identity: str, now: float) -> bool:
+def heard_recently(state: CoreState, identity: str, now: float) -> bool:
     """Tell whether a member has answered lately."""
     progress = state.progress.get(identity)
     if progress is None:
--- a/src/rainsail/consensus/router.py
+++ b/src/rainsail/consensus/router.py
@@ -45,7 +45,7 @@
 
     def send(self, replica: str, message: GroupMessage) -> None:
         """Send at once; with several groups a heartbeat waits for the others of this moment."""
-        if len(self._handlers) < 2 or not is_beat(message):
+        if len(self._handlers) < 2 or not is_heartbeat_or_reply(message):
             self._messenger.send(replica, message)
             return
         if not self._gathered:
@@ -75,7 +75,7 @@
             self._deliver(source, reply)
 
 
-def is_beat(message: GroupMessage) -> TypeGuard[AppendRequest | AppendReply]:
+def is_heartbeat_or_reply(message: GroupMessage) -> TypeGuard[AppendRequest | AppendReply]:
     """Tell whether a message is a heartbeat or answers an append: small, and fit to wait."""
     if isinstance(message, AppendRequest):
         return not message.entries
--- a/src/rainsail/consensus/snapshot_worker.py
+++ b/src/rainsail/consensus/snapshot_worker.py
@@ -8,7 +8,7 @@
 from rainsail.consensus.core import ConsensusCore
 from rainsail.consensus.core_state import Role
 from rainsail.consensus.effects import Effects, Outgoing, SnapshotInstall, SnapshotOrder
-from rainsail.consensus.member_log import log_snapshot_unread
+from rainsail.consensus.member_log import log_snapshot_unreadable
 from rainsail.consensus.membership import encode_membership
 from rainsail.consensus.messages import SnapshotChunk
 from rainsail.consensus.snapshot_source import SnapshotSource
@@ -20,20 +20,20 @@
 from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum
 from rainsail.wire.codec import CodecError
 
-FEEDING_S = 1.0
+TRANSFER_ACTIVE_S = 1.0
 """A follower counts as being fed for this long after it asked for a further chunk: a newer
 snapshot would make it begin anew, and under steady load it would never be through."""
-MOST_POSTPONED = 4
+MAX_POSTPONE_FACTOR = 4
 """While a follower is fed the next snapshot waits until the log has grown to so many times the
 usual size; then bounding the log goes first."""
-RETRY_ENTRIES = 1_000
+RETRY_AFTER_ENTRIES = 1_000
 """Entries after a snapshot that could not be written until it is tried again."""
-READINGS_BEFORE_RENEWAL = 2
+READ_FAILURES_BEFORE_RENEWAL = 2
 """A snapshot that can't be read for one follower so many times running counts as damaged: a new
 one, of the state in memory, takes its place. A single error of the disk costs another reading."""
-RENEWAL_ENTRIES = 1_000
+MIN_ENTRIES_BETWEEN_RENEWALS = 1_000
 """Entries between two such snapshots at least: on a bad disk the next may be damaged too."""
-TELL_AGAIN_S = 10.0
+READ_FAILURE_LOG_INTERVAL_S = 10.0
 """The operator is told of readings that fail this often at most."""
 
 
@@ -65,12 +65,12 @@
         self._stopped = False
         self._last_index = self._core.state.log.base_index
         self._retry_index = 0
-        self._fed_at_s = float("-inf")
-        self._fed_offsets: dict[str, int] = {}
-        self._failed_readings: dict[str, int] = {}
+        self._transfer_progress_at_s = float("-inf")
+        self._requested_offsets: dict[str, int] = {}
+        self._read_failures: dict[str, int] = {}
         self._renewal_due = False
         self._next_renewal_index = 0
-        self._told_at_s = float("-inf")
+        self._failure_logged_at_s = float("-inf")
 
     @property
     def installing(self) -> bool:
@@ -88,15 +88,15 @@
         applied = self._applier.applied_index
         if self._stopped or applied < self._retry_index or self._writing or self.installing:
             return
-        feeding = self._clock.seconds() - self._fed_at_s < FEEDING_S
+        transferring = self._clock.seconds() - self._transfer_progress_at_s < TRANSFER_ACTIVE_S
         if self._may_renew():
             self._renewal_due = False
-            self._next_renewal_index = applied + RENEWAL_ENTRIES
-        elif not self._is_due(MOST_POSTPONED if feeding else 1):
+            self._next_renewal_index = applied + MIN_ENTRIES_BETWEEN_RENEWALS
+        elif not self._is_due(MAX_POSTPONE_FACTOR if transferring else 1):
             return
         self._writing = True
         self._applier.bytes_since_snapshot = 0
-        self._gather(self._meta_at(applied), self._state_machine.snapshot(), [])
+        self._encode_chunks(self._meta_at(applied), self._state_machine.snapshot(), [])
 
     def _is_due(self, times: int) -> bool:
         """Tell whether the log has grown past so many times the settings."""
@@ -114,7 +114,9 @@
         is_newer = applied > self._last_index
         return self._renewal_due and is_newer and applied >= self._next_renewal_index
 
-    def _gather(self, meta: SnapshotMeta, rest: Iterator[bytes], chunks: list[bytes]) -> None:
+    def _encode_chunks(
+        self, meta: SnapshotMeta, rest: Iterator[bytes], chunks: list[bytes]
+    ) -> None:
         """Encode one chunk a reactor turn, so that heartbeats go out in between."""
         if self._stopped:
             return
@@ -126,7 +128,7 @@
             return
         if chunk is not None:
             chunks.append(chunk)
-            self._clock.callLater(0, self._gather, meta, rest, chunks)
+            self._clock.callLater(0, self._encode_chunks, meta, rest, chunks)
             return
         done = self._storage.save_snapshot(meta, iter(chunks))
         done.addCallback(self._taken, meta)
@@ -144,7 +146,7 @@
         if result.is_error():
             # The log is whole without it; a disk that can't be synced fails the next sync too.
             logger.warning("snapshot at {} not written: {}", meta.last_index, result.error)
-            self._retry_index = self._applier.applied_index + RETRY_ENTRIES
+            self._retry_index = self._applier.applied_index + RETRY_AFTER_ENTRIES
         else:
             self._last_index = meta.last_index
             self._forget_failures()
@@ -172,10 +174,10 @@
         self._note_progress(order)
         read = self._source.piece(meta.last_index, order.identity, order.offset)
         if read.is_error():
-            self._reading_failed(order, meta, read.error)
+            self._handle_read_failure(order, meta, read.error)
             self._send_piece(order, meta, order.offset, None)
             return
-        if self._failed_readings.pop(order.identity, 0):
+        if self._read_failures.pop(order.identity, 0):
             self._renewal_due = False
         self._send_piece(order, meta, read.ok.offset, read.ok.piece)
 
@@ -198,28 +200,28 @@
         )
         self._send([Outgoing(order.replica, message)])
 
-    def _reading_failed(self, order: SnapshotOrder, meta: SnapshotMeta, fault: Fault) -> None:
+    def _handle_read_failure(self, order: SnapshotOrder, meta: SnapshotMeta, fault: Fault) -> None:
         """Tell the operator; have a snapshot replaced that fails again."""
         now = self._clock.seconds()
-        if now - self._told_at_s >= TELL_AGAIN_S:
-            self._told_at_s = now
-            log_snapshot_unread(meta.last_index, order.replica, fault)
-        failures = self._failed_readings.get(order.identity, 0) + 1
-        self._failed_readings[order.identity] = failures
-        if failures >= READINGS_BEFORE_RENEWAL:
+        if now - self._failure_logged_at_s >= READ_FAILURE_LOG_INTERVAL_S:
+            self._failure_logged_at_s = now
+            log_snapshot_unreadable(meta.last_index, order.replica, fault)
+        failures = self._read_failures.get(order.identity, 0) + 1
+        self._read_failures[order.identity] = failures
+        if failures >= READ_FAILURES_BEFORE_RENEWAL:
             self._renewal_due = True
             self._clock.callLater(0, self.take_when_due)
 
     def _forget_failures(self) -> None:
         """Another snapshot is in place, of which no reading has failed yet."""
-        self._failed_readings.clear()
+        self._read_failures.clear()
         self._renewal_due = False
 
     def _note_progress(self, order: SnapshotOrder) -> None:
         """Note that a follower has asked for more; one that doesn't answer is not being fed."""
-        if order.offset > self._fed_offsets.get(order.identity, 0):
-            self._fed_at_s = self._clock.seconds()
-        self._fed_offsets[order.identity] = order.offset
+        if order.offset > self._requested_offsets.get(order.identity, 0):
+            self._transfer_progress_at_s = self._clock.seconds()
+        self._requested_offsets[order.identity] = order.offset
 
     # --- snapshots from the leader -------------------------------------------------------
 
--- a/src/rainsail/consensus/status.py
+++ b/src/rainsail/consensus/status.py
@@ -11,8 +11,8 @@
     if member.identity == state.identity:
         return True
     if state.role != Role.LEADER:
-        heard_lately = now - state.heard_leader_at_s < state.settings.unreachable_after_s
-        return member.identity == state.leader and heard_lately
+        heard_recently = now - state.heard_leader_at_s < state.settings.unreachable_after_s
+        return member.identity == state.leader and heard_recently
     progress = state.progress.get(member.identity)
     return progress is not None and now - progress.heard_at_s < state.settings.unreachable_after_s
 
@@ -21,11 +21,11 @@
     """Return how many further voters may be lost while a caught-up majority stays."""
     if state.role != Role.LEADER:
         return 0
-    good = [member for member in state.membership.voters() if is_sound(state, member, now)]
-    return max(0, len(good) - state.membership.quorum())
+    healthy = [member for member in state.membership.voters() if is_healthy(state, member, now)]
+    return max(0, len(healthy) - state.membership.quorum())
 
 
-def is_sound(state: CoreState, member: MemberSpec, now: float) -> bool:
+def is_healthy(state: CoreState, member: MemberSpec, now: float) -> bool:
     """Tell whether a member is reachable, has its disk and has nearly everything synced."""
     if has_lost_disk(state, member):
         return False
@@ -35,11 +35,11 @@
 
 def has_lost_disk(state: CoreState, member: MemberSpec) -> bool:
     """Tell whether a member's replica has called under a new identity since it last answered."""
-    newcomer = state.newcomers.get(member.replica)
+    candidate = state.join_candidates.get(member.replica)
     progress = state.progress.get(member.identity)
-    if newcomer is None or progress is None or newcomer.identity == member.identity:
+    if candidate is None or progress is None or candidate.identity == member.identity:
         return False
-    return newcomer.heard_at_s > progress.heard_at_s
+    return candidate.heard_at_s > progress.heard_at_s
 
 
 def health(state: CoreState, now: float) -> GroupHealth:
@@ -52,8 +52,8 @@
     if len(members) > len({member.replica for member in members}):
         return GroupHealth.REPAIRING
     intended = max(len(state.bootstrap), 1)
-    sound = [member for member in members if is_sound(state, member, now)]
-    if len(sound) >= intended:
+    healthy = [member for member in members if is_healthy(state, member, now)]
+    if len(healthy) >= intended:
         return GroupHealth.HEALTHY
     return GroupHealth.DEGRADED
 
--- a/src/rainsail/consensus/sync_watch.py
+++ b/src/rainsail/consensus/sync_stall_detector.py
@@ -1,7 +1,7 @@
 """Tells when a disk has stopped finishing syncs: pure, the time is handed in."""
 
 
-class SyncWatch:
+class SyncStallDetector:
     """Watches the number of the sync under way; a sync that neither ends nor fails is stalled."""
 
     def __init__(self, limit_s: float) -> None:
