--- a/src/rainsail/consensus/__init__.py
+++ b/src/rainsail/consensus/__init__.py
@@ -1,1 +1,4 @@
-"""Consensus: a replicated log per group. Decisions are pure; ``driver`` does the I/O."""
+"""Raft-style consensus: one replicated log per group.
+
+The decision modules are free of I/O; ``driver`` carries out their effects.
+"""
--- a/src/rainsail/consensus/append_receiving.py
+++ b/src/rainsail/consensus/append_receiving.py
@@ -1,4 +1,4 @@
-"""A follower's side of appends: taking entries that continue its log, and acknowledging them."""
+"""The follower's side of appends: appending entries to its log and acknowledging them."""
 
 from rainsail.consensus import following
 from rainsail.consensus.core_state import CoreState, Role
@@ -9,7 +9,7 @@
 def handle_append_request(
     state: CoreState, source: str, message: AppendRequest, now: float
 ) -> None:
-    """Take entries that continue this log; acknowledge only what is synced."""
+    """Append entries that continue this log; acknowledge only synced entries."""
     if message.term < state.term:
         reply_append(state, source, message, accepted=False, match_index=0)
         return
@@ -30,14 +30,14 @@
 
 
 def previous_matches(state: CoreState, message: AppendRequest) -> bool:
-    """Tell whether the entry before the new ones is in this log (or behind its snapshot)."""
+    """Return whether the entry before the new ones is in this log or covered by its snapshot."""
     if message.previous_index < state.log.base_index:
         return True
     return state.log.term_at(message.previous_index) == message.previous_term
 
 
 def take_entry(state: CoreState, entry: LogEntry) -> None:
-    """Append an entry unless it is there; one of another term is overruled with all after it."""
+    """Append an entry unless present; a conflicting entry is truncated with all after it."""
     if entry.index <= state.log.base_index:
         return
     known = state.log.term_at(entry.index)
@@ -49,7 +49,7 @@
 
 
 def conflict_hint(state: CoreState, previous_index: int) -> int:
-    """Return the last index at which the logs may still agree."""
+    """Return the last index at which this log and the leader's may agree."""
     if previous_index > state.log.last_index:
         return state.log.last_index
     term = state.log.term_at(previous_index)
@@ -62,10 +62,10 @@
 def reply_append(
     state: CoreState, source: str, message: AppendRequest, accepted: bool, match_index: int
 ) -> None:
-    """Answer an append: a heartbeat at once, with what is synced, entries after their sync.
+    """Reply to an append: to a heartbeat at once with the synced index, to entries after sync.
 
-    A heartbeat doesn't wait for a sync under way: a slow disk must not look like a lost
-    follower.
+    A heartbeat reply doesn't wait for a running sync, so that a follower with a slow disk doesn't
+    appear unreachable.
     """
     at_once = answers_at_once(state, message)
     if accepted and at_once:
@@ -87,10 +87,10 @@
 
 
 def answers_at_once(state: CoreState, message: AppendRequest) -> bool:
-    """Tell whether the answer need not wait for the sync of what this append has brought."""
+    """Return whether the reply need not wait for a sync: the append caused no writes."""
     return not message.entries and state.effects.hard_state is None
 
 
 def acknowledged_index(state: CoreState, match_index: int) -> int:
-    """Return how much of a verified log may be acknowledged without waiting for a sync."""
+    """Return the index up to which a verified log may be acknowledged without a further sync."""
     return min(match_index, state.writes.synced_index)
--- a/src/rainsail/consensus/append_replies.py
+++ b/src/rainsail/consensus/append_replies.py
@@ -1,4 +1,4 @@
-"""The leader's side of acknowledgements: what each follower holds, and what a quorum has synced."""
+"""The leader's handling of append replies: follower progress and the commit index."""
 
 from rainsail.consensus import append_sending, confirmed_reads, following, lease
 from rainsail.consensus.core_state import CoreState, Progress, ProgressMode, Role
@@ -8,7 +8,7 @@
 
 
 def handle_append_reply(state: CoreState, message: AppendReply, now: float) -> None:
-    """Note what a follower has, commit what a quorum has, and send it more."""
+    """Update a follower's progress, advance the commit index, and send more entries."""
     if message.term > state.term:
         following.become_follower(state, message.term, now)
         return
@@ -31,7 +31,7 @@
 
 
 def note_match(state: CoreState, progress: Progress, match_index: int) -> None:
-    """The follower holds, synced, everything up to an index."""
+    """Record that a follower has synced everything up to an index."""
     if match_index > progress.match_index:
         progress.match_index = match_index
         progress.match_round = state.round
@@ -43,9 +43,10 @@
 
 
 def has_lost_acknowledged(progress: Progress, message: AppendReply) -> bool:
-    """Tell whether a follower lacks what it had acknowledged as synced: its disk has lied.
+    """Return whether a follower lost entries that it had acknowledged as synced.
 
-    A refusal of a round before the acknowledgement was noted may just have come late.
+    This happens when its disk reports a sync that it has not done. A refusal that belongs to a
+    round before the acknowledgement was recorded may only be late, so it doesn't count.
     """
     return message.previous_index <= progress.match_index and message.round > progress.match_round
 
@@ -53,7 +54,10 @@
 def revoke_match(
     state: CoreState, member: MemberSpec, progress: Progress, message: AppendReply
 ) -> None:
-    """Count for no commit what the follower has lost, send it again, and have it reported."""
+    """Lower the match index to what the follower holds, resend the rest, and report the loss.
+
+    The lost entries no longer count towards a commit.
+    """
     lost = AcknowledgedLost(member.replica, message.match_index, progress.match_index)
     state.effects.acknowledged_lost.append(lost)
     progress.match_index = min(message.match_index, message.previous_index - 1)
@@ -65,7 +69,7 @@
 
 
 def note_refusal(progress: Progress, message: AppendReply) -> None:
-    """The follower lacks what the append builds on: go back, but never behind its match."""
+    """Move ``next_index`` back after a refused append, but never below the match index."""
     if message.previous_index <= progress.match_index:
         return
     if message.previous_index >= progress.next_index:
@@ -78,7 +82,7 @@
 
 
 def match_index_of(state: CoreState, identity: str) -> int:
-    """Return up to where a voter has synced, the leader itself included."""
+    """Return the index up to which a member, possibly the leader itself, has synced."""
     if identity == state.identity:
         return state.writes.synced_index
     progress = state.progress.get(identity)
@@ -86,7 +90,7 @@
 
 
 def advance_commit(state: CoreState) -> None:
-    """Commit what a majority of the voters has synced, counting only entries of this term."""
+    """Commit what a majority of the voters has synced, if its last entry is of this term."""
     synced = sorted(match_index_of(state, m.identity) for m in state.membership.voters())
     if not synced:
         return
@@ -96,5 +100,9 @@
 
 
 def counts_for_commit(state: CoreState, index: int) -> bool:
-    """Only an entry of the leader's own term commits, and with it all that precede it."""
+    """Return whether an index may be committed by counting replicas.
+
+    Only an entry of the leader's own term may; it commits all entries before it too. An entry of
+    an earlier term on a majority of voters can still be overwritten by another leader.
+    """
     return state.log.term_at(index) == state.term
--- a/src/rainsail/consensus/append_sending.py
+++ b/src/rainsail/consensus/append_sending.py
@@ -1,4 +1,4 @@
-"""The leader's appends: heartbeat rounds, and the entries that each follower lacks."""
+"""The leader's sending of appends: heartbeat rounds and missing entries."""
 
 from rainsail.consensus import confirmed_reads, lease, snapshot_sending
 from rainsail.consensus.core_state import CoreState, Progress, ProgressMode
@@ -8,7 +8,7 @@
 
 
 def begin_round(state: CoreState, now: float) -> None:
-    """Start a heartbeat round: every follower gets an append, empty when it has everything."""
+    """Start a heartbeat round: every follower gets an append, empty if it needs no entries."""
     state.round += 1
     state.round_sent_at_s[state.round] = now
     state.next_heartbeat_s = lease.next_aligned_heartbeat_s(now, state.settings.heartbeat_period_s)
@@ -21,14 +21,14 @@
 
 
 def replicate(state: CoreState) -> None:
-    """Send every follower what it lacks, within its in-flight limit."""
+    """Send each follower its missing entries, within the in-flight limit."""
     for member in state.membership.members:
         if member.identity != state.identity:
             send_append(state, member, heartbeat=False)
 
 
 def send_append(state: CoreState, member: MemberSpec, heartbeat: bool) -> None:
-    """Send one follower its next entries; an empty append only as a heartbeat."""
+    """Send one follower its next entries or snapshot chunk; an empty append only as heartbeat."""
     progress = state.progress_of(member.identity)
     if progress.next_index <= state.log.base_index:
         snapshot_sending.order_chunk(state, member, progress, heartbeat)
@@ -49,7 +49,7 @@
 
 
 def may_send(state: CoreState, progress: Progress) -> bool:
-    """Tell whether the follower lacks entries and may get more now."""
+    """Return whether the follower lacks entries and flow control allows another append."""
     if progress.next_index > state.log.last_index:
         return False
     if progress.mode == ProgressMode.PROBE:
@@ -58,7 +58,7 @@
 
 
 def note_sent(progress: Progress, entries: tuple[LogEntry, ...]) -> None:
-    """Account for entries on their way; a probing follower gets one append at a time."""
+    """Account for sent entries; in probe mode only one append is outstanding."""
     if progress.mode == ProgressMode.PROBE:
         progress.probe_sent = True
         return
@@ -71,7 +71,7 @@
 def emit_append(
     state: CoreState, member: MemberSpec, progress: Progress, entries: tuple[LogEntry, ...]
 ) -> None:
-    """Send one append."""
+    """Send one append with the given entries."""
     previous = progress.next_index - 1
     previous_term = state.log.term_at(previous)
     request = AppendRequest(
--- a/src/rainsail/consensus/applier.py
+++ b/src/rainsail/consensus/applier.py
@@ -18,9 +18,9 @@
 from rainsail.wire.codec import CodecError
 
 LOCAL_FAILURES = (MemoryError, OSError, RecursionError, CodecError)
-"""What may fail at one replica alone, for want of memory, disk or a readable log.
+"""Errors that can affect a single replica: out of memory, disk failure, unreadable log.
 
-That replica stops before the entry: were it to go on, its state would differ from the others'.
+That replica stops before the entry; if it went on, its state would diverge from the others.
 """
 
 ProposalResult = Result[tuple[int, Any], Fault]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command on its way, with the Deferred of its proposer."""
+    """A proposed command, with the Deferred that answers its proposer."""
 
     command: Any
     payload: bytes
@@ -48,7 +48,7 @@
 
 
 class Applier:
-    """Feeds the state machine from the log, up to the commit index."""
+    """Applies log entries to the state machine, up to the commit index."""
 
     def __init__(self, log: LogWindow, state_machine: StateMachine, applied: int) -> None:
         self._log = log
@@ -62,7 +62,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many proposals are appended and not yet applied."""
+        """Return how many proposals are appended and not yet applied."""
         return len(self._waiting)
 
     def expect(self, index: int, term: int, proposal: Proposal) -> None:
@@ -77,7 +77,7 @@
         self._reads.append(_ReadWait(index, done))
 
     def fail_waiting(self, fault: Fault) -> None:
-        """Answer everything that waits with a fault (leadership lost, or stopped)."""
+        """Fail all pending proposals and reads (leadership lost, or member stopped)."""
         waiting = self._waiting
         reads = self._reads
         self._waiting = {}
@@ -88,14 +88,14 @@
             read.done.callback(Error(fault))
 
     def restored(self, index: int) -> None:
-        """The state machine now stands at ``index`` (restored from a snapshot)."""
+        """Record that the state machine was restored from a snapshot at ``index``."""
         self.applied_index = index
         self.commit_index = max(self.commit_index, index)
         self.bytes_since_snapshot = 0
         self._release_reads()
 
     def apply_batch(self, limit: int) -> bool:
-        """Apply up to ``limit`` entries; True when more is left."""
+        """Apply up to ``limit`` entries; returns whether committed entries remain."""
         end = min(self.commit_index, self.applied_index + limit)
         if end == self.applied_index:
             return False
@@ -123,12 +123,12 @@
         return waiting.proposal, Error(overruled())
 
     def _apply_command(self, index: int, command: Any) -> ProposalResult:
-        """Apply a command; one that the state machine fails at has an error as its outcome.
+        """Apply a command; if the state machine raises, the outcome is an error.
 
-        The same command fails in the same way at each replica, since nothing but the state and the
-        command go into it. Were it not counted as applied, all replicas would stop at it, and with
-        them everything behind it, until somebody changes the program. What is due to this process
-        alone says nothing of the other replicas: ``LOCAL_FAILURES`` are raised.
+        A command fails in the same way at each replica, because its result depends only on the
+        state and the command. If it didn't count as applied, all replicas would stop at it and
+        block every later entry until the program is fixed. ``LOCAL_FAILURES`` concern this process
+        alone and are raised.
         """
         try:
             return Ok((index, self._state_machine.apply(index, command)))
@@ -150,19 +150,19 @@
 
 
 def leadership_lost(leader: str) -> Fault:
-    """Return the fault of what was appended and not applied when leadership ended."""
+    """Return the fault of proposals appended but not applied when leadership ended."""
     detail = "leadership was lost while the entry was under way"
     return Fault(FaultCode.NOT_LEADER, "consensus.propose", detail, leader, Outcome.UNKNOWN)
 
 
 def _command_failed(index: int, command: str, error: Exception) -> Fault:
-    """Return the fault of a command that may be applied in part."""
+    """Return the fault of a failed command, which may be partly applied."""
     detail = f"{command} at entry {index} failed: {error!r}"
     return Fault(FaultCode.INTERNAL, "consensus.apply", detail, outcome=Outcome.UNKNOWN)
 
 
 def overruled() -> Fault:
-    """Return the fault of a proposal whose entry another leader replaced."""
+    """Return the fault of a proposal whose entry was replaced by another leader's."""
     return Fault(
         FaultCode.NOT_LEADER,
         "consensus.propose",
--- a/src/rainsail/consensus/apply_loop.py
+++ b/src/rainsail/consensus/apply_loop.py
@@ -1,8 +1,8 @@
-"""Applies what is committed in batches, one for each turn of the event loop.
+"""Applies committed entries in batches, one batch per turn of the event loop.
 
-Owns when the next batch is applied, and announces leadership once the first entry of the member's
-own term is applied. Relies on ``applier`` for the entries and on ``snapshot_worker`` for when to
-pause and when a snapshot is due.
+Schedules the batches, and announces leadership once the first entry of the member's own term is
+applied. ``applier`` applies the entries; ``snapshot_worker`` tells when to pause and takes
+snapshots that are due.
 """
 
 from collections.abc import Callable
@@ -37,11 +37,11 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Apply nothing any more."""
+        """Stop applying entries."""
         self._stopped = True
 
     def commit_to(self, index: int) -> None:
-        """Apply everything up to a commit index, beginning with the next turn."""
+        """Apply everything up to a commit index, starting in the next event-loop turn."""
         self._applier.commit_index = max(self._applier.commit_index, index)
         self._plan()
 
--- a/src/rainsail/consensus/confirmed_reads.py
+++ b/src/rainsail/consensus/confirmed_reads.py
@@ -1,4 +1,4 @@
-"""Read barriers that wait for a quorum to confirm that this member still leads."""
+"""Completion of read barriers for which a quorum has confirmed that this member still leads."""
 
 from rainsail.consensus import lease
 from rainsail.consensus.core_state import CoreState
@@ -6,7 +6,7 @@
 
 
 def finish_confirmed(state: CoreState) -> None:
-    """Release the barriers whose round a quorum has answered."""
+    """Complete the barriers whose round a quorum has answered."""
     if not state.reads:
         return
     confirmed = lease.quorum_round(state)
--- a/src/rainsail/consensus/core.py
+++ b/src/rainsail/consensus/core.py
@@ -1,4 +1,4 @@
-"""The consensus core of one member: every input gives ``Effects``, with no I/O of its own.
+"""The consensus core of one member: each input returns ``Effects``; the core does no I/O.
 
 Inputs are ticks, messages, proposals, reads, and the driver's reports of synced writes and stored
 snapshots. ``now`` is always the member's own monotonic time in seconds.
@@ -46,12 +46,12 @@
 
 
 def is_addressed(state: CoreState, message: GroupMessage) -> bool:
-    """Tell whether a message is for this identity, not for one that had this name before."""
+    """Return whether a message addresses this identity, not an earlier one of the same name."""
     return message.target in ("", state.identity)
 
 
 class ConsensusCore:
-    """Election, replication, membership, leases and reads of one member, as pure decisions."""
+    """Decides elections, replication, membership, leases and reads of one member."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         )
 
     def tick(self, now: float) -> Effects:
-        """Do what is due at ``now``."""
+        """Run the timers that are due at ``now``: elections, heartbeats, founding, transfer."""
         state = self.state
         if state.role == Role.LEADER:
             self._tick_leader(now)
@@ -103,7 +103,7 @@
         election.campaign(state, now)
 
     def next_wakeup_s(self) -> float:
-        """Return the time of the next tick that may do something."""
+        """Return when the next timer is due."""
         state = self.state
         if state.role != Role.LEADER:
             return state.election_deadline_s
@@ -112,7 +112,7 @@
         return state.next_heartbeat_s
 
     def receive(self, source: str, message: GroupMessage, now: float) -> Effects:
-        """Take a message from a replica; one for another identity is only answered with Hello."""
+        """Handle a message; one that addresses another identity is only answered with Hello."""
         state = self.state
         if not is_addressed(state, message):
             if not isinstance(message, Hello):
@@ -162,7 +162,10 @@
             transfer.continue_when_ready(state)
 
     def propose(self, payloads: list[bytes], now: float) -> tuple[int, Effects]:
-        """Append entries of the current term; returns the first index, 0 when not the leader."""
+        """Append entries of the current term; returns the first index.
+
+        Returns 0 when this member is not the leader or is transferring its leadership.
+        """
         state = self.state
         if state.role != Role.LEADER or state.transfer_target:
             return 0, state.take_effects()
@@ -173,22 +176,22 @@
         return first, state.take_effects()
 
     def change_membership(self, membership: Membership, now: float) -> tuple[Fault | None, Effects]:
-        """Append a single-step membership change, or say why not now."""
+        """Append a single-step membership change, or return why it is refused now."""
         fault = membership_change.propose(self.state, membership, now)
         return fault, self.state.take_effects()
 
     def read(self, request: int, now: float) -> Effects:
-        """Begin a read barrier; ``reads_ready`` or ``reads_failed`` of some later input ends it."""
+        """Begin a read barrier; the effects of this or a later input complete or fail it."""
         reads.request_read(self.state, request, now)
         return self.state.take_effects()
 
     def transfer_leadership(self, now: float) -> tuple[bool, Effects]:
-        """Begin to hand leadership over; False when there is nobody to hand it to."""
+        """Begin a leadership transfer; False when this member can't or no target exists."""
         begun = transfer.begin(self.state, now)
         return begun, self.state.take_effects()
 
     def synced(self, sequence: int, now: float) -> Effects:
-        """Note that all writes up to a sequence number are durable."""
+        """Record that all writes up to a sequence number are durable."""
         state = self.state
         state.writes.synced(sequence)
         if state.writes.all_synced():
@@ -200,15 +203,15 @@
         return state.take_effects()
 
     def snapshot_taken(self, index: int) -> Effects:
-        """Note a stored snapshot of this member's own state up to an applied index."""
+        """Record that a snapshot of this member's own state at an applied index is stored."""
         snapshots.taken(self.state, index)
         return self.state.take_effects()
 
     def snapshot_installed(self, meta: SnapshotMeta, now: float) -> Effects:
-        """Note that a received snapshot is stored and the state restored from it."""
+        """Record that a received snapshot is stored and the state machine restored from it."""
         snapshots.installed(self.state, meta, now)
         return self.state.take_effects()
 
     def holds_lease(self, now: float) -> bool:
-        """Tell whether this member leads and may answer reads at once."""
+        """Return whether this member leads and may answer reads without a quorum round."""
         return lease.holds_lease(self.state, now)
--- a/src/rainsail/consensus/core_state.py
+++ b/src/rainsail/consensus/core_state.py
@@ -1,4 +1,4 @@
-"""The volatile and durable state of one member, and the small operations that all parts share."""
+"""The volatile and durable state of one member, and the operations that all modules share."""
 
 import random as random_module
 from collections import deque
@@ -16,10 +16,10 @@
 
 
 class Role(StrEnum):
-    """What a member does now."""
+    """The role of a member in the consensus protocol."""
 
     EMPTY = "empty"
-    """No membership is known: it waits to be founded or to be added."""
+    """No membership is known: the member waits for the group's founding or to be added to it."""
     FOUNDER = "founder"
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -38,24 +38,24 @@
 
 
 class ProgressMode(StrEnum):
-    """How the leader feeds a follower."""
+    """How the leader replicates to a follower."""
 
     PROBE = "probe"
-    """One append at a time, until the logs are known to agree."""
+    """One append at a time, until the index at which the logs agree is known."""
     REPLICATE = "replicate"
     """Pipelined appends within the in-flight limit."""
     SNAPSHOT = "snapshot"
-    """The follower is behind the log: it gets the snapshot."""
+    """The follower needs entries that are already compacted, so it receives the snapshot."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one follower. Times are on the leader's monotonic clock."""
+    """Replication progress of one follower. Times are on the leader's monotonic clock."""
 
     next_index: int
     match_index: int = 0
     match_round: int = 0
-    """The leader's round when ``match_index`` was noted."""
+    """The leader's heartbeat round in which ``match_index`` was recorded."""
     mode: ProgressMode = ProgressMode.PROBE
     probe_sent: bool = False
     in_flight: deque[tuple[int, int]] = field(default_factory=deque)
@@ -67,7 +67,7 @@
     added_at_s: float = float("-inf")
 
     def reset_in_flight(self) -> None:
-        """Forget what was sent and not acknowledged."""
+        """Forget appends that were sent and not acknowledged."""
         self.in_flight.clear()
         self.in_flight_bytes = 0
 
@@ -78,7 +78,7 @@
 
 
 class WriteTracker:
-    """Which writes are synced: each batch of writes has a number, synced in order."""
+    """Tracks which writes are synced: batches of writes are numbered and synced in order."""
 
     def __init__(self, last_index: int) -> None:
         self.sequence = 0
@@ -86,34 +86,34 @@
         self._waiting: deque[tuple[int, int]] = deque()
 
     def wrote(self, last_index: int) -> int:
-        """Note a batch of writes after which the log ends at ``last_index``."""
+        """Record a batch of writes after which the log ends at ``last_index``."""
         self.sequence += 1
         self._waiting.append((self.sequence, last_index))
         return self.sequence
 
     def truncated_from(self, index: int) -> None:
-        """Entries from ``index`` on no longer count as synced."""
+        """Count entries from ``index`` on as not synced."""
         self.synced_index = min(self.synced_index, index - 1)
         self._waiting = deque((at, min(last, index - 1)) for at, last in self._waiting)
 
     def synced(self, sequence: int) -> None:
-        """Note that all batches up to a number are synced."""
+        """Record that all batches up to a number are synced."""
         while self._waiting and self._waiting[0][0] <= sequence:
             self.synced_index = max(self.synced_index, self._waiting.popleft()[1])
 
     def restart_at(self, index: int) -> None:
-        """The log now ends at ``index``, durably (behind an installed snapshot)."""
+        """Restart at an installed snapshot: the log durably ends at ``index``."""
         self.synced_index = index
         self._waiting = deque((at, index) for at, _ in self._waiting)
 
     def all_synced(self) -> bool:
-        """Tell whether no write is waiting for its sync."""
+        """Return whether no write is waiting for its sync."""
         return not self._waiting
 
 
 @dataclass(frozen=True, slots=True)
 class CommitMark:
-    """Where a leader's commit index stood when it began a round, on its monotonic clock."""
+    """A leader's commit index at the start of a heartbeat round, on its monotonic clock."""
 
     at_s: float
     index: int
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read barrier that waits for a round to be confirmed by a quorum."""
+    """A read barrier that waits for a quorum to confirm a heartbeat round."""
 
     request: int
     index: int
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinCandidate:
-    """An identity outside the group that called lately, under the name of a replica."""
+    """An identity outside the group that has sent Hello under a replica's name."""
 
     identity: str
     heard_at_s: float
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The chunks received so far of one leader's snapshot."""
+    """The chunks received so far of a leader's snapshot."""
 
     sender: str
     last_index: int
@@ -168,7 +168,11 @@
         now: float,
         started_s: float | None = None,
     ) -> None:
-        """``started_s`` is when the process began; it has promised nothing since before that."""
+        """Build the state of a member whose process started at ``started_s`` (None: at ``now``).
+
+        Any promise not to vote was made before that time, so the voting restriction after a
+        restart is measured from it.
+        """
         began_s = now if started_s is None else min(started_s, now)
         self.group = group
         self.replica = replica
@@ -185,8 +189,8 @@
         self.commit_index = log.base_index
         self.writes = WriteTracker(log.last_index)
         self.effects = Effects()
-        # A restarted member may have acknowledged a leader just before it stopped, so it keeps
-        # its vote back for a whole election timeout since its process began.
+        # A restarted member may have acknowledged a leader just before it stopped, so it
+        # withholds its vote for a whole election timeout after its process started.
         was_used = bool(log.membership.members) or hard_state.term > 0
         self.heard_leader_at_s = began_s if was_used else float("-inf")
         self.election_deadline_s = now
@@ -211,20 +215,20 @@
         self.snapshot_index = log.base_index
         self.join_candidates: dict[str, JoinCandidate] = {}
         self.contacts = tuple(name for name in bootstrap if name != replica)
-        """Replicas that are told this member's identity while it is outside the group."""
+        """Replicas that this member sends Hello to while it is outside the group."""
         self.target_voters = 0
-        """Voters that an open group keeps; 0 for a group that only its own replicas may join."""
+        """Intended number of voters of an open group; 0 when only its founders may join."""
         self.leaving: frozenset[str] = frozenset()
-        """Replicas that an open group is to do without, as soon as others hold its entries."""
+        """Replicas that an open group removes once enough other voters hold its entries."""
         self.reset_election_deadline(began_s)
 
     @property
     def membership(self) -> Membership:
-        """The latest membership in the log; it counts from when it is appended."""
+        """The latest membership in the log; it takes effect when it is appended."""
         return self.log.membership
 
     def change_role(self, role: Role) -> None:
-        """Take another role; a change that the table doesn't allow is a programming error."""
+        """Change the role; a change not in ``ALLOWED_ROLE_CHANGES`` is a programming error."""
         if role == self.role:
             return
         if role not in ALLOWED_ROLE_CHANGES[self.role]:
@@ -232,7 +236,7 @@
         self.role = role
 
     def progress_of(self, identity: str) -> Progress:
-        """Return the progress of a member, new ones starting at the end of the log."""
+        """Return a member's progress; a new member's starts at the end of the log."""
         progress = self.progress.get(identity)
         if progress is None:
             progress = Progress(next_index=self.log.last_index + 1)
@@ -240,17 +244,17 @@
         return progress
 
     def reset_election_deadline(self, now: float) -> None:
-        """Draw the next moment at which this member campaigns if it hears no leader."""
+        """Draw a randomised time at which this member campaigns unless it hears a leader."""
         timeout = self.settings.election_timeout_s
         spread = timeout * self.settings.election_timeout_spread
         self.election_deadline_s = now + timeout + self.random.random() * spread
 
     def send(self, replica: str, message: GroupMessage) -> None:
-        """Send at once."""
+        """Queue a message that need not wait for a sync."""
         self.effects.messages.append(Outgoing(replica, message))
 
     def send_after_sync(self, replica: str, message: GroupMessage) -> None:
-        """Send when everything written so far is synced."""
+        """Queue a message that leaves once everything written so far is synced."""
         self.effects.after_sync.append(Outgoing(replica, message))
 
     def save_hard_state(self, term: int, voted_for: str) -> None:
@@ -265,7 +269,7 @@
         self.effects.append.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that a leader has overruled; a committed one is never dropped."""
+        """Drop entries that conflict with a leader's log; committed entries are never dropped."""
         if index <= self.commit_index:
             raise AssertionError(f"truncation from {index} at commit {self.commit_index}")
         self.log.truncate_from(index)
@@ -279,7 +283,7 @@
             self.effects.commit_index = index
 
     def take_effects(self) -> Effects:
-        """Return what was gathered since the last call and number its writes."""
+        """Return the effects collected since the last call, with their writes numbered."""
         effects = self.effects
         self.effects = Effects()
         if effects.has_writes():
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -1,8 +1,8 @@
-"""Runs one member of a group: carries out what the consensus core decides.
+"""Runs one member of a group: carries out the effects that the consensus core returns.
 
-Owns the order in which effects are carried out, the member's wake-up timer, and the answers to
-proposals and reads. Relies on ``core`` for every decision, on ``sync_queue`` for writes, on
-``apply_loop`` for the state machine and on ``snapshot_worker`` for snapshots.
+The driver owns the order of effects, the member's timer, and the replies to proposals and reads.
+``core`` makes every decision, ``sync_queue`` writes, ``apply_loop`` runs the state machine, and
+``snapshot_worker`` handles snapshots.
 """
 
 from collections import deque
@@ -96,7 +96,7 @@
     # --- life cycle ----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to take messages and run timers."""
+        """Start to receive messages and run timers."""
         self._router.add(self.group, self._receive)
         self._arm()
 
@@ -115,7 +115,7 @@
         self._reads.fail_all(self._not_leader("consensus.read_barrier"))
 
     def on_fatal(self, listener: Callable[[Fault], None]) -> None:
-        """Call ``listener`` when this member had to stop: its storage can't be trusted."""
+        """Call ``listener`` when a fault stops this member, as when its storage is unreliable."""
         self._fatal_listeners.append(listener)
 
     def _fatal(self, fault: Fault) -> None:
@@ -128,13 +128,13 @@
     # --- the Group interface -------------------------------------------------------------
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, has applied its first entry and holds the lease."""
+        """Return whether this replica leads, has applied its first entry and holds the lease."""
         if self._stopped or not self._leadership.announced:
             return False
         return self.core.holds_lease(self._clock.seconds())
 
     def leader(self) -> str:
-        """Return the name of the leader as last heard of, or an empty string."""
+        """Return the name of the last known leader, or an empty string."""
         return self.core.state.leader_replica
 
     def term(self) -> int:
@@ -150,7 +150,7 @@
         self._leadership.listen(listener)
 
     def propose(self, command: Any) -> "Deferred[ProposalResult]":
-        """Commit and apply a command; fires with (index, outcome) or a fault."""
+        """Commit and apply a command; the Deferred fires with (index, outcome) or a fault."""
         return self._proposals.propose(command)
 
     def _not_leader(self, step: str) -> Fault:
@@ -166,26 +166,26 @@
         return done
 
     def status(self) -> GroupStatusReply:
-        """Return this replica's view of the group; only a leader's speaks of its health."""
+        """Return this replica's view of the group; only the leader can report its health."""
         revision = int(getattr(self._state_machine, "revision", 0))
         now = self._clock.seconds()
         return status_reply(self.core.state, self._applier.applied_index, revision, now)
 
     def transfer_leadership(self) -> "Deferred[Result[None, Fault]]":
-        """Hand leadership to the most advanced voter; fires when this replica leads no more."""
+        """Transfer leadership to the most advanced voter; fires when this replica stops leading."""
         step = "consensus.transfer_leadership"
         if self._stopped or self.core.state.role != Role.LEADER:
             return succeed(Error(self._not_leader(step)))
         begun, effects = self.core.transfer_leadership(self._clock.seconds())
         if not begun:
-            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter is there")))
+            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter to take over")))
         done: Deferred[Result[None, Fault]] = Deferred()
         self._leadership.call_when_ended(lambda: done.callback(Ok(None)))
         self._take(effects)
         return done
 
     def change_membership(self, membership: Membership) -> Fault | None:
-        """Propose a single-step membership change, or say why it can't be made now."""
+        """Propose a single-step membership change, or return why it is refused now."""
         fault, effects = self.core.change_membership(membership, self._clock.seconds())
         self._take(effects)
         return fault
@@ -193,11 +193,11 @@
     # --- open groups ---------------------------------------------------------------------
 
     def open_membership(self, contacts: tuple[str, ...], target_voters: int) -> None:
-        """Let replicas that were not founders join; ``contacts`` are those known by now."""
+        """Let replicas other than the founders join; ``contacts`` are the known replicas."""
         open_group.open_membership(self.core.state, contacts, target_voters)
 
     def set_leaving_replicas(self, replicas: frozenset[str]) -> None:
-        """Move the group off these replicas; a leader among them hands its leadership over."""
+        """Move the group off these replicas; a leader among them transfers its leadership."""
         self.core.state.leaving = replicas
 
     def members(self) -> Membership:
@@ -240,9 +240,9 @@
             self.change_membership(membership)
 
     def _leads_on_stalled_disk(self, now: float) -> bool:
-        """Tell whether the own disk finishes no sync while this member leads.
+        """Return whether this member leads while a sync of its disk is stalled.
 
-        Nothing new would be committed until another replica leads.
+        New proposals wait for that sync, so nothing new commits until another replica leads.
         """
         stalled = self._sync_stall_detector.is_stalled(self._sync_queue.running_sequence, now)
         return stalled and self.core.state.role == Role.LEADER
@@ -254,7 +254,7 @@
     # --- effects -------------------------------------------------------------------------
 
     def _take(self, effects: Effects) -> None:
-        """Carry effects out in order, also those that arise while others are carried out."""
+        """Carry effects out in order, including those that arise while others are carried out."""
         self._effects.append(effects)
         if self._taking:
             return
--- a/src/rainsail/consensus/effects.py
+++ b/src/rainsail/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What the consensus core asks its driver to do after each input."""
+"""The effects that the consensus core returns to its driver after each input."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message for a replica."""
+    """A message to send to a replica."""
 
     replica: str
     message: GroupMessage
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotOrder:
-    """Send one chunk of the stored snapshot to a member."""
+    """An instruction to send one chunk of the stored snapshot to a member."""
 
     replica: str
     identity: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstall:
-    """A snapshot received whole: store it, restore from it, then report it installed."""
+    """A completely received snapshot: store it, restore from it, then report it installed."""
 
     meta: SnapshotMeta
     chunks: tuple[bytes, ...]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read barrier is passed once ``index`` is applied."""
+    """A read barrier that completes once ``index`` is applied."""
 
     request: int
     index: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRefused:
-    """The chunks gathered from a leader are not the snapshot that it told of."""
+    """The chunks received from a leader don't match the checksum that it sent with them."""
 
     replica: str
     last_index: int
@@ -62,11 +62,11 @@
 
 @dataclass(slots=True)
 class Effects:
-    """The outcome of one input, in the order in which the driver must take it.
+    """The effects of one input, in the order in which the driver must carry them out.
 
-    The writes (truncate, append, hard state) are queued first; ``messages`` may go at once,
-    ``after_sync`` only when every write queued so far is synced. ``commit_index`` is what may
-    be applied. ``reads_failed`` lists barriers that end because leadership was lost.
+    The writes (truncate, append, hard state) are queued first. ``messages`` may be sent at once,
+    ``after_sync`` only after every write queued so far is synced. Entries up to ``commit_index``
+    may be applied. ``reads_failed`` lists barriers that fail because this member doesn't lead.
     """
 
     truncate_from: int | None = None
@@ -86,5 +86,5 @@
     snapshot_refused: SnapshotRefused | None = None
 
     def has_writes(self) -> bool:
-        """Tell whether there is anything to store."""
+        """Return whether there is anything to store."""
         return bool(self.append) or self.truncate_from is not None or self.hard_state is not None
--- a/src/rainsail/consensus/election.py
+++ b/src/rainsail/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, vote, and the rule by which a leader's voters keep their votes back."""
+"""Elections: pre-vote, vote, and the rule by which voters withhold votes during a lease."""
 
 from rainsail.consensus import following, leading
 from rainsail.consensus.core_state import CoreState, Role
@@ -12,7 +12,7 @@
 
 
 def campaign(state: CoreState, now: float) -> None:
-    """Start a pre-vote: ask whether a campaign could be won, without touching any term."""
+    """Start a pre-vote: ask whether a campaign could be won, without changing any term."""
     state.reset_election_deadline(now)
     if not state.membership.is_voter(state.identity):
         return
@@ -39,7 +39,7 @@
 
 
 def start_vote(state: CoreState, now: float, transfer: bool) -> None:
-    """Campaign in the next term; the requests leave when the vote for itself is synced."""
+    """Campaign in the next term; vote requests leave once this member's own vote is synced."""
     state.change_role(Role.CANDIDATE)
     state.reset_election_deadline(now)
     state.save_hard_state(state.term + 1, state.identity)
@@ -72,23 +72,23 @@
 
 
 def has_won(state: CoreState) -> bool:
-    """Tell whether a majority of the voters, by identity, has granted."""
+    """Return whether a majority of the voters, counted by identity, has granted its vote."""
     granted = [m for m in state.membership.voters() if state.votes.get(m.identity, False)]
     return len(granted) >= state.membership.quorum()
 
 
 def keeps_vote_back(state: CoreState, now: float) -> bool:
-    """Tell whether this member follows a live leader, whose lease its vote would break."""
+    """Return whether a vote by this member would break the lease of a live leader."""
     if state.role == Role.LEADER:
         return True
     return now - state.heard_leader_at_s < state.settings.election_timeout_s
 
 
 def may_still_vote(state: CoreState, message: VoteRequest, now: float) -> bool:
-    """Tell whether the vote of this term is free and no live leader's lease stands against it.
+    """Return whether this term's vote is unused and no live leader's lease forbids it.
 
-    A reply to an old question may have moved this member to the candidate's term while it still
-    follows the leader of the term before, whose lease counts on this member's vote.
+    A late reply may have moved this member to the candidate's term while it still follows the
+    leader of the previous term, whose lease relies on this member withholding its vote.
     """
     if state.voted_for == message.sender:
         return True
@@ -96,14 +96,14 @@
 
 
 def is_up_to_date(state: CoreState, last_index: int, last_term: int) -> bool:
-    """Tell whether a candidate's log holds at least what this member's log holds."""
+    """Return whether a candidate's log is at least as up to date as this member's log."""
     return (last_term, last_index) >= (state.log.last_term, state.log.last_index)
 
 
 def handle_pre_vote_request(
     state: CoreState, source: str, message: PreVoteRequest, now: float
 ) -> None:
-    """Answer whether this member would vote; nothing changes."""
+    """Reply whether this member would grant its vote; its state doesn't change."""
     granted = (
         message.proposed_term > state.term
         and not keeps_vote_back(state, now)
@@ -116,7 +116,7 @@
 
 
 def handle_pre_vote_reply(state: CoreState, message: PreVoteReply, now: float) -> None:
-    """Count a pre-vote; campaign for real when a majority would vote."""
+    """Count a pre-vote; start the vote when a majority has granted."""
     if message.term > state.term and not message.granted:
         following.become_follower(state, message.term, now)
         return
@@ -128,7 +128,7 @@
 
 
 def handle_vote_request(state: CoreState, source: str, message: VoteRequest, now: float) -> None:
-    """Give the vote of a term at most once; the answer leaves when the vote is synced."""
+    """Grant at most one vote per term; the reply leaves once the vote is synced."""
     if message.term > state.term:
         if not message.transfer and keeps_vote_back(state, now):
             return
@@ -147,7 +147,7 @@
 
 
 def handle_vote_reply(state: CoreState, message: VoteReply, now: float) -> None:
-    """Count a vote of this term."""
+    """Count a vote of this term; become leader on a majority."""
     if message.term > state.term:
         following.become_follower(state, message.term, now)
         return
@@ -159,7 +159,7 @@
 
 
 def handle_timeout_now(state: CoreState, message: TimeoutNow, now: float) -> None:
-    """Campaign at once for the leader that hands over."""
+    """Campaign without a pre-vote when the current leader transfers its leadership here."""
     if message.term != state.term or state.leader != message.sender:
         return
     if state.role != Role.FOLLOWER or not state.membership.is_voter(state.identity):
--- a/src/rainsail/consensus/following.py
+++ b/src/rainsail/consensus/following.py
@@ -1,10 +1,10 @@
-"""Following a leader: accepting one, and stepping down for one or for a later term."""
+"""Following: accepting a leader, and stepping down for a leader or a later term."""
 
 from rainsail.consensus.core_state import CoreState, Role
 
 
 def accept_leader(state: CoreState, source: str, term: int, sender: str, now: float) -> None:
-    """Follow the sender of a current append or snapshot."""
+    """Follow the sender of an append or snapshot chunk of a current term."""
     if term > state.term or state.role not in (Role.FOLLOWER, Role.EMPTY):
         become_follower(state, term, now)
     state.leader = sender
@@ -14,7 +14,7 @@
 
 
 def become_follower(state: CoreState, term: int, now: float) -> None:
-    """Follow in ``term`` (the current one or a later one)."""
+    """Become a follower in ``term``, the current one or a later one."""
     was_leader = state.role == Role.LEADER
     if term > state.term:
         state.save_hard_state(term, "")
@@ -30,7 +30,7 @@
 
 
 def end_leadership(state: CoreState) -> None:
-    """Forget what only a leader keeps, and fail the barriers that wait."""
+    """Clear the state that only a leader keeps, and fail the pending read barriers."""
     state.effects.leadership_lost = True
     state.effects.reads_failed += [read.request for read in state.reads]
     state.reads.clear()
--- a/src/rainsail/consensus/founding.py
+++ b/src/rainsail/consensus/founding.py
@@ -1,12 +1,12 @@
-"""Founding a group: once, by the first replica of the bootstrap list, with every one's vote.
+"""Founding a group: once, by the first replica of the bootstrap list, by unanimous vote.
 
-The founding is an election in which every bootstrap replica must grant, and only a replica with
-an empty log does. Once one replica holds the founding entry no second founding can succeed, so a
-replica that comes back with an empty disk can't start the group anew.
+Founding is an election in which every bootstrap replica must grant its vote, and only a replica
+with an empty log does. Once any replica holds the founding entry, no second founding can succeed,
+so a replica that returns with an empty disk can't found the group again.
 
-A founder asks again in the same term until a vote is refused, and stops for good once a replica
-says that the group exists: a term that grew meanwhile would depose the group's leader as soon as
-the returned replica is a learner.
+A founder repeats its request in the same term until a vote is refused. It stops for good once a
+replica replies that the group exists: otherwise its term would keep growing and depose the
+group's leader as soon as the returned replica is added as a learner.
 """
 
 from rainsail.consensus import following, leading
@@ -15,17 +15,17 @@
 
 
 def is_empty(state: CoreState) -> bool:
-    """Tell whether this replica's disk holds nothing of the group."""
+    """Return whether this replica's disk holds nothing of the group."""
     return state.log.last_index == 0 and not state.membership.members
 
 
 def is_founder(state: CoreState) -> bool:
-    """Tell whether this replica is the one that may found the group."""
+    """Return whether this replica is the one that may found the group."""
     return bool(state.bootstrap) and state.bootstrap[0] == state.replica
 
 
 def tick_empty(state: CoreState, now: float) -> None:
-    """Try to found the group, and make this replica's identity known."""
+    """Try to found the group, and announce this replica's identity."""
     state.election_deadline_s = now + state.settings.hello_period_s
     if is_founder(state) and not state.group_exists:
         ask_for_founding(state)
@@ -33,17 +33,18 @@
 
 
 def send_hello(state: CoreState) -> None:
-    """Tell the replicas that may know the group under which identity this one runs."""
+    """Announce this replica's identity to the replicas that may be members of the group."""
     for name in state.contacts:
         state.send(name, Hello(state.group, state.term, state.identity, "", state.replica))
 
 
 def ask_for_founding(state: CoreState) -> None:
-    """Ask every bootstrap replica for its vote, in a new term when a vote was refused."""
+    """Request every bootstrap replica's vote, in a new term when a vote was refused."""
     asks_again = state.role == Role.FOUNDER and not state.founding_refused
     state.change_role(Role.FOUNDER)
     if not asks_again:
-        # Also after a restart: this replica may have led the term already and lost its entries.
+        # A restart also starts a new term: this replica may have led the stored term already and
+        # lost its entries.
         state.founding_refused = False
         state.founding_votes = {}
         state.save_hard_state(state.term + 1, state.identity)
@@ -55,7 +56,7 @@
 
 
 def handle_request(state: CoreState, source: str, message: FoundingVoteRequest, now: float) -> None:
-    """Vote for a founding, only with an empty log and for the same list of names."""
+    """Vote for a founding only with an empty log and the same bootstrap list."""
     granted = False
     if is_empty(state) and message.replicas == state.bootstrap:
         if message.term > state.term:
@@ -76,7 +77,7 @@
 
 
 def handle_reply(state: CoreState, message: FoundingVoteReply, now: float) -> None:
-    """Count a founding vote; found the group when every name has granted."""
+    """Count a founding vote; found the group when all bootstrap replicas have granted."""
     if state.role != Role.FOUNDER:
         return
     if message.group_exists:
@@ -101,12 +102,12 @@
 
 
 def found_when_unanimous(state: CoreState, now: float) -> None:
-    """Found the group when every bootstrap name has an identity."""
+    """Found the group when every bootstrap replica has voted."""
     if all(name in state.founding_votes for name in state.bootstrap):
         leading.found_group(state, now)
 
 
 def handle_hello(state: CoreState, source: str, message: Hello, now: float) -> None:
-    """Remember which identity a replica of ours runs under now, for a repair."""
+    """Record the identity outside the group under which a replica runs, for a repair."""
     if message.replica == source and state.membership.find(message.sender) is None:
         state.join_candidates[source] = JoinCandidate(message.sender, now)
--- a/src/rainsail/consensus/group_placement.py
+++ b/src/rainsail/consensus/group_placement.py
@@ -1,4 +1,4 @@
-"""Which replicas keep which group, worked out alike by every process from the list of replicas."""
+"""Placement of groups on replicas, computed identically by every process from the replica list."""
 
 from rainsail.state.command_basics import GroupId
 
@@ -6,12 +6,12 @@
 def members_of_group(
     group: GroupId, replicas: tuple[str, ...], replicas_per_group: int
 ) -> tuple[str, ...]:
-    """Return the replicas that a group is founded with, its founder first.
+    """Return the replicas that found a group, the one that starts the founding first.
 
-    Neighbours in the list go together, each group beginning where the one before ends, so that
-    groups spread evenly over the replicas. Operators list replicas so that neighbours stand in
-    different zones. With no more replicas than a group needs, every group has all of them, each
-    with another founder.
+    A group takes consecutive replicas of the list and starts where the previous group ends, which
+    spreads groups evenly. Operators order the list so that neighbours are in different zones. If
+    there are no more replicas than a group needs, every group has all of them, and each group
+    starts at another replica.
     """
     count = min(replicas_per_group, len(replicas))
     step = count if count < len(replicas) else 1
--- a/src/rainsail/consensus/group_status.py
+++ b/src/rainsail/consensus/group_status.py
@@ -1,4 +1,4 @@
-"""What a replica says of its group: who leads, how far it is, whether it bears a loss."""
+"""Status messages of a group: leader, progress, health and tolerated losses."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class GroupHealth(StrEnum):
-    """Whether a group tolerates the losses that it is meant for."""
+    """Whether a group tolerates as many losses as it is configured for."""
 
     HEALTHY = "Healthy"
     DEGRADED = "Degraded"
@@ -31,7 +31,7 @@
 @wire_record("GroupStatusRequest")
 @dataclass(frozen=True, slots=True)
 class GroupStatusRequest:
-    """Ask a replica for its view of a group; every replica answers, leader or not."""
+    """Asks a replica for its view of a group; followers answer too."""
 
     group: GroupId
 
@@ -39,7 +39,10 @@
 @wire_record("GroupStatusReply")
 @dataclass(frozen=True, slots=True)
 class GroupStatusReply:
-    """The group's state; ``losses_borne`` is how many further losses keep a quorum."""
+    """A replica's view of its group.
+
+    ``losses_borne`` is how many more voters may be lost while a quorum remains.
+    """
 
     replica: str
     leader: str
--- a/src/rainsail/consensus/interface.py
+++ b/src/rainsail/consensus/interface.py
@@ -1,6 +1,6 @@
-"""What the control service sees of a replicated group.
+"""The interface of a replicated group towards the control service.
 
-``rainsail.consensus.driver.GroupDriver`` implements ``Group`` over the pure core
+``rainsail.consensus.driver.GroupDriver`` implements ``Group`` on top of the I/O-free core
 (``rainsail.consensus.core``), a ``GroupStorage`` and a ``Messenger``.
 """
 
@@ -21,17 +21,18 @@
     group: GroupId
 
     def is_leader(self) -> bool:
-        """Tell whether this replica is leader and holds the read lease now."""
+        """Return whether this replica is leader and holds the read lease now."""
         ...
 
     def leader(self) -> str:
-        """Return the name of the leader as last heard of, or an empty string."""
+        """Return the name of the last known leader, or an empty string."""
         ...
 
     def propose(self, command: Any) -> "Deferred[Result[tuple[int, Any], Fault]]":
-        """Commit and apply; fires with (index, outcome). Fault NOT_LEADER: not appended.
+        """Commit and apply a command; the Deferred fires with (index, outcome) or a fault.
 
-        Fault with outcome UNKNOWN: leadership was lost while the entry was under way.
+        A NOT_LEADER fault with outcome NOT_RUN: the command was not appended. Outcome UNKNOWN:
+        leadership was lost after it was appended, and it may still be committed.
         """
         ...
 
--- a/src/rainsail/consensus/leadership.py
+++ b/src/rainsail/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""Tells listeners when a member's leadership begins and ends."""
+"""Notification of listeners when a member's leadership begins and ends."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class Leadership:
-    """Whether the member's leadership has been announced, and to whom."""
+    """Tracks whether the member's leadership is announced, and notifies the listeners."""
 
     def __init__(self) -> None:
         self.announced = False
@@ -19,7 +19,7 @@
         self._listeners.append(listener)
 
     def call_when_ended(self, call: Callable[[], None]) -> None:
-        """Call once when leadership ends, also when it was never announced."""
+        """Call ``call`` once when leadership ends, even if it was never announced."""
 
         def ended(leads: bool) -> None:
             if not leads:
--- a/src/rainsail/consensus/leading.py
+++ b/src/rainsail/consensus/leading.py
@@ -1,4 +1,4 @@
-"""Becoming leader: of a term that was won, or of a group that is being founded."""
+"""Becoming leader, after a won election or when founding a group."""
 
 from rainsail.consensus import append_sending
 from rainsail.consensus.core_state import CoreState, Progress, Role
@@ -11,7 +11,7 @@
 
 
 def become_leader(state: CoreState, now: float) -> None:
-    """Lead the current term: append an entry of it and begin the first heartbeat round."""
+    """Lead the current term: append a no-op entry and start the first heartbeat round."""
     state.change_role(Role.LEADER)
     state.leader = state.identity
     state.leader_replica = state.replica
@@ -32,7 +32,7 @@
 
 
 def found_group(state: CoreState, now: float) -> None:
-    """Lead the founding term: the first entry binds every name to the identity that voted."""
+    """Found the group and lead it: entry 1 binds each replica name to the identity that voted."""
     members = [MemberSpec(name, state.founding_votes[name]) for name in state.bootstrap]
     payload = encode_membership(Membership(tuple(members)))
     state.append(LogEntry(1, state.term, payload))
--- a/src/rainsail/consensus/lease.py
+++ b/src/rainsail/consensus/lease.py
@@ -1,15 +1,15 @@
-"""The leader's read lease and its check that a quorum still follows it.
+"""The leader's read lease and quorum check.
 
-Voters that have answered a round keep their votes back for an election timeout from when they
-got it, which is later than when the round was sent. So no other leader can exist before the send
-time plus the election timeout; the lease ends earlier by the margin for clocks of unequal rate.
+A voter that answers a heartbeat round withholds its vote for an election timeout after receiving
+it, which is after the leader sent it. So no other leader can exist before the send time plus the
+election timeout. The lease ends earlier by a margin for clocks that run at different rates.
 """
 
 from rainsail.consensus.core_state import CommitMark, CoreState, Progress, Role
 
 
 def note_acknowledged(state: CoreState, progress: Progress, round: int, now: float) -> None:
-    """Note that a follower has answered a round."""
+    """Record that a follower has answered a heartbeat round."""
     progress.heard_at_s = now
     if round <= progress.acked_round:
         return
@@ -21,13 +21,16 @@
 
 
 def next_aligned_heartbeat_s(now: float, period_s: float) -> float:
-    """Return the next multiple of the period, so that all groups of a process beat together."""
+    """Return the next multiple of the heartbeat period.
+
+    All groups of a process then send heartbeats at the same moment, so the router can merge them.
+    """
     beat_s = (now // period_s + 1) * period_s
     return beat_s if beat_s - now > period_s / 1_000 else beat_s + period_s
 
 
 def forget_old_rounds(state: CoreState, now: float) -> None:
-    """Drop the send times that are too old to matter."""
+    """Drop the send times of rounds older than four election timeouts."""
     horizon = now - 4 * state.settings.election_timeout_s
     for round in list(state.round_sent_at_s):
         if state.round_sent_at_s[round] >= horizon:
@@ -36,7 +39,7 @@
 
 
 def mark_commit(state: CoreState, now: float) -> None:
-    """Keep where the commit index stood, back to one mark that is an election timeout old."""
+    """Record the commit index; keep marks back to one that is an election timeout old."""
     marks = state.commit_marks
     marks.append(CommitMark(now, state.commit_index))
     while len(marks) > 1 and now - marks[1].at_s >= state.settings.election_timeout_s:
@@ -58,7 +61,7 @@
 
 
 def holds_lease(state: CoreState, now: float) -> bool:
-    """Tell whether no other leader can exist now."""
+    """Return whether a quorum of lease promises rules out another leader now."""
     if state.role != Role.LEADER or state.transfer_target:
         return False
     horizon = now - state.settings.lease_s
@@ -67,7 +70,7 @@
 
 
 def answered_since(state: CoreState, identity: str, horizon: float) -> bool:
-    """Tell whether a member has answered a round sent after a time; the leader itself always."""
+    """Return whether a member has answered a round sent after ``horizon`` (the leader: always)."""
     if identity == state.identity:
         return True
     progress = state.progress.get(identity)
@@ -75,7 +78,7 @@
 
 
 def has_lost_quorum(state: CoreState, now: float) -> bool:
-    """Tell whether too few voters were heard of within an election timeout."""
+    """Return whether less than a quorum of voters has answered within an election timeout."""
     horizon = now - state.settings.election_timeout_s
     if state.leader_since_s > horizon:
         return False
@@ -84,7 +87,7 @@
 
 
 def heard_since(state: CoreState, identity: str, horizon: float) -> bool:
-    """Tell whether a member was heard of since a time; the leader hears itself."""
+    """Return whether a member has answered since ``horizon`` (the leader: always)."""
     if identity == state.identity:
         return True
     progress = state.progress.get(identity)
--- a/src/rainsail/consensus/listeners.py
+++ b/src/rainsail/consensus/listeners.py
@@ -1,7 +1,7 @@
-"""Tells listeners what has happened in a group, each whatever becomes of the others.
+"""Notification of a group's listeners, isolated from each other's failures.
 
-What a listener does is no part of the replicated state. One that fails must not keep the group from
-applying, answering or leading, nor the listeners behind it from being told.
+What a listener does is not part of the replicated state. If one raises, the group must still apply
+entries, answer and lead, and the remaining listeners must still be notified.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,7 +13,7 @@
 
 
 def notify_listeners(listeners: Iterable[Callable[[News], None]], news: News) -> None:
-    """Call every listener; log what one of them raises."""
+    """Call every listener; log exceptions that listeners raise."""
     for listener in list(listeners):
         try:
             listener(news)
--- a/src/rainsail/consensus/log_window.py
+++ b/src/rainsail/consensus/log_window.py
@@ -1,11 +1,11 @@
-"""The group's log in memory: the entries behind the last snapshot, and the memberships in it."""
+"""The in-memory log of a group: the entries after the compaction base, and their memberships."""
 
 from rainsail.consensus.membership import EMPTY_MEMBERSHIP, Membership, membership_of_payload
 from rainsail.storage.interface import LogEntry
 
 
 class LogWindow:
-    """Entries ``base_index + 1 .. last_index``; what is at or before the base is committed."""
+    """Entries ``base_index + 1 .. last_index``; entries up to the base are committed."""
 
     def __init__(
         self, base_index: int = 0, base_term: int = 0, membership: Membership = EMPTY_MEMBERSHIP
@@ -17,26 +17,26 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Return the index of the last entry, or of the base if there is none."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Return the term of the last entry, or of the base if there is none."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def membership(self) -> Membership:
-        """The latest membership in the log, committed or not."""
+        """Return the latest membership in the log, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """The index of the latest membership."""
+        """Return the index of the latest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership in force at an index of the window."""
+        """Return the membership in effect at an index of the window."""
         found = self._memberships[0][1]
         for at, membership in self._memberships:
             if at <= index:
@@ -44,7 +44,7 @@
         return found
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, or None when it is not in the window."""
+        """Return the term at an index, or None when the index is outside the window."""
         if index == self.base_index:
             return self.base_term
         position = index - self.base_index - 1
@@ -74,7 +74,7 @@
             self._memberships.pop()
 
     def slice(self, first: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries from ``first`` on, at least one if there is one, up to ``max_bytes``."""
+        """Return entries from ``first`` on, up to ``max_bytes`` but at least one if any exists."""
         position = first - self.base_index - 1
         taken = 0
         end = position
@@ -86,10 +86,10 @@
         return tuple(self._entries[position:end])
 
     def retained_from(self, index: int, max_entries: int, max_bytes: int) -> int:
-        """Return where to compact to when a snapshot holds everything up to ``index``.
+        """Return the index to compact to when a snapshot covers everything up to ``index``.
 
-        Some of the newest entries behind the snapshot stay, within both bounds, for followers that
-        are a little behind.
+        Some of the newest entries that the snapshot covers are retained, within both limits, so
+        that followers slightly behind need no snapshot.
         """
         keep_after = index
         kept_bytes = 0
@@ -101,7 +101,7 @@
         return keep_after
 
     def compact(self, index: int) -> None:
-        """Move the base up to ``index``; the entries up to it are dropped."""
+        """Advance the base to ``index`` and drop the entries up to it."""
         if index <= self.base_index:
             return
         term = self.term_at(index)
@@ -115,7 +115,7 @@
         self.base_term = term
 
     def reset(self, index: int, term: int, membership: Membership) -> None:
-        """Start anew behind a snapshot from elsewhere."""
+        """Drop all entries and restart the log after a received snapshot."""
         self._entries.clear()
         self.base_index = index
         self.base_term = term
--- a/src/rainsail/consensus/member_dependencies.py
+++ b/src/rainsail/consensus/member_dependencies.py
@@ -1,4 +1,4 @@
-"""What one member of a group is, and what it is given from outside."""
+"""The identity of one member of a group, and the dependencies injected into it."""
 
 import random as random_module
 from collections.abc import Callable
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupMember:
-    """Which member of which group this is.
+    """Identifies one member of one group.
 
-    ``identity`` is that of its disk: a replica that lost its disk is another member of the same
-    name. ``founders`` are the replicas that found the group when all of them are empty.
+    ``identity`` belongs to the disk: a replica that lost its disk becomes another member of the
+    same name. ``founders`` are the replicas that found the group when all of them are empty.
     """
 
     group: GroupId
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDependencies:
-    """The member's storage, state machine, clock, randomness and way to the other members.
+    """The storage, state machine, router, clock and random generator of a member.
 
-    ``encode_command`` makes the payload of a log entry of one of the group's commands.
-    ``process_started_s`` is when the process began, by ``clock``; None stands for now.
+    ``encode_command`` encodes a command of the group as the payload of a log entry.
+    ``process_started_s`` is when the process started, by ``clock``; None means now.
     """
 
     storage: GroupStorage
--- a/src/rainsail/consensus/member_log.py
+++ b/src/rainsail/consensus/member_log.py
@@ -1,4 +1,4 @@
-"""What a member tells the operator in its log."""
+"""Log lines of a consensus member for the operator."""
 
 from rainsail.consensus.effects import AcknowledgedLost, SnapshotRefused
 from rainsail.consensus.messages import GroupMessage
@@ -7,7 +7,7 @@
 
 
 def log_acknowledged_lost(lost: AcknowledgedLost) -> None:
-    """Say which disk has to be replaced."""
+    """Log which replica's disk has to be replaced."""
     logger.error(
         "{} lost entries that it had acknowledged as synced: it holds {} of {}; replace its disk",
         lost.replica,
@@ -17,9 +17,9 @@
 
 
 def log_snapshot_refused(refused: SnapshotRefused) -> None:
-    """Say which leader has sent something else than the snapshot it expected of."""
+    """Log which leader has sent chunks that don't match the checksum of its snapshot."""
     logger.error(
-        "snapshot at {} from {} refused: {} received, {} expected; it is asked for anew",
+        "snapshot at {} from {} refused: received {}, expected {}; requesting it again",
         refused.last_index,
         refused.replica,
         refused.received,
@@ -28,11 +28,11 @@
 
 
 def log_snapshot_unreadable(index: int, replica: str, fault: Fault) -> None:
-    """Say which snapshot can't be read."""
+    """Log which snapshot can't be read for which follower."""
     logger.error("snapshot at {} can't be read for {}: {}", index, replica, fault)
 
 
 def log_unknown_sender(source: str, message: GroupMessage) -> None:
-    """Say who speaks consensus without being one of the group's replicas."""
+    """Log a consensus message from a process that is no replica of the group."""
     detail = f"{type(message).__name__} from a process that is no replica of the group"
     logger.warning(str(Fault(FaultCode.FORBIDDEN, "consensus.receive", detail, source)))
--- a/src/rainsail/consensus/membership.py
+++ b/src/rainsail/consensus/membership.py
@@ -1,4 +1,4 @@
-"""The members of a group: who they are, who votes, what a quorum is."""
+"""Group membership: members, voters and quorum size."""
 
 from dataclasses import dataclass, replace
 
@@ -9,10 +9,7 @@
 @wire_type("MemberSpec")
 @dataclass(frozen=True, slots=True)
 class MemberSpec:
-    """One member: the replica's name, the identity of its data folder, whether it votes.
-
-    In a bootstrap list the identity is empty: it is bound when the group is founded.
-    """
+    """One member: the replica's name, the identity of its data folder, whether it votes."""
 
     replica: str
     identity: str
@@ -22,19 +19,19 @@
 @wire_record("Membership")
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """All members of a group, as one log entry's payload."""
+    """All members of a group; stored as the payload of one log entry."""
 
     members: tuple[MemberSpec, ...]
 
     def find(self, identity: str) -> MemberSpec | None:
-        """Return the member of an identity."""
+        """Return the member with an identity, or None."""
         for member in self.members:
             if member.identity == identity:
                 return member
         return None
 
     def named(self, replica: str) -> tuple[MemberSpec, ...]:
-        """Return the members of a replica name (two while one replaces the other)."""
+        """Return the members with a replica name (two while one replaces the other)."""
         return tuple(member for member in self.members if member.replica == replica)
 
     def voters(self) -> tuple[MemberSpec, ...]:
@@ -42,16 +39,16 @@
         return tuple(member for member in self.members if member.voter)
 
     def is_voter(self, identity: str) -> bool:
-        """Tell whether an identity votes."""
+        """Return whether an identity is a voting member."""
         member = self.find(identity)
         return member is not None and member.voter
 
     def quorum(self) -> int:
-        """Return how many voters are a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters()) // 2 + 1
 
     def with_learner(self, replica: str, identity: str) -> "Membership":
-        """Return the membership with one more learner."""
+        """Return the membership with an added learner (a member that doesn't vote)."""
         return Membership((*self.members, MemberSpec(replica, identity, voter=False)))
 
     def promoted(self, identity: str) -> "Membership":
@@ -67,7 +64,7 @@
         return Membership(tuple(m for m in self.members if m.identity != identity))
 
     def is_single_step_to(self, other: "Membership") -> bool:
-        """Tell whether at most one voter differs, so that all quorums of both overlap."""
+        """Return whether at most one voter differs, so that any two quorums of both overlap."""
         before = {member.identity for member in self.voters()}
         after = {member.identity for member in other.voters()}
         return len(before ^ after) <= 1 and bool(after)
@@ -83,7 +80,7 @@
 
 
 def membership_of_payload(payload: bytes) -> Membership | None:
-    """Return the membership in a payload, or None when it is another record."""
+    """Return the membership in a payload, or None when the payload is another record."""
     if not payload.startswith(_TYPE_PREFIX):
         return None
     return decode(payload)
--- a/src/rainsail/consensus/membership_change.py
+++ b/src/rainsail/consensus/membership_change.py
@@ -1,4 +1,4 @@
-"""Membership changes: one voter at a time, each as a log entry that counts once appended."""
+"""Membership changes: one voter at a time, as log entries that take effect when appended."""
 
 from rainsail.consensus import append_sending
 from rainsail.consensus.core_state import CoreState, Role
@@ -10,7 +10,7 @@
 
 
 def propose(state: CoreState, membership: Membership, now: float) -> Fault | None:
-    """Append a new membership, or say why it may not be appended now."""
+    """Append a new membership, or return why it may not be appended now."""
     fault = refusal(state, membership)
     if fault is not None:
         return fault
@@ -38,10 +38,10 @@
 
 
 def may_change(state: CoreState) -> bool:
-    """Tell whether the last change and an entry of this term are committed.
+    """Return whether the last change and an entry of this term are committed.
 
-    Without the entry of this term two leaders could each change one voter of the same old
-    membership, and end with quorums that don't overlap.
+    Without a committed entry of this term, two leaders could each change one voter of the same
+    old membership and end up with quorums that don't overlap.
     """
     return (
         state.commit_index >= state.log.membership_index
@@ -50,7 +50,7 @@
 
 
 def is_removed(state: CoreState) -> bool:
-    """Tell whether a leader is no voter any more by a committed change."""
+    """Return whether a committed change has removed this member from the voters."""
     if state.commit_index < state.log.membership_index:
         return False
     return not state.membership.is_voter(state.identity)
--- a/src/rainsail/consensus/messages.py
+++ b/src/rainsail/consensus/messages.py
@@ -1,7 +1,7 @@
 """The messages between the members of a group.
 
-Every message names its group, the sender's term, and the identities of sender and target. A
-replica whose identity is not the target's answers with ``Hello`` and does nothing else.
+Every message carries its group, the sender's term, and the identities of sender and target. A
+replica whose identity is not the target's replies with ``Hello`` and does nothing else.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 @wire_record("Hello")
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Says under which identity a replica runs that is in no group, or was mistaken for another."""
+    """Announces a replica's identity when it is no member, or was addressed by another identity."""
 
     group: GroupId
     term: int
@@ -27,7 +27,7 @@
 @wire_record("FoundingVoteRequest")
 @dataclass(frozen=True, slots=True)
 class FoundingVoteRequest:
-    """Asks every replica of the bootstrap list for its vote; only an empty replica gives it."""
+    """Requests a founding vote from a bootstrap replica; only an empty replica grants it."""
 
     group: GroupId
     term: int
@@ -39,9 +39,9 @@
 @wire_record("FoundingVoteReply")
 @dataclass(frozen=True, slots=True)
 class FoundingVoteReply:
-    """The vote, and the identity to be bound to the replica's name.
+    """The founding vote; ``sender`` is the identity to bind to the replica's name.
 
-    ``group_exists`` says that the sender holds something of the group: it was founded before.
+    ``group_exists`` means that the sender holds data of the group, so it was founded before.
     """
 
     group: GroupId
@@ -56,7 +56,7 @@
 @wire_record("PreVoteRequest")
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
-    """Asks whether a campaign in ``proposed_term`` could be won; changes nothing anywhere."""
+    """Asks whether a campaign in ``proposed_term`` could be won; changes no state."""
 
     group: GroupId
     term: int
@@ -70,7 +70,7 @@
 @wire_record("PreVoteReply")
 @dataclass(frozen=True, slots=True)
 class PreVoteReply:
-    """The answer; ``term`` is the voter's own."""
+    """The reply to a pre-vote request; ``term`` is the voter's own term."""
 
     group: GroupId
     term: int
@@ -83,7 +83,7 @@
 @wire_record("VoteRequest")
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Asks for the vote of ``term``. ``transfer``: the leader itself asked for this campaign."""
+    """Requests the vote of ``term``. ``transfer``: the leader itself started this campaign."""
 
     group: GroupId
     term: int
@@ -111,8 +111,8 @@
 class AppendRequest:
     """Entries after ``previous_index``; a heartbeat when there are none.
 
-    ``round`` numbers the leader's heartbeat rounds within its term; a reply to it proves that
-    the follower still followed this leader when the round was sent.
+    ``round`` numbers the leader's heartbeat rounds within its term. A reply with it proves that
+    the follower followed this leader after the round was sent.
     """
 
     group: GroupId
@@ -129,10 +129,11 @@
 @wire_record("AppendReply")
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """``match_index``: synced and equal to the leader's log up to here.
+    """The reply to an append.
 
-    When not accepted, ``previous_index`` is the one refused and ``match_index`` a hint where
-    the logs may still agree.
+    If accepted, the follower has synced the leader's log up to ``match_index``. If refused,
+    ``previous_index`` is that of the request, and ``match_index`` is a hint for the last index at
+    which the logs may agree.
     """
 
     group: GroupId
@@ -150,9 +151,9 @@
 class SnapshotChunk:
     """A piece of the leader's snapshot; ``offset`` counts chunks.
 
-    ``data`` is a chunk. ``whole`` is the sum of all chunks, told behind the last one by a leader
-    that has read its snapshot to the end. With neither the leader has nothing to send now, and
-    only shows that it is there.
+    ``data`` is a chunk. ``whole`` is the checksum of all chunks, sent after the last chunk by a
+    leader that has read its snapshot to the end. A message with neither is only a heartbeat: the
+    leader could not read the chunk.
     """
 
     group: GroupId
@@ -171,7 +172,7 @@
 @wire_record("SnapshotReply")
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
-    """How many chunks of which snapshot the follower has; the leader goes on from there."""
+    """How many chunks of which snapshot the follower has; the leader continues from there."""
 
     group: GroupId
     term: int
@@ -185,7 +186,7 @@
 @wire_record("TimeoutNow")
 @dataclass(frozen=True, slots=True)
 class TimeoutNow:
-    """Asks the target to campaign at once: leadership is handed to it."""
+    """Asks the target to campaign at once, to transfer leadership to it."""
 
     group: GroupId
     term: int
@@ -196,7 +197,7 @@
 @wire_record("MergedHeartbeats")
 @dataclass(frozen=True, slots=True)
 class MergedHeartbeats:
-    """The heartbeats, and the answers to some, of all groups that two processes share."""
+    """Heartbeats and append replies, from one process to another, of all groups they share."""
 
     requests: tuple[AppendRequest, ...]
     replies: tuple[AppendReply, ...]
--- a/src/rainsail/consensus/model_check.py
+++ b/src/rainsail/consensus/model_check.py
@@ -1,7 +1,7 @@
 """The randomised model check of the consensus core against its safety properties.
 
-Schedule ``i`` of seed ``s`` is the same as schedule 0 of seed ``s + i``, so that one violation can
-be run again alone.
+Schedule ``i`` of seed ``s`` equals schedule 0 of seed ``s + i``, so a single violation can be
+reproduced alone.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelViolation:
-    """A property that did not hold; run ``--schedules 1 --seed SEED`` to see it again."""
+    """A violated property; ``--schedules 1 --seed SEED`` reproduces it."""
 
     seed: int
     step: int
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class ModelCheckResult:
-    """What a model check has run and found."""
+    """The results of a model check."""
 
     schedules: int = 0
     coverage: Coverage = field(default_factory=Coverage)
@@ -32,7 +32,7 @@
 
 
 def run_schedule(seed: int, result: ModelCheckResult, steps: int = STEPS_PER_SCHEDULE) -> None:
-    """Run one schedule and add what it found."""
+    """Run one schedule and add its violation, if any, and its coverage to the result."""
     schedule = Schedule(seed)
     world = schedule.world
     try:
--- a/src/rainsail/consensus/model_coverage.py
+++ b/src/rainsail/consensus/model_coverage.py
@@ -1,11 +1,11 @@
-"""What the schedules of a model check have reached."""
+"""Coverage counters of a model check."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Coverage:
-    """How often what the schedules are about has happened: a check of nothing proves nothing."""
+    """How often each event of interest occurred, to show that the schedules exercise it."""
 
     steps: int = 0
     deliveries: int = 0
--- a/src/rainsail/consensus/model_member.py
+++ b/src/rainsail/consensus/model_member.py
@@ -1,4 +1,4 @@
-"""One member in the model check: the real core over a disk that forgets what is not synced."""
+"""One member in the model check: the real core on a disk that can lose unsynced writes."""
 
 import random as random_module
 from collections import deque
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Write:
-    """Writes of one input that wait for their sync, and the messages behind them."""
+    """Writes of one input that wait for their sync, and the messages to send after it."""
 
     sequence: int
     truncate_from: int | None
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class ModelDisk:
-    """What a member's disk holds durably."""
+    """The durable contents of a member's disk."""
 
     identity: str
     hard_state: HardState = HardState(0, "")
@@ -41,11 +41,11 @@
 
     @property
     def base_index(self) -> int:
-        """The last index covered by the snapshot."""
+        """Return the last index covered by the snapshot, 0 without one."""
         return self.snapshot.last_index if self.snapshot is not None else 0
 
     def is_blank(self) -> bool:
-        """Tell whether the disk holds nothing of the group."""
+        """Return whether the disk holds neither a snapshot nor entries."""
         return self.snapshot is None and not self.entries
 
     def write(self, write: Write) -> None:
@@ -57,7 +57,7 @@
             self.hard_state = write.hard_state
 
     def save_snapshot(self, meta: SnapshotMeta) -> None:
-        """Take a snapshot, dropping the log up to it, all of it when it does not continue it."""
+        """Store a snapshot and drop the log up to it, or all of the log if it doesn't match."""
         if meta.last_index <= self.base_index:
             return
         at = [e for e in self.entries if e.index == meta.last_index]
@@ -66,7 +66,7 @@
         self.snapshot = meta
 
     def log(self) -> LogWindow:
-        """Return the log as a restart reads it."""
+        """Return the log as a restarted member reads it."""
         log = LogWindow()
         if self.snapshot is not None:
             membership = membership_of_payload(self.snapshot.membership) or EMPTY_MEMBERSHIP
@@ -95,7 +95,7 @@
         self.install: SnapshotInstall | None = None
         self.reads: dict[int, int] = {}
         self.answered_leader_at_s = float("-inf")
-        """When it last answered a leader, on its own clock: for the check of its promise."""
+        """When it last answered a leader, on its own clock; checked when it votes."""
         self._names = names
         self._settings = settings
         self._random = random
@@ -103,7 +103,7 @@
         self._offset_s = random.random() * 1_000
 
     def now(self, time_s: float) -> float:
-        """Return the member's own monotonic time."""
+        """Return the member's own monotonic time at a real time."""
         return self._offset_s + time_s * self._rate
 
     def real_time(self, own_s: float) -> float:
@@ -111,7 +111,7 @@
         return (own_s - self._offset_s) / self._rate
 
     def leads(self) -> bool:
-        """Tell whether the member runs and believes that it leads."""
+        """Return whether the member runs and its core is in the leader role."""
         return self.core is not None and self.core.state.role == Role.LEADER
 
     def term(self) -> int:
@@ -119,7 +119,7 @@
         return self.core.state.term if self.core is not None else 0
 
     def start(self, time_s: float) -> None:
-        """Start the process on what the disk holds."""
+        """Start the process from the disk's contents."""
         self.core = ConsensusCore(
             GROUP,
             self.name,
@@ -133,7 +133,7 @@
         )
 
     def crash(self) -> None:
-        """Stop at once; some of the unsynced writes may have reached the disk, in order."""
+        """Crash; a random prefix of the unsynced writes may have reached the disk."""
         survive = self._random.randint(0, len(self.writes)) if self._random.random() < 0.3 else 0
         for _ in range(survive):
             self.disk.write(self.writes.popleft())
@@ -143,14 +143,14 @@
         self.core = None
 
     def lose_disk(self) -> None:
-        """Crash, and come back with an empty disk: a new identity."""
+        """Crash and replace the disk by an empty one with a new identity."""
         self.crash()
         self.generation += 1
         self.disk = ModelDisk(f"{self.name}.{self.generation}")
         self.answered_leader_at_s = float("-inf")
 
     def queue_writes(self, effects: Effects) -> list[Outgoing]:
-        """Queue the writes of an input; returns the messages that may leave now."""
+        """Queue the writes of an input; returns the messages that may be sent now."""
         if effects.has_writes():
             self.writes.append(
                 Write(
@@ -166,7 +166,7 @@
         return effects.messages + effects.after_sync
 
     def sync_next(self) -> tuple[int, list[Outgoing]]:
-        """Sync some of the queued writes; returns the last number and the freed messages."""
+        """Sync some of the queued writes; returns the last sequence and the released messages."""
         count = self._random.randint(1, len(self.writes))
         messages: list[Outgoing] = []
         sequence = 0
@@ -178,7 +178,7 @@
         return sequence, messages
 
     def snapshot_at(self, index: int) -> SnapshotMeta:
-        """Return the snapshot that the member would take at a committed index."""
+        """Return the metadata of the member's snapshot at a committed index."""
         assert self.core is not None
         log = self.core.state.log
         term = log.term_at(index)
@@ -186,7 +186,7 @@
         return SnapshotMeta(index, term, encode_membership(log.membership_at(index)))
 
     def forget_writes_to(self, index: int) -> None:
-        """Drop queued entries that a snapshot covers."""
+        """Drop queued entries up to an index, which a snapshot covers."""
         for position, write in enumerate(self.writes):
             entries = [entry for entry in write.entries if entry.index > index]
             self.writes[position] = replace(write, entries=entries)
--- a/src/rainsail/consensus/model_properties.py
+++ b/src/rainsail/consensus/model_properties.py
@@ -1,4 +1,4 @@
-"""The safety properties that a model check holds every step against."""
+"""The safety properties that a model check verifies at every step."""
 
 from dataclasses import dataclass, field
 
@@ -18,16 +18,17 @@
 
 @dataclass(slots=True)
 class SafetyProperties:
-    """What all members together have done so far, checked as it grows.
+    """The history of all members so far, checked as it grows.
 
     - one leader per term
-    - log matching: an index and a term name one entry, with one predecessor
+    - log matching: an index and a term identify one entry with one predecessor
     - state-machine safety: no two members commit different entries at one index
     - leader completeness: a new leader holds everything committed before
-    - lease promise: a member that has answered a leader keeps its vote back for a timeout
-    - durable acknowledgement: a member never lacks what it acknowledged as synced
+    - lease promise: a member that has answered a leader withholds its vote for a timeout
+    - durable acknowledgement: a member keeps everything it acknowledged as synced
     - whole snapshots: a member installs every chunk of a snapshot, in order
-    - no stale lease read: a member that would answer a read now knows every commit
+    - no stale read: a completed read barrier covers everything committed when it was requested
+    - no stale lease read: a leader with a lease knows of every commit
     """
 
     leaders: dict[int, str] = field(default_factory=dict)
@@ -43,7 +44,7 @@
             )
 
     def became_leader(self, state: CoreState) -> None:
-        """Check that the term has one leader and that it holds all that is committed."""
+        """Check that the term has one leader and that its log holds all committed entries."""
         known = self.leaders.setdefault(state.term, state.identity)
         if known != state.identity:
             raise PropertyViolation(
@@ -58,7 +59,7 @@
                 )
 
     def committed_to(self, state: CoreState, before: int) -> bool:
-        """Check a member's newly committed entries; True when the whole group's commit grew."""
+        """Check a member's newly committed entries; True if one is new for the whole group."""
         grew = False
         for index in range(before + 1, state.commit_index + 1):
             entry = state.log.entry(index)
@@ -76,7 +77,7 @@
         return grew
 
     def would_answer_reads(self, core: ConsensusCore, now: float) -> None:
-        """Check that a member holding a lease knows of every commit."""
+        """Check that a leader with a lease knows of every commit."""
         state = core.state
         if state.role != Role.LEADER or state.commit_index < state.term_start_index:
             return
@@ -88,7 +89,7 @@
             )
 
     def voted(self, state: CoreState, since_followed_s: float) -> None:
-        """Check a vote against the promise that a leader's lease counts on."""
+        """Check a vote against the promise that a leader's lease relies on."""
         if since_followed_s < state.settings.election_timeout_s:
             raise PropertyViolation(
                 "lease-promise",
@@ -97,7 +98,7 @@
             )
 
     def acknowledged_lost(self, replica: str, holds: int, acknowledged: int) -> None:
-        """A leader has noticed that a member lacks what it acknowledged."""
+        """Report that a leader has found a member without entries that it acknowledged."""
         raise PropertyViolation(
             "durable-acknowledgement", f"{replica} holds {holds} of {acknowledged} entries"
         )
@@ -105,14 +106,14 @@
     def installs(
         self, replica: str, chunks: tuple[bytes, ...], expected: tuple[bytes, ...]
     ) -> None:
-        """Check what a member is about to install."""
+        """Check the chunks that a member is about to install."""
         if chunks != expected:
             raise PropertyViolation(
                 "whole-snapshot", f"{replica} installs {chunks} in place of {expected}"
             )
 
     def read_answered(self, identity: str, index: int, needed: int) -> None:
-        """Check a read barrier against what was committed when it was asked for."""
+        """Check that a read barrier covers what was committed when it was requested."""
         if index < needed:
             raise PropertyViolation(
                 "stale-read", f"{identity} answers a read at {index}, {needed} was committed"
--- a/src/rainsail/consensus/model_schedule.py
+++ b/src/rainsail/consensus/model_schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules: which step comes next, and how rough the weather is."""
+"""Random schedules: the choice of the next step, and planned crashes and link cuts."""
 
 import random as random_module
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class Schedule:
-    """One random run of a world."""
+    """One random run of a group."""
 
     def __init__(self, seed: int) -> None:
         self._random = random_module.Random(f"schedule {seed}")
@@ -86,7 +86,7 @@
         return self._random.randint(1, 4 if soon else CRASH_DELAY_STEPS)
 
     def _cut_when_planned(self) -> None:
-        """Cut off the leader of the latest term, and end the cuts before."""
+        """Isolate the leader of the latest term, and end all earlier cuts."""
         if self._cut_in is None:
             return
         self._cut_in -= 1
@@ -104,7 +104,7 @@
         return max(leaders, key=lambda member: member.term()) if leaders else None
 
     def _crash_when_planned(self) -> None:
-        """Cut the power of the leader, now and then with another machine's."""
+        """Crash a leader, sometimes together with another member."""
         if self._crash_in is None:
             return
         self._crash_in -= 1
@@ -153,7 +153,7 @@
         self._world.deliver(message)
 
     def _slow_link(self) -> None:
-        """Hold back what one member sends to another, for some steps."""
+        """Hold back messages from one member to another for some steps."""
         source, target = self._random.sample(list(self._world.members), 2)
         until = self._world.coverage.steps + self._random.randint(10, SLOW_LINK_STEPS)
         self._slow_links.hold(source, target, until)
@@ -209,7 +209,7 @@
             self._crash(member)
 
     def _crash(self, member: ModelMember) -> None:
-        """Crash a member; what it had sent is lost with its connections, or arrives late."""
+        """Crash a member; its sent messages are lost with its connections or arrive late."""
         self._world.coverage.crashes_in_change += self._world.in_change()
         member.crash()
         if self._random.random() < 0.5:
@@ -217,7 +217,7 @@
         self._world.coverage.crashes += 1
 
     def _lose_disk(self) -> None:
-        """Lose a disk, but never so many that no copy of the group's state is left."""
+        """Lose a disk, but only while a majority of the disks keeps the group's state."""
         members = list(self._world.members.values())
         whole = [member for member in members if not member.disk.is_blank()]
         member = self._random.choice(members)
@@ -232,7 +232,7 @@
             member.start(self._world.time_s)
 
     def _lose_two_disks(self) -> None:
-        """Lose two disks shortly one after the other."""
+        """Lose two disks within a few steps."""
         self._lose_disk()
         for _ in range(self._random.randint(0, CRASH_DELAY_STEPS)):
             self._deliver()
--- a/src/rainsail/consensus/model_start.py
+++ b/src/rainsail/consensus/model_start.py
@@ -1,4 +1,4 @@
-"""The groups that schedules start from: sizes, clocks, timeouts, founded or not."""
+"""Initial groups of the schedules: sizes, clocks, timeouts, founded or not."""
 
 import random as random_module
 
@@ -9,7 +9,8 @@
 from rainsail.storage.interface import HardState, LogEntry
 
 CLOCK_RATE_SPREAD = 0.05
-"""Clocks run up to this share fast or slow: together just inside the default margin."""
+"""Clocks run fast or slow by up to this fraction; two clocks together stay just within the
+default ``clock_rate_margin``."""
 MEMBER_NAMES = "abcde"
 MODEL_SETTINGS = ConsensusSettings(
     heartbeat_period_s=0.3,
@@ -25,7 +26,7 @@
     hello_period_s=0.5,
 )
 CLOSE_TIMEOUTS = MODEL_SETTINGS.model_copy(update={"election_timeout_spread": 0.05})
-"""Members campaign at nearly the same time, so that candidates meet."""
+"""Settings with which members campaign at nearly the same time, so that candidates compete."""
 CLOSE_TIMEOUTS_SHARE = 0.3
 
 
@@ -36,7 +37,7 @@
 
 
 def new_world(random: random_module.Random, size: int) -> ModelWorld:
-    """Build a group, mostly founded already."""
+    """Build a group of running members, founded already in most cases."""
     names = tuple(MEMBER_NAMES[:size])
     members = {}
     settings = CLOSE_TIMEOUTS if random.random() < CLOSE_TIMEOUTS_SHARE else MODEL_SETTINGS
--- a/src/rainsail/consensus/model_weights.py
+++ b/src/rainsail/consensus/model_weights.py
@@ -1,11 +1,11 @@
-"""How rough a schedule is: the weights of its kinds of step."""
+"""Profiles of the schedules: the weights of their kinds of step and their fault probabilities."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class StepWeights:
-    """Weights of the kinds of step in one schedule."""
+    """The step weights and fault probabilities of one schedule, and its group sizes."""
 
     deliver: float
     sync: float
--- a/src/rainsail/consensus/model_world.py
+++ b/src/rainsail/consensus/model_world.py
@@ -1,4 +1,4 @@
-"""A group of real cores under random delivery, loss, crashes, cuts and clocks of unequal rate."""
+"""A group of real cores under random delivery, loss, crashes, link cuts and clock rates."""
 
 import random as random_module
 from dataclasses import dataclass, field
@@ -21,9 +21,9 @@
 
 SNAPSHOT_CHUNKS = 2
 READ_FAILURE_PROBABILITY = 0.1
-"""How often a leader can't read a chunk of its snapshot."""
+"""Probability that a leader can't read a chunk of its snapshot."""
 EARLY_END_PROBABILITY = 0.05
-"""How often a leader tells the end of its snapshot in place of a chunk."""
+"""Probability that a leader sends the checksum of its snapshot too early, instead of a chunk."""
 
 
 def snapshot_chunks(last_index: int) -> tuple[bytes, ...]:
@@ -32,7 +32,7 @@
 
 
 def snapshot_sum(last_index: int) -> SnapshotSum:
-    """Return the sum of the snapshot at an index."""
+    """Return the checksum of the snapshot at an index."""
     total = SnapshotSum()
     for chunk in snapshot_chunks(last_index):
         total = total.with_chunk(chunk)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """A message on its way."""
+    """A message in flight."""
 
     source: str
     outgoing: Outgoing
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class ModelWorld:
-    """The members, the messages between them, and the time."""
+    """The members, the messages in flight, the link cuts, and the time."""
 
     members: dict[str, ModelMember]
     random: random_module.Random
@@ -64,11 +64,11 @@
     # --- taking effects ------------------------------------------------------------------
 
     def running(self) -> list[ModelMember]:
-        """Return the members whose process runs."""
+        """Return the members whose process is running."""
         return [member for member in self.members.values() if member.core is not None]
 
     def take(self, member: ModelMember, effects: Effects, commit_before: int) -> None:
-        """Carry an input's effects out and hold them against the properties."""
+        """Carry out an input's effects and check them against the properties."""
         self._check(member, effects, commit_before)
         self.post(member, member.queue_writes(effects))
         for order in effects.snapshot_orders:
@@ -120,18 +120,18 @@
         self.properties.installs(member.name, install.chunks, expected)
 
     def post(self, member: ModelMember, messages: list[Outgoing]) -> None:
-        """Put messages on their way."""
+        """Put a member's messages in flight."""
         self.in_flight += [InFlight(member.name, outgoing) for outgoing in messages]
 
     def isolate(self, name: str) -> None:
-        """Cut a member off from all others, both ways."""
+        """Cut the links between a member and all others, in both directions."""
         for other in self.members:
             if other != name:
                 self.cuts[(name, other)] = None
                 self.cuts[(other, name)] = None
 
     def lose_sent_by(self, name: str) -> None:
-        """Drop what a member has sent and nobody has got yet."""
+        """Drop the messages in flight that a member has sent."""
         self.in_flight = [message for message in self.in_flight if message.source != name]
 
     def _send_snapshot(
@@ -159,7 +159,7 @@
         self.post(member, [Outgoing(replica, chunk)])
 
     def _read_piece(self, last_index: int, offset: int) -> SnapshotPiece | None:
-        """Return a piece of a snapshot; sometimes none, sometimes the end too early."""
+        """Return a piece of a snapshot; at random none, or the checksum too early."""
         drawn = self.random.random()
         if drawn < READ_FAILURE_PROBABILITY:
             self.coverage.readings_failed += 1
@@ -174,7 +174,7 @@
     # --- inputs --------------------------------------------------------------------------
 
     def deliver(self, message: InFlight) -> None:
-        """Hand a message to its target, if that runs and the link is whole."""
+        """Deliver a message to its target if that runs and the link is not cut."""
         member = self.members.get(message.outgoing.replica)
         if member is None or member.core is None:
             return
@@ -192,7 +192,7 @@
     def _check_vote_withheld(
         self, member: ModelMember, message: GroupMessage, vote_before: tuple[int, str], now: float
     ) -> None:
-        """A vote must not break the lease of a leader that the member has answered lately."""
+        """Check that a vote doesn't break the lease of a leader that the member has answered."""
         assert member.core is not None
         state = member.core.state
         if isinstance(message, AppendRequest | SnapshotChunk) and message.term == state.term:
@@ -203,7 +203,7 @@
             self.properties.voted(state, now - member.answered_leader_at_s)
 
     def tick(self, member: ModelMember) -> None:
-        """Let a member do what is due; a leader also takes the next step of a repair."""
+        """Run a member's due timers; a leader also takes the next step of a repair."""
         assert member.core is not None
         now = member.now(self.time_s)
         before = member.core.state.commit_index
@@ -213,7 +213,7 @@
             self.change_membership(member, membership)
 
     def sync(self, member: ModelMember) -> None:
-        """Complete a sync."""
+        """Complete a sync of some of a member's queued writes."""
         assert member.core is not None
         sequence, messages = member.sync_next()
         self.post(member, messages)
@@ -221,7 +221,7 @@
         self.take(member, member.core.synced(sequence, member.now(self.time_s)), before)
 
     def propose(self, member: ModelMember) -> None:
-        """Propose one or two numbered payloads at a member."""
+        """Propose one or two numbered payloads to a member."""
         assert member.core is not None
         payloads = []
         for _ in range(self.random.randint(1, 2)):
@@ -232,7 +232,7 @@
         self.take(member, effects, before)
 
     def read(self, member: ModelMember) -> None:
-        """Ask a member for a read barrier."""
+        """Request a read barrier from a member."""
         assert member.core is not None
         self.next_read += 1
         member.reads[self.next_read] = len(self.properties.committed)
@@ -240,7 +240,7 @@
         self.take(member, member.core.read(self.next_read, member.now(self.time_s)), before)
 
     def change_membership(self, member: ModelMember, membership: Membership) -> None:
-        """Propose a membership at a member."""
+        """Propose a membership to a member."""
         assert member.core is not None
         old = member.core.state.membership
         before = member.core.state.commit_index
@@ -257,12 +257,12 @@
         coverage.repairs_finished += any(new.named(member.replica) for member in gone)
 
     def in_change(self) -> bool:
-        """Tell whether some running member holds a membership that it has not committed."""
+        """Return whether any running member holds a membership that it has not committed."""
         cores = [member.core for member in self.running() if member.core is not None]
         return any(core.state.commit_index < core.state.log.membership_index for core in cores)
 
     def transfer(self, member: ModelMember) -> None:
-        """Let a member hand leadership over."""
+        """Have a member transfer its leadership."""
         assert member.core is not None
         before = member.core.state.commit_index
         begun, effects = member.core.transfer_leadership(member.now(self.time_s))
@@ -270,7 +270,7 @@
         self.take(member, effects, before)
 
     def take_snapshot(self, member: ModelMember) -> None:
-        """Let a member snapshot what it has committed."""
+        """Have a member take a snapshot at its commit index."""
         assert member.core is not None
         index = member.core.state.commit_index
         if index <= member.core.state.snapshot_index:
@@ -281,7 +281,7 @@
         self.take(member, member.core.snapshot_taken(index), before)
 
     def finish_install(self, member: ModelMember) -> None:
-        """Complete the storing of a received snapshot."""
+        """Complete the installation of a received snapshot."""
         assert member.core is not None and member.install is not None
         meta: SnapshotMeta = member.install.meta
         member.install = None
--- a/src/rainsail/consensus/proposal_queue.py
+++ b/src/rainsail/consensus/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Proposals of one member: gathered while a sync runs, appended as one batch behind it."""
+"""Batching of one member's proposals: queued while a sync runs, then appended together."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class ProposalQueue:
-    """What was proposed and is not appended yet."""
+    """The proposals that are not appended yet."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._stopped = False
 
     def propose(self, command: Any) -> "Deferred[ProposalResult]":
-        """Commit and apply a command; fires with (index, outcome) or a fault."""
+        """Commit and apply a command; the Deferred fires with (index, outcome) or a fault."""
         fault = self._refusal()
         if fault is not None:
             return succeed(Error(fault))
@@ -53,18 +53,18 @@
         return done
 
     def synced(self) -> None:
-        """Go on after a sync: what has gathered behind it may be appended."""
+        """Append the proposals that were queued during the sync that has just ended."""
         if self._waiting:
             self._plan_flush()
 
     def refuse_all(self) -> None:
-        """Answer what is not appended yet as not run."""
+        """Fail all proposals that are not appended yet as NOT_LEADER, outcome NOT_RUN."""
         waiting = self._waiting
         self._waiting = []
         self._refuse(waiting)
 
     def stop(self) -> None:
-        """Take nothing any more; what waits is answered as not run."""
+        """Refuse further proposals and fail the queued ones."""
         self._stopped = True
         self.refuse_all()
 
@@ -73,7 +73,7 @@
             return self._not_leader(STEP)
         limit = self._core.state.settings.max_waiting_proposals
         if self._applier.waiting + len(self._waiting) >= limit:
-            return Fault(FaultCode.OVERLOADED, STEP, "too many proposals under way")
+            return Fault(FaultCode.OVERLOADED, STEP, "too many pending proposals")
         return None
 
     def _plan_flush(self) -> None:
@@ -82,7 +82,7 @@
             self._clock.callLater(0, self._flush)
 
     def _flush(self) -> None:
-        """Append what was proposed; while a sync runs the next batch gathers behind it."""
+        """Append the queued proposals; while a sync runs, they stay queued for the next batch."""
         self._flush_planned = False
         if self._stopped or not self._waiting or self._sync_queue.busy:
             return
--- a/src/rainsail/consensus/read_barriers.py
+++ b/src/rainsail/consensus/read_barriers.py
@@ -1,4 +1,4 @@
-"""Read barriers of one member that wait for the core's word."""
+"""Pending read barriers of one member."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class ReadBarriers:
-    """Numbers each barrier and answers it when the core lets it pass or fails it."""
+    """Numbers each barrier and completes it when the core reports it ready or failed."""
 
     def __init__(self, applier: Applier) -> None:
         self._applier = applier
@@ -30,14 +30,14 @@
         return self._last, done
 
     def answer(self, effects: Effects, not_leader: Callable[[str], Fault]) -> None:
-        """Let barriers pass once their index is applied, or end them as not led here."""
+        """Complete ready barriers once their index is applied; fail the others as NOT_LEADER."""
         for ready in effects.reads_ready:
             self._applier.wait_applied(ready.index, self._open.pop(ready.request))
         for request in effects.reads_failed:
             self._open.pop(request).callback(Error(not_leader(STEP)))
 
     def fail_all(self, fault: Fault) -> None:
-        """End every barrier with a fault (the member has stopped)."""
+        """Fail every pending barrier, when the member has stopped."""
         waiting = self._open
         self._open = {}
         for done in waiting.values():
--- a/src/rainsail/consensus/reads.py
+++ b/src/rainsail/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Read barriers: under the lease at once, else after a round that a quorum confirms."""
+"""Read barriers: served at once under the lease, else after a quorum confirms a round."""
 
 from rainsail.consensus import append_sending, lease
 from rainsail.consensus.core_state import CoreState, PendingRead, Role
@@ -6,7 +6,7 @@
 
 
 def request_read(state: CoreState, request: int, now: float) -> None:
-    """Ask for an index that covers everything committed anywhere up to now."""
+    """Request an index that covers everything committed in the group up to now."""
     if state.role != Role.LEADER:
         state.effects.reads_failed.append(request)
         return
@@ -14,7 +14,7 @@
         state.effects.reads_ready.append(ReadReady(request, state.commit_index))
         return
     # Until an entry of this term is committed, the commit index may lag behind what an earlier
-    # leader has committed; the term's first entry covers all of that.
+    # leader has committed; the first entry of the term covers all of that.
     index = max(state.commit_index, state.term_start_index)
     if state.reads and state.round_sent_at_s.get(state.round) == now:
         state.reads.append(PendingRead(request, index, state.round))
--- a/src/rainsail/consensus/recovery.py
+++ b/src/rainsail/consensus/recovery.py
@@ -1,4 +1,4 @@
-"""Builds a member's log from its storage at the start."""
+"""Recovery of a member's log and state from its storage at start."""
 
 from rainsail.consensus.log_window import LogWindow
 from rainsail.consensus.membership import EMPTY_MEMBERSHIP, membership_of_payload
@@ -10,9 +10,9 @@
 
 
 def recover_log(storage: GroupStorage, state_machine: StateMachine) -> LogWindow:
-    """Restore the state machine from the snapshot, and read the log behind it.
+    """Restore the state machine from the snapshot, and read the log entries after it.
 
-    Raises ``RainsailError`` or ``CodecError`` when either can't be read to its end.
+    Raises ``RainsailError`` or ``CodecError`` when either can't be read completely.
     """
     log = LogWindow()
     meta = storage.snapshot_meta
--- a/src/rainsail/consensus/repair.py
+++ b/src/rainsail/consensus/repair.py
@@ -1,13 +1,13 @@
-"""Replacing a member whose disk is lost, one step at a time, decided on the leader.
+"""Replacement of a member that lost its disk, one step at a time, decided by the leader.
 
-A replica that returns with an empty disk says ``Hello`` under its new identity. When the member
-of its name has been unreachable for the stated time, the new identity is added as a learner, made
-a voter once it has caught up (what it acknowledges is synced), and only then the old identity
-leaves. Nothing else is repaired meanwhile.
+A replica that returns with an empty disk sends ``Hello`` under its new identity. When the member
+of its name has been unreachable for ``repair_after_s``, the new identity is added as a learner and
+promoted to voter once it has caught up (what it acknowledges is synced). Only then is the old
+identity removed. No other repair runs meanwhile.
 
-An open group (``target_voters`` is set) also takes in replicas that it was not founded with: while
-it has too few voters, in the place of a voter that is long gone, and in the place of one that is
-to leave. A voter is dropped only while more than the target stay.
+An open group (``target_voters`` is set) also adds replicas that didn't found it: while it has too
+few voters, and to replace voters that are past the repair timeout or are to leave. A voter is
+removed only while more than ``target_voters`` voters exist.
 """
 
 from rainsail.consensus import membership_change
@@ -17,7 +17,7 @@
 
 
 def next_membership(state: CoreState, now: float) -> Membership | None:
-    """Return the membership that the next step of a repair leads to, None when there is none."""
+    """Return the membership after the next repair step, or None if no step is due."""
     if state.role != Role.LEADER or state.transfer_target:
         return None
     if not membership_change.may_change(state):
@@ -35,9 +35,9 @@
 
 
 def after_learner(state: CoreState, learner: MemberSpec, now: float) -> Membership | None:
-    """Promote a caught-up learner, or drop one that has itself been replaced or is long gone.
+    """Promote a caught-up learner, or remove one that was replaced or is past the repair timeout.
 
-    A learner that went away for good must not stand in the way of other repairs.
+    A learner that is permanently lost must not block other repairs.
     """
     if not heard_recently(state, learner.identity, now):
         if sent_hello_recently(state, learner.replica, now) or is_past_repair_timeout(
@@ -51,7 +51,7 @@
 
 
 def replaced_member(state: CoreState) -> MemberSpec | None:
-    """Return the older of two voters of one name; the newer stands later in the list."""
+    """Return the older of two voters of one name; the newer one is later in the list."""
     for member in state.membership.voters():
         if state.membership.named(member.replica)[-1].identity != member.identity:
             return member
@@ -59,7 +59,7 @@
 
 
 def with_replacement_learner(state: CoreState, now: float) -> Membership | None:
-    """Add the new identity of a member that has been away for long."""
+    """Add the new identity of a member that is past the repair timeout as a learner."""
     for member in state.membership.voters():
         if not sent_hello_recently(state, member.replica, now):
             continue
@@ -70,9 +70,9 @@
 
 
 def surplus_voter(state: CoreState, now: float) -> MemberSpec | None:
-    """Return a voter that an open group does without: one that leaves or is long gone.
+    """Return a voter that an open group can remove: one to leave or past the repair timeout.
 
-    The leader itself leaves by handing its leadership over first.
+    The leader itself has to transfer its leadership before it can be removed.
     """
     voters = state.membership.voters()
     if not state.target_voters or len(voters) <= state.target_voters:
@@ -87,7 +87,7 @@
 
 
 def with_additional_learner(state: CoreState, now: float) -> Membership | None:
-    """Add a replica of another name to an open group that needs one more voter."""
+    """Add a replica of a new name, as a learner, to an open group that needs another voter."""
     if not state.target_voters or not needs_voter(state, now):
         return None
     for replica in sorted(state.join_candidates):
@@ -99,7 +99,7 @@
 
 
 def needs_voter(state: CoreState, now: float) -> bool:
-    """Tell whether fewer voters than intended are here to stay."""
+    """Return whether fewer than ``target_voters`` voters are expected to stay."""
     staying = [
         member
         for member in state.membership.voters()
@@ -110,7 +110,7 @@
 
 
 def sent_hello_recently(state: CoreState, replica: str, now: float) -> bool:
-    """Tell whether a replica has called lately under an identity outside the group."""
+    """Return whether a replica has recently sent Hello under an identity outside the group."""
     candidate = state.join_candidates.get(replica)
     if candidate is None or state.membership.find(candidate.identity) is not None:
         return False
@@ -118,7 +118,7 @@
 
 
 def is_past_repair_timeout(state: CoreState, identity: str, now: float) -> bool:
-    """Tell whether a member was not heard of for the repair time, as far as this leader knows."""
+    """Return whether this leader has not heard from a member for ``repair_after_s``."""
     progress = state.progress.get(identity)
     if identity == state.identity or progress is None:
         return False
@@ -127,7 +127,7 @@
 
 
 def heard_recently(state: CoreState, identity: str, now: float) -> bool:
-    """Tell whether a member has answered lately."""
+    """Return whether a member has answered within ``unreachable_after_s``."""
     progress = state.progress.get(identity)
     if progress is None:
         return False
@@ -135,9 +135,10 @@
 
 
 def is_caught_up(state: CoreState, identity: str) -> bool:
-    """Tell whether a learner holds, synced, all that is committed but for a short tail.
+    """Return whether a learner has synced all committed entries except for a short tail.
 
-    Short is a number of entries, or under load what was committed within an election timeout.
+    The tail is at most ``promotion_lag_entries`` long or, for a group under load, at most what was
+    committed within about an election timeout.
     """
     match_index = match_index_of(state, identity)
     if state.commit_index - match_index <= state.settings.promotion_lag_entries:
--- a/src/rainsail/consensus/router.py
+++ b/src/rainsail/consensus/router.py
@@ -1,6 +1,7 @@
-"""Hands the consensus messages of one process to the group that they name, and sends theirs.
+"""Routing of consensus messages between one process's groups and its peers.
 
-A process with several groups sends the heartbeats of one moment to one peer as one message.
+A process with several groups merges the heartbeats of one event-loop turn to a peer into one
+message.
 """
 
 from collections.abc import Callable
@@ -22,7 +23,7 @@
 
 
 class GroupRouter:
-    """Serves every consensus message type once per process, for all groups of it."""
+    """Handles every consensus message type for all groups of a process."""
 
     def __init__(self, messenger: Messenger, clock: Clock) -> None:
         self._messenger = messenger
@@ -34,7 +35,7 @@
         messenger.serve(MergedHeartbeats, self._deliver_merged)
 
     def add(self, group: GroupId, handler: GroupHandler) -> None:
-        """Hand messages of a group to ``handler``."""
+        """Deliver messages of a group to ``handler``."""
         self._handlers[group] = handler
 
     def remove(self, group: GroupId) -> None:
@@ -44,7 +45,7 @@
     # --- sending -------------------------------------------------------------------------
 
     def send(self, replica: str, message: GroupMessage) -> None:
-        """Send at once; with several groups a heartbeat waits for the others of this moment."""
+        """Send a message; with several groups, heartbeats are merged within this turn."""
         if len(self._handlers) < 2 or not is_heartbeat_or_reply(message):
             self._messenger.send(replica, message)
             return
@@ -76,14 +77,14 @@
 
 
 def is_heartbeat_or_reply(message: GroupMessage) -> TypeGuard[AppendRequest | AppendReply]:
-    """Tell whether a message is a heartbeat or answers an append: small, and fit to wait."""
+    """Return whether a message is a heartbeat or an append reply: small enough to merge."""
     if isinstance(message, AppendRequest):
         return not message.entries
     return isinstance(message, AppendReply)
 
 
 def merged(messages: list[AppendRequest | AppendReply]) -> MergedHeartbeats:
-    """Put the messages for one peer into one."""
+    """Merge the messages for one peer into one."""
     return MergedHeartbeats(
         tuple(each for each in messages if isinstance(each, AppendRequest)),
         tuple(each for each in messages if isinstance(each, AppendReply)),
--- a/src/rainsail/consensus/settings.py
+++ b/src/rainsail/consensus/settings.py
@@ -1,10 +1,10 @@
-"""Settings of a replicated group."""
+"""Settings of a replicated consensus group."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
 
 class ConsensusSettings(BaseModel):
-    """Times, sizes and limits of one replicated group; every member should have the same."""
+    """Times, sizes and limits of one replicated group; all members should use the same values."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -14,84 +14,93 @@
     election_timeout_s: float = Field(
         0.9,
         gt=0,
-        description="Seconds without a leader before a voter campaigns at the earliest, and for "
-        "which a voter that has heard a leader refuses its vote to others.",
+        description="Minimum seconds without a heartbeat before a voter campaigns. A voter that "
+        "has heard from a leader refuses its vote to other candidates for as long.",
     )
     election_timeout_spread: float = Field(
-        0.8, ge=0, description="Random part of the election timeout, as a share of it."
+        0.8,
+        ge=0,
+        description="Random addition to the election timeout, at most this fraction of it.",
     )
     clock_rate_margin: float = Field(
         0.1,
         ge=0,
         lt=1,
-        description="Share by which two replicas' monotonic clocks may differ in rate; the "
-        "leader's read lease is shorter than the election timeout by it.",
+        description="Fraction by which the monotonic clocks of two replicas may differ in rate. "
+        "The leader's read lease is shorter than the election timeout by this fraction.",
     )
     sync_stall_s: float = Field(
         1.0,
         gt=0,
-        description="A leader whose disk has been at one sync for this long hands leadership over.",
+        description="Seconds after which a leader with an unfinished disk sync transfers its "
+        "leadership.",
     )
     max_batch_bytes: int = Field(
-        256 * 1024, gt=0, description="Payload bytes in one append message at most."
+        256 * 1024,
+        gt=0,
+        description="Maximum payload bytes in one append message; a larger entry is sent alone.",
     )
     max_in_flight_bytes: int = Field(
         2 * 1024 * 1024,
         gt=0,
-        description="Payload bytes on their way to one follower and not acknowledged, at most.",
+        description="Payload bytes sent to one follower and not yet acknowledged at which the "
+        "leader stops sending.",
     )
     snapshot_log_bytes: int = Field(
         16 * 1024 * 1024,
         gt=0,
-        description="A snapshot is taken when the log since the last one holds this many bytes.",
+        description="Payload bytes in the log since the last snapshot at which the next is taken.",
     )
     snapshot_log_entries: int = Field(
         20_000,
         gt=0,
-        description="A snapshot is taken when the log since the last one holds this many entries.",
+        description="Entries in the log since the last snapshot at which the next is taken.",
     )
     snapshot_chunk_bytes: int = Field(
         128 * 1024,
         gt=0,
-        description="Accepted and not used: `state.snapshot_chunk_bytes` bounds a chunk.",
+        description="Accepted but not used: `state.snapshot_chunk_bytes` limits the chunk size.",
     )
     retained_entries: int = Field(
         5_000,
         ge=0,
-        description="Entries kept in memory behind a snapshot, for followers a little behind.",
+        description="Maximum entries covered by a snapshot that stay in memory, for followers "
+        "slightly behind.",
     )
     retained_bytes: int = Field(
         16 * 1024 * 1024,
         ge=0,
-        description="Payload bytes kept in memory behind a snapshot at most; with fewer entries "
-        "than that a follower that is behind gets the snapshot.",
+        description="Maximum payload bytes of entries covered by a snapshot that stay in memory. "
+        "A follower that needs older entries gets the snapshot.",
     )
     max_waiting_proposals: int = Field(
-        20_000, gt=0, description="Proposals under way before new ones are refused as overloaded."
-    )
-    max_apply_batch: int = Field(
-        500, gt=0, description="Entries applied before the reactor gets its turn."
+        20_000, gt=0, description="Pending proposals at which new ones are refused as overloaded."
     )
+    max_apply_batch: int = Field(500, gt=0, description="Maximum entries applied per reactor turn.")
     unreachable_after_s: float = Field(
-        2.0, gt=0, description="A member not heard of for this long shows as not reachable."
+        2.0, gt=0, description="Seconds without an answer after which a member is unreachable."
     )
     caught_up_entries: int = Field(
-        1_000, ge=0, description="Entries a voter may be behind the commit and count as sound."
+        1_000,
+        ge=0,
+        description="Entries a voter may lag behind the commit index and still count as healthy.",
     )
     promotion_lag_entries: int = Field(
-        100, ge=0, description="Entries a learner may be behind the commit when it is promoted."
+        100,
+        ge=0,
+        description="Entries a learner may lag behind the commit index when it is promoted.",
     )
     repair_after_s: float = Field(
         5.0,
         gt=0,
-        description="A member not reachable for this long is replaced when a replica of its name "
-        "returns with an empty disk.",
+        description="Seconds a member must be unreachable before a replica of its name that "
+        "returns with an empty disk replaces it.",
     )
     hello_period_s: float = Field(
-        0.5, gt=0, description="Seconds between two calls of a replica that has no group yet."
+        0.5, gt=0, description="Seconds between two Hello messages of a replica outside the group."
     )
 
     @property
     def lease_s(self) -> float:
-        """The read lease in seconds from the moment that a heartbeat round was sent."""
+        """Return the read lease in seconds, counted from the sending of a heartbeat round."""
         return self.election_timeout_s * (1 - self.clock_rate_margin)
--- a/src/rainsail/consensus/snapshot_sending.py
+++ b/src/rainsail/consensus/snapshot_sending.py
@@ -1,4 +1,4 @@
-"""The leader's side of snapshots: which chunk a follower gets next."""
+"""The leader's side of snapshot transfer: which chunk a follower gets next."""
 
 from rainsail.consensus import following, lease
 from rainsail.consensus.core_state import CoreState, Progress, ProgressMode, Role
@@ -8,7 +8,7 @@
 
 
 def order_chunk(state: CoreState, member: MemberSpec, progress: Progress, heartbeat: bool) -> None:
-    """Ask the driver for the follower's next chunk; a heartbeat repeats the last order."""
+    """Have the driver send the follower's next chunk; a heartbeat repeats the last order."""
     if progress.mode != ProgressMode.SNAPSHOT:
         progress.mode = ProgressMode.SNAPSHOT
         progress.snapshot_offset = 0
@@ -20,7 +20,7 @@
 
 
 def handle_reply(state: CoreState, message: SnapshotReply, now: float) -> None:
-    """Send the next chunk, or go back to appends when the snapshot is through."""
+    """Send the follower the chunk that it asks for next."""
     if message.term > state.term:
         following.become_follower(state, message.term, now)
         return
--- a/src/rainsail/consensus/snapshot_source.py
+++ b/src/rainsail/consensus/snapshot_source.py
@@ -1,4 +1,4 @@
-"""Reads the stored snapshot chunk by chunk for followers that are behind the log."""
+"""Reading of the stored snapshot, chunk by chunk, for followers that are behind the log."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class _Reading:
-    """One follower's place in the snapshot."""
+    """One follower's read position in the snapshot."""
 
     snapshot_index: int
     pieces: Iterator[SnapshotPiece]
@@ -22,23 +22,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceRead:
-    """A chunk, or behind the last one the sum of all; the sum's ``offset`` counts the chunks."""
+    """A chunk or, after the last one, the checksum of all; its offset is the chunk count."""
 
     offset: int
     piece: SnapshotPiece
 
 
 class SnapshotSource:
-    """Keeps one open reading per follower, so that chunks in sequence cost one read each."""
+    """Keeps one open reader per follower, so that consecutive chunks cost one read each."""
 
     def __init__(self, storage: GroupStorage) -> None:
         self._storage = storage
         self._readings: dict[str, _Reading] = {}
 
     def piece(self, snapshot_index: int, identity: str, offset: int) -> Result[PieceRead, Fault]:
-        """Return the piece at an offset of the current snapshot, or its sum when it is shorter.
+        """Return the piece at an offset of the current snapshot, or its checksum past the end.
 
-        A reading that fails is forgotten: the next call begins a new one.
+        A reader that fails is closed; the next call opens a new one.
         """
         try:
             return Ok(self._read(snapshot_index, identity, offset))
@@ -47,7 +47,7 @@
             return Error(error.fault)
 
     def forget(self, identity: str) -> None:
-        """Close a follower's reading."""
+        """Close a follower's reader."""
         self._readings.pop(identity, None)
 
     def _read(self, snapshot_index: int, identity: str, offset: int) -> PieceRead:
@@ -66,8 +66,8 @@
 
 
 def _next_piece(pieces: Iterator[SnapshotPiece]) -> SnapshotPiece:
-    """Return the next piece; a reading that ends before the sum has failed."""
+    """Return the next piece; a reader that ends before the checksum has failed."""
     piece = next(pieces, None)
     if piece is None:
-        raise not_whole("the reading ended before the snapshot did")
+        raise not_whole("the snapshot reader ended before the checksum")
     return piece
--- a/src/rainsail/consensus/snapshot_worker.py
+++ b/src/rainsail/consensus/snapshot_worker.py
@@ -1,4 +1,4 @@
-"""Takes, sends and installs snapshots for one member."""
+"""Snapshot I/O of one member: taking, sending and installing snapshots."""
 
 from collections.abc import Callable, Iterator
 
@@ -21,24 +21,24 @@
 from rainsail.wire.codec import CodecError
 
 TRANSFER_ACTIVE_S = 1.0
-"""A follower counts as being fed for this long after it asked for a further chunk: a newer
-snapshot would make it begin anew, and under steady load it would never be through."""
+"""A transfer counts as active for this long after a follower has requested a further chunk. A newer
+snapshot would restart the transfer, which under steady load would then never finish."""
 MAX_POSTPONE_FACTOR = 4
-"""While a follower is fed the next snapshot waits until the log has grown to so many times the
-usual size; then bounding the log goes first."""
+"""During an active transfer the next snapshot waits until the log has grown to this many times the
+usual size; beyond that, limiting the log takes precedence."""
 RETRY_AFTER_ENTRIES = 1_000
-"""Entries after a snapshot that could not be written until it is tried again."""
+"""Entries to apply after a failed snapshot before the next attempt."""
 READ_FAILURES_BEFORE_RENEWAL = 2
-"""A snapshot that can't be read for one follower so many times running counts as damaged: a new
-one, of the state in memory, takes its place. A single error of the disk costs another reading."""
+"""After this many consecutive read failures for one follower the snapshot counts as damaged, and a
+new one of the state in memory replaces it. A single disk error only causes another read."""
 MIN_ENTRIES_BETWEEN_RENEWALS = 1_000
-"""Entries between two such snapshots at least: on a bad disk the next may be damaged too."""
+"""Minimum entries between two such replacements: on a bad disk the next may be damaged too."""
 READ_FAILURE_LOG_INTERVAL_S = 10.0
-"""The operator is told of readings that fail this often at most."""
+"""Minimum interval between two log lines about read failures."""
 
 
 class SnapshotWorker:
-    """One snapshot at a time is written, either this member's own or a received one."""
+    """Writes one snapshot at a time, either this member's own or a received one."""
 
     def __init__(
         self,
@@ -74,17 +74,17 @@
 
     @property
     def installing(self) -> bool:
-        """Whether a received snapshot is being stored; nothing may be applied meanwhile."""
+        """Return whether a received snapshot is being stored; applying entries has to pause."""
         return self._core.state.installing
 
     def stop(self) -> None:
-        """Report nothing any more."""
+        """Stop reporting results."""
         self._stopped = True
 
     # --- own snapshots -------------------------------------------------------------------
 
     def take_when_due(self) -> None:
-        """Write a snapshot when the log since the last one has grown past the settings."""
+        """Write a snapshot if the log has outgrown its limits or a damaged one needs replacing."""
         applied = self._applier.applied_index
         if self._stopped or applied < self._retry_index or self._writing or self.installing:
             return
@@ -99,7 +99,7 @@
         self._encode_chunks(self._meta_at(applied), self._state_machine.snapshot(), [])
 
     def _is_due(self, times: int) -> bool:
-        """Tell whether the log has grown past so many times the settings."""
+        """Return whether the log has reached ``times`` the configured size limits."""
         settings = self._core.state.settings
         entries = self._applier.applied_index - self._last_index
         size = self._applier.bytes_since_snapshot
@@ -109,7 +109,7 @@
         )
 
     def _may_renew(self) -> bool:
-        """Tell whether a damaged snapshot is to be replaced, and there is a newer state for it."""
+        """Return whether a damaged snapshot is due for replacement and a newer state exists."""
         applied = self._applier.applied_index
         is_newer = applied > self._last_index
         return self._renewal_due and is_newer and applied >= self._next_renewal_index
@@ -117,7 +117,7 @@
     def _encode_chunks(
         self, meta: SnapshotMeta, rest: Iterator[bytes], chunks: list[bytes]
     ) -> None:
-        """Encode one chunk a reactor turn, so that heartbeats go out in between."""
+        """Encode one chunk per reactor turn, so that heartbeats are sent in between."""
         if self._stopped:
             return
         try:
@@ -144,7 +144,8 @@
         if self._stopped:
             return
         if result.is_error():
-            # The log is whole without it; a disk that can't be synced fails the next sync too.
+            # The log is complete without this snapshot, so the member goes on. If the disk can't
+            # be synced at all, the next sync of the log fails too.
             logger.warning("snapshot at {} not written: {}", meta.last_index, result.error)
             self._retry_index = self._applier.applied_index + RETRY_AFTER_ENTRIES
         else:
@@ -164,9 +165,9 @@
     def send_chunk(self, order: SnapshotOrder) -> None:
         """Send one chunk of the stored snapshot, unless leadership has ended meanwhile.
 
-        A chunk that can't be read doesn't end this member: what it has acknowledged is in its
-        memory, and may be whole nowhere else while a follower is behind. The follower hears of
-        its leader all the same, and the next heartbeat asks for the chunk again.
+        A chunk that can't be read doesn't stop this member: it still has the acknowledged state in
+        memory, possibly as the only complete copy while a follower is behind. The follower gets a
+        message without data as a heartbeat, and the next heartbeat retries the chunk.
         """
         meta = self._storage.snapshot_meta
         if self._core.state.role != Role.LEADER or meta is None:
@@ -201,7 +202,7 @@
         self._send([Outgoing(order.replica, message)])
 
     def _handle_read_failure(self, order: SnapshotOrder, meta: SnapshotMeta, fault: Fault) -> None:
-        """Tell the operator; have a snapshot replaced that fails again."""
+        """Log the failure; schedule a new snapshot when reads keep failing."""
         now = self._clock.seconds()
         if now - self._failure_logged_at_s >= READ_FAILURE_LOG_INTERVAL_S:
             self._failure_logged_at_s = now
@@ -213,12 +214,12 @@
             self._clock.callLater(0, self.take_when_due)
 
     def _forget_failures(self) -> None:
-        """Another snapshot is in place, of which no reading has failed yet."""
+        """Reset the failure counts, when a new snapshot is in place."""
         self._read_failures.clear()
         self._renewal_due = False
 
     def _note_progress(self, order: SnapshotOrder) -> None:
-        """Note that a follower has asked for more; one that doesn't answer is not being fed."""
+        """Record that a follower has requested a further chunk; repeated orders don't count."""
         if order.offset > self._requested_offsets.get(order.identity, 0):
             self._transfer_progress_at_s = self._clock.seconds()
         self._requested_offsets[order.identity] = order.offset
@@ -226,7 +227,7 @@
     # --- snapshots from the leader -------------------------------------------------------
 
     def install(self, install: SnapshotInstall) -> None:
-        """Store a received snapshot, behind the writes before it, then restore from it."""
+        """Store a received snapshot after the earlier writes are synced, then restore from it."""
         if self._writing:
             self._waiting_install = install
             return
--- a/src/rainsail/consensus/snapshots.py
+++ b/src/rainsail/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots at a member: gathered from the leader and installed, or taken of its own state."""
+"""Snapshots at a member: received from the leader and installed, or taken of its own state."""
 
 from rainsail.consensus import following
 from rainsail.consensus.core_state import CoreState, IncomingSnapshot, Role
@@ -10,7 +10,7 @@
 
 
 def handle_chunk(state: CoreState, source: str, message: SnapshotChunk, now: float) -> None:
-    """Take the next chunk; a snapshot that is whole is handed to the driver to be stored."""
+    """Take the next chunk; a complete snapshot is passed to the driver to be stored."""
     if message.term < state.term:
         reply(state, source, message, 0)
         return
@@ -31,7 +31,7 @@
 
 
 def incoming_for(state: CoreState, message: SnapshotChunk) -> IncomingSnapshot:
-    """Return the gathering of this snapshot, begun anew when it is another one."""
+    """Return the chunks received so far of the message's snapshot, empty for a new snapshot."""
     known = state.incoming
     key = (message.sender, message.last_index, message.last_term)
     if known is None or (known.sender, known.last_index, known.last_term) != key:
@@ -41,9 +41,9 @@
 
 
 def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotSum) -> None:
-    """Install what was gathered when it is the whole snapshot; otherwise begin anew.
+    """Install the received chunks if they match the checksum; otherwise drop them.
 
-    What is refused is not answered, so that the leader tries again with its next heartbeat.
+    A refusal gets no reply, so that the leader tries again with its next heartbeat.
     """
     incoming = incoming_for(state, message)
     state.incoming = None
@@ -57,16 +57,16 @@
 
 
 def is_whole(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
-    """Tell whether what was gathered is what the leader's snapshot holds on its disk."""
+    """Return whether the received chunks match the checksum of the leader's snapshot."""
     return incoming.received == expected
 
 
 def install(state: CoreState, message: SnapshotChunk, incoming: IncomingSnapshot) -> None:
-    """Hand over the whole snapshot; appends wait until it is stored.
+    """Pass the complete snapshot to the driver; appends wait until it is stored.
 
-    Nothing of the log goes before the snapshot is durable: what this member has acknowledged
-    may have been counted for a commit. The storage drops a log that lacks the snapshot's last
-    entry together with taking the snapshot up.
+    No log entry is dropped before the snapshot is durable, because entries that this member has
+    acknowledged may count towards a commit. A log that lacks the snapshot's last entry is dropped
+    by the storage in the same step that activates the snapshot.
     """
     state.installing = True
     meta = SnapshotMeta(message.last_index, message.last_term, message.membership)
@@ -74,7 +74,7 @@
 
 
 def reply(state: CoreState, source: str, message: SnapshotChunk, next_offset: int) -> None:
-    """Tell the leader where to go on."""
+    """Tell the leader which chunk to send next."""
     answer = SnapshotReply(
         state.group,
         state.term,
@@ -88,7 +88,7 @@
 
 
 def report_position(state: CoreState, source: str, leader: str, round: int) -> None:
-    """Tell the leader what is committed and synced here, so that it goes on from there."""
+    """Report the committed and synced index to the leader, so that it continues from there."""
     match_index = min(state.commit_index, state.writes.synced_index)
     answer = AppendReply(
         state.group, state.term, state.identity, leader, True, match_index, match_index, round
@@ -97,7 +97,7 @@
 
 
 def installed(state: CoreState, meta: SnapshotMeta, now: float) -> None:
-    """Take up the log behind a snapshot that the driver has stored and restored."""
+    """Compact or reset the log after the driver has stored and restored a snapshot."""
     state.installing = False
     if state.log.term_at(meta.last_index) == meta.last_term:
         state.log.compact(meta.last_index)
@@ -116,7 +116,7 @@
 
 
 def taken(state: CoreState, index: int) -> None:
-    """Compact the log behind a snapshot of this member's own, but for some recent entries."""
+    """Compact the log up to this member's own snapshot, except for some recent entries."""
     state.snapshot_index = index
     settings = state.settings
     log = state.log
--- a/src/rainsail/consensus/status.py
+++ b/src/rainsail/consensus/status.py
@@ -1,4 +1,4 @@
-"""The leader's view of its group as a status reply."""
+"""The status reply of a group: reachability, health and tolerated losses."""
 
 from rainsail.consensus.append_replies import match_index_of
 from rainsail.consensus.core_state import CoreState, Role
@@ -7,7 +7,10 @@
 
 
 def is_reachable(state: CoreState, member: MemberSpec, now: float) -> bool:
-    """Tell whether a member was heard of lately; a follower speaks for itself and its leader."""
+    """Return whether a member has answered recently.
+
+    A follower knows this only of itself and its leader.
+    """
     if member.identity == state.identity:
         return True
     if state.role != Role.LEADER:
@@ -18,7 +21,7 @@
 
 
 def losses_borne(state: CoreState, now: float) -> int:
-    """Return how many further voters may be lost while a caught-up majority stays."""
+    """Return how many more voters may be lost while a healthy majority remains."""
     if state.role != Role.LEADER:
         return 0
     healthy = [member for member in state.membership.voters() if is_healthy(state, member, now)]
@@ -26,7 +29,7 @@
 
 
 def is_healthy(state: CoreState, member: MemberSpec, now: float) -> bool:
-    """Tell whether a member is reachable, has its disk and has nearly everything synced."""
+    """Return whether a member is reachable, kept its disk and has synced nearly everything."""
     if has_lost_disk(state, member):
         return False
     lag = state.commit_index - match_index_of(state, member.identity)
@@ -34,7 +37,7 @@
 
 
 def has_lost_disk(state: CoreState, member: MemberSpec) -> bool:
-    """Tell whether a member's replica has called under a new identity since it last answered."""
+    """Return whether a member's replica has sent Hello as another identity since it answered."""
     candidate = state.join_candidates.get(member.replica)
     progress = state.progress.get(member.identity)
     if candidate is None or progress is None or candidate.identity == member.identity:
@@ -43,7 +46,7 @@
 
 
 def health(state: CoreState, now: float) -> GroupHealth:
-    """Return whether the group bears the losses it is meant for."""
+    """Return the group's health; only the leader can report anything but Degraded."""
     if state.role != Role.LEADER:
         return GroupHealth.DEGRADED
     members = state.membership.members
@@ -61,7 +64,7 @@
 def status_reply(
     state: CoreState, applied_index: int, revision: int, now: float
 ) -> GroupStatusReply:
-    """Build the reply; only a leader's speaks of health, another replica's says Degraded."""
+    """Build this replica's status reply."""
     members = tuple(
         MemberStatus(
             member.replica,
--- a/src/rainsail/consensus/sync_queue.py
+++ b/src/rainsail/consensus/sync_queue.py
@@ -1,4 +1,4 @@
-"""Keeps writes, syncs and the messages that must wait for them in order."""
+"""Ordering of writes, syncs and the messages that must wait for them."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class SyncQueue:
-    """Queues writes; one sync at a time, and what is written meanwhile shares the next one."""
+    """Runs one sync at a time; writes queued meanwhile share the next sync."""
 
     def __init__(
         self,
@@ -33,20 +33,20 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a sync is under way."""
+        """Return whether a sync is running."""
         return self._running
 
     @property
     def running_sequence(self) -> int:
-        """The number of the writes that the sync under way covers; 0 without one."""
+        """Return the last write sequence that the running sync covers; 0 if none runs."""
         return self._running_sequence if self._running else 0
 
     def stop(self) -> None:
-        """Send and report nothing any more."""
+        """Stop sending messages and reporting syncs."""
         self._stopped = True
 
     def submit(self, effects: Effects) -> None:
-        """Queue the writes of one input, and its messages behind them."""
+        """Queue the writes of one input, and the messages to send after their sync."""
         if effects.has_writes():
             try:
                 self._write(effects)
--- a/src/rainsail/consensus/sync_stall_detector.py
+++ b/src/rainsail/consensus/sync_stall_detector.py
@@ -1,8 +1,8 @@
-"""Tells when a disk has stopped finishing syncs: pure, the time is handed in."""
+"""Detection of stalled syncs; it does no I/O, the caller passes the time."""
 
 
 class SyncStallDetector:
-    """Watches the number of the sync under way; a sync that neither ends nor fails is stalled."""
+    """Detects a running sync that neither ends nor fails within a limit."""
 
     def __init__(self, limit_s: float) -> None:
         self._limit_s = limit_s
@@ -10,7 +10,10 @@
         self._since_s = 0.0
 
     def is_stalled(self, sequence: int, now: float) -> bool:
-        """Tell whether the sync ``sequence`` (0: none) has been seen under way for too long."""
+        """Return whether the running sync ``sequence`` (0: none) has exceeded the limit.
+
+        The time is counted from the first call with that sequence.
+        """
         if sequence != self._sequence:
             self._sequence = sequence
             self._since_s = now
--- a/src/rainsail/consensus/transfer.py
+++ b/src/rainsail/consensus/transfer.py
@@ -1,6 +1,6 @@
-"""Handing leadership over: stop taking proposals, catch the target up, let it campaign.
+"""Leadership transfer: stop taking proposals, bring the target up to date, let it campaign.
 
-Once a transfer has begun the leader never uses its read lease again in this term, because the
+Once a transfer has begun, the leader doesn't use its read lease again in this term, because the
 target's campaign asks voters to vote although they follow a live leader. If the target has not
 taken over within an election timeout, the old leader steps down.
 """
@@ -11,7 +11,7 @@
 
 
 def begin(state: CoreState, now: float) -> bool:
-    """Begin to hand over to the most advanced voter; False when there is none."""
+    """Begin a transfer to the most advanced voter; False when not leading or without a target."""
     if state.role != Role.LEADER:
         return False
     if state.transfer_target:
@@ -27,7 +27,7 @@
 
 
 def most_advanced_voter(state: CoreState) -> str:
-    """Return the identity of the other voter that holds most of the log (empty: none)."""
+    """Return the identity of the other voter with the highest match index, empty if none."""
     best = ""
     best_index = -1
     for member in state.membership.voters():
@@ -39,7 +39,7 @@
 
 
 def continue_when_ready(state: CoreState) -> None:
-    """Tell the target to campaign once it holds the whole log."""
+    """Send ``TimeoutNow`` to the target once it holds the whole log."""
     progress = state.progress.get(state.transfer_target)
     member = state.membership.find(state.transfer_target)
     if progress is None or member is None or state.transfer_sent:
@@ -53,6 +53,6 @@
 
 
 def tick(state: CoreState, now: float) -> None:
-    """Step down when the target has not taken over in time."""
+    """Step down when the target has not taken over before the deadline."""
     if state.transfer_target and now >= state.transfer_deadline_s:
         following.become_follower(state, state.term, now)
--- a/src/rainsail/consensus/wake_timer.py
+++ b/src/rainsail/consensus/wake_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of a member, due when its core has something to do."""
+"""The timer of a member, due when its core has something to do."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 class WakeTimer:
-    """Calls ``wake`` at the earliest moment asked for; a later moment is asked for in vain."""
+    """Calls ``wake`` at the earliest requested time; requests for a later time are ignored."""
 
     def __init__(self, clock: Clock, wake: Callable[[], None]) -> None:
         self._clock = clock
@@ -16,7 +16,7 @@
         self._due_s = float("inf")
 
     def arm(self, due_s: float) -> None:
-        """Wake at ``due_s`` of the clock at the latest."""
+        """Wake at the clock time ``due_s`` or earlier."""
         if self._timer is not None and self._timer.active():
             if self._due_s <= due_s:
                 return
@@ -26,7 +26,7 @@
         self._timer = self._clock.callLater(delay_s, self._fire)
 
     def cancel(self) -> None:
-        """Wake no more until armed again."""
+        """Cancel the pending wake-up until the timer is armed again."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
