--- a/features/consensus/failures.feature
+++ b/features/consensus/failures.feature
@@ -1,44 +1,44 @@
-Feature: A consensus group bears each failure, and any two of them on different machines
+Feature: A consensus group survives each failure, and any two failures on different machines
 
   Scenario Outline: One failure, at the leader or at a follower
-    Then a consensus group bears "<fault>" at the leader and at a follower
+    Then a consensus group survives "<fault>" at the leader and at a follower
 
     Examples:
-      | fault                  |
-      | power cut              |
-      | cut off in silence     |
-      | can hear but not speak |
-      | frozen                 |
-      | disk lost              |
-      | sync fails             |
-      | disk full              |
-      | disk slow              |
-      | bit flipped            |
-      | network lossy          |
-      | clock fast             |
+      | fault                      |
+      | power cut                  |
+      | cut off by dropped packets |
+      | can receive but not send   |
+      | frozen                     |
+      | disk lost                  |
+      | sync fails                 |
+      | disk full                  |
+      | disk slow                  |
+      | bit flipped                |
+      | network lossy              |
+      | clock fast                 |
 
   Scenario: Any two failures
-    Then a consensus group bears every pair of its failures, one of them at the leader
+    Then a consensus group survives every pair of its failures, one of them at the leader
 
-  Scenario: What is acknowledged is synced by a quorum
+  Scenario: Acknowledged entries are synced by a quorum
     Then a consensus group's power cut during a slow sync, with the leader cut off, loses nothing
 
-  Scenario: The check of that notices an acknowledgement before the sync
+  Scenario: The check detects an acknowledgement that precedes the sync
     Given the consensus group has the defect "ack-before-sync"
     Then a consensus group's power cut during a slow sync, with the leader cut off, is noticed
 
-  Scenario: A failed sync ends the member, and it never acknowledges what was behind it
+  Scenario: A failed sync stops the member, which never acknowledges the writes of that sync
     Given a consensus group of 3 replicas
     And 5 numbers are committed in the consensus group
     When the syncs of the consensus group's leader fail and a number is proposed there
-    Then the proposal at the consensus group's old leader ends as unknown, not as done
+    Then the proposal at the consensus group's old leader ends with an unknown outcome
     And the old leader of the consensus group has stopped with a storage fault naming the file
     And the other replicas of the consensus group elect a leader and commit
 
-  Scenario: A sync that lies and a power cut lose nothing while the others live
+  Scenario: A falsely reported sync and a power cut lose nothing while the other replicas run
     Given a consensus group of 5 replicas
     And 5 numbers are committed in the consensus group
-    When the syncs of a consensus group's follower lie while 10 numbers are committed
+    When the disk of a consensus group's follower reports syncs that it doesn't do while 10 numbers are committed
     And that follower of the consensus group loses power and starts again
     Then every replica of the consensus group applies all of them
     And the consensus group's leader has reported that follower's lost entries
@@ -49,7 +49,7 @@
     Then that follower of the consensus group has not started, and the fault names both fleets
     And 5 numbers are committed in the consensus group
 
-  Scenario: A slow follower is fed within its bound of bytes
+  Scenario: A slow follower gets at most the configured bytes in flight
     Given a consensus group of 3 replicas with 2000 bytes in flight at most
     When a follower of the consensus group answers after 2 seconds
     And 300 numbers are proposed to the consensus group's leader in batches of 20
--- a/features/consensus/log.feature
+++ b/features/consensus/log.feature
@@ -1,4 +1,4 @@
-Feature: The consensus log in memory agrees with a plain list under any operations
+Feature: The in-memory consensus log agrees with a plain list under any operations
 
   Scenario: Appends, truncations, compactions and resets
     Then under any operations the consensus log agrees with a list of entries and memberships
--- a/features/consensus/model_check.feature
+++ b/features/consensus/model_check.feature
@@ -1,6 +1,6 @@
 Feature: The consensus core keeps its safety properties under random schedules
 
-  Scenario: Fixed seeds find nothing, and reach what they are about
+  Scenario: Fixed seeds find no violation and cover the events of interest
     When the model check runs 350 schedules from seed 1000
     Then the model check finds no violation
     And the model check has reached at least:
@@ -36,8 +36,8 @@
       | half-snapshot          | 1    | 60        | whole-snapshot          |
       | commit-older-term      | 41   | 60        | leader-completeness     |
 
-  Scenario: A vote in a term learned in passing is found
-    Given a consensus core that votes in any term that it has learned in passing
+  Scenario: The check finds a vote that breaks the lease in the member's own term
+    Given a consensus core that ignores a live leader's lease when it is in the candidate's term
     When the model check runs up to 30 schedules from seed 1060
     Then the model check finds a violation of "lease-promise"
 
--- a/features/consensus/repair.feature
+++ b/features/consensus/repair.feature
@@ -1,22 +1,22 @@
-Feature: A lost disk is repaired by itself, and status tells the truth meanwhile
+Feature: A lost disk is repaired automatically, with a correct status meanwhile
 
-  Scenario: A replica whose disk was lost comes back as another identity, learner first
+  Scenario: A replica whose disk was lost returns with a new identity, first as a learner
     Given a consensus group of 5 replicas that repairs after 3 seconds
     And 60 numbers are committed in the consensus group
     When a replica of the consensus group loses its disk and starts again
-    Then the consensus group adds no newcomer for 3 seconds
+    Then the consensus group adds no new member for 3 seconds
     And the consensus group's memberships go through learner, voter beside the old one, old one gone
-    And the newcomer held everything committed when the consensus group made it a voter
+    And the new member held everything committed when the consensus group promoted it
     And every replica of the consensus group applies all of them
 
-  Scenario: An empty disk doesn't vote as the identity before it
+  Scenario: A replica with an empty disk doesn't vote under its previous identity
     Given a consensus group of 3 replicas that repairs after 60 seconds
     And 5 numbers are committed in the consensus group
-    When a follower of the consensus group is cut off in silence
+    When a follower of the consensus group is cut off by dropped packets
     And 5 numbers are committed in the consensus group
-    And the other two replicas of the consensus group change places: one loses its disk, one its power
+    And the other two replicas of the consensus group fail: one loses its disk, one its power
     And the cut-off replica of the consensus group is connected again
-    Then the consensus group elects nobody for 30 seconds
+    Then the consensus group elects no leader for 30 seconds
     When the crashed replica of the consensus group starts again
     Then every replica of the consensus group that kept its disk applies all of them
 
@@ -40,18 +40,18 @@
       | 3        | 1    |
       | 5        | 2    |
 
-  Scenario Outline: A repair comes to its end under steady load
+  Scenario Outline: A repair finishes under steady load
     Given a consensus group of 3 replicas that snapshots every <entries> entries, with load and syncs of <sync> ms
     When a replica of the consensus group loses its disk and starts again
     Then the consensus group never has two learners, and is healthy within 30 seconds
     And the consensus group's load went on all the time
 
-    Examples: a snapshot is due again and again, or the learner is always some entries behind
+    Examples: frequent snapshots, or a learner that always lags by some entries
       | entries | sync |
       | 100     | 2    |
       | 10000   | 50   |
 
-  Scenario: A learner that goes away for good does not stand in the way of other repairs
+  Scenario: A permanently lost learner doesn't block other repairs
     Given a consensus group of 5 replicas that repairs after 3 seconds
     And 60 numbers are committed in the consensus group
     When a replica of the consensus group loses its disk, and its successor dies as a learner
@@ -67,8 +67,8 @@
     Then the consensus group never has two learners, and is healthy within 30 seconds
     And every replica of the consensus group applies all of them
 
-  Scenario: The losses that status says can be borne are borne, and not one more
-    Then at every stage of a consensus group's troubles its status is true:
+  Scenario: The group tolerates exactly as many losses as its status reports
+    Then at every stage of failure and repair a consensus group's status is correct:
       | stage                                  | health    | losses |
       | nothing has happened                   | Healthy   | 2      |
       | one replica is down                    | Degraded  | 1      |
@@ -76,7 +76,7 @@
       | one replica is back from the power cut | Healthy   | 2      |
       | one disk is lost                       | Degraded  | 1      |
       | its successor is a learner             | Repairing | 1      |
-      | the old identity still counts          | Repairing | 1      |
+      | the old identity still votes           | Repairing | 1      |
       | the repair is done                     | Healthy   | 2      |
       | one replica is far behind              | Degraded  | 1      |
       | the leader has just changed            | Degraded  | 1      |
@@ -84,6 +84,6 @@
   Scenario: Replicas that don't lead never claim to be healthy
     Given a consensus group of 3 replicas that repairs after 3 seconds
     And 5 numbers are committed in the consensus group
-    Then the followers of the consensus group say Degraded and no loss
-    When the leader of the consensus group is cut off in silence
-    Then the cut-off leader of the consensus group says so within 2 seconds
+    Then the followers of the consensus group report Degraded and no tolerated loss
+    When the leader of the consensus group is cut off by dropped packets
+    Then the cut-off leader of the consensus group reports the same within 2 seconds
--- a/features/steps/consensus_failing_command_steps.py
+++ b/features/steps/consensus_failing_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps on commands, and listeners, that fail in a simulated consensus group."""
+"""Steps on failing commands and listeners in a simulated consensus group."""
 
 from behave import given, step, then, when
 
@@ -31,7 +31,7 @@
 
 
 def _patch_starts(group, number):
-    """Have replicas that start from now on fail at the number too."""
+    """Make replicas that start later fail at the number too."""
     start = group.start
 
     def patched(name, *arguments):
@@ -57,7 +57,7 @@
     (context.failed_result,) = results
 
 
-@then("its proposer is told of an internal fault whose outcome is unknown")
+@then("its proposer gets an internal fault whose outcome is unknown")
 def told(context):
     fault = context.failed_result.error
     assert (fault.code, fault.step) == (FaultCode.INTERNAL, "consensus.apply"), fault
@@ -90,7 +90,7 @@
     group.start(name)
 
 
-@when("a follower's state machine raises {error} at what comes next")
+@when("a follower's state machine raises {error} at the next entry")
 def raise_locally(context, error):
     def failing(index, command):
         raise ERRORS[error]("here alone")
@@ -103,7 +103,7 @@
     raise KeyError("a bug in a listener")
 
 
-@when("a listener to the leader's applied entries fails, with another one behind it")
+@when("a listener to the leader's applied entries fails, with another one registered after it")
 def fail_listener(context):
     group = context.consensus
     driver = group.driver(group.leader())
@@ -112,7 +112,7 @@
     driver.on_applied(context.told.append)
 
 
-@then("the other listener was told of each of them")
+@then("the other listener was notified of each of them")
 def other_told(context):
     group = context.consensus
     assert context.told[-1] == group.driver(group.leader())._applier.applied_index
@@ -130,6 +130,6 @@
         driver.on_leadership(context.leadership[name].append)
 
 
-@then("the next leader's other listener was told that it leads")
+@then("the next leader's other listener was notified that it leads")
 def other_told_of_leadership(context):
     assert context.leadership[context.consensus.leader()] == [True], context.leadership
--- a/features/steps/consensus_failures_steps.py
+++ b/features/steps/consensus_failures_steps.py
@@ -16,16 +16,16 @@
 SLOW_SYNC_S = 0.2
 
 
-@then('a consensus group bears "{fault}" at the leader and at a follower')
+@then('a consensus group survives "{fault}" at the leader and at a follower')
 def bears_one(context, fault):
-    """Bring one fault at either place, under a few seeds."""
+    """Inject one fault at the leader and at a follower, under three seeds each."""
     for seed, at_leader in itertools.product(range(1, 4), (True, False)):
         survive(new_group(seed), [(fault, at_leader)])
 
 
-@then("a consensus group bears every pair of its failures, one of them at the leader")
+@then("a consensus group survives every pair of its failures, one of them at the leader")
 def bears_pairs(context):
-    """Bring every ordered pair; the first at the leader, or the second."""
+    """Inject every ordered pair, alternating which of the two hits the leader."""
     pairs = list(itertools.product(GROUP_FAULTS, repeat=2))
     for number, (first, second) in enumerate(pairs):
         at_leader = number % 2 == 0
@@ -42,7 +42,7 @@
 
 @then("a consensus group's power cut during a slow sync, with the leader cut off, {end}")
 def power_cut_in_sync(context, end):
-    """Run it under several seeds; with the defect at least one must notice."""
+    """Run under several seeds; with the defect at least one run must fail."""
     noticed = 0
     for seed in DEFECT_SEEDS:
         try:
@@ -72,7 +72,7 @@
 
 @when("the syncs of the consensus group's leader fail and a number is proposed there")
 def fail_leader_sync(context):
-    """The leader's next sync fails."""
+    """Make the leader's next sync fail, and propose a number there."""
     group = context.consensus
     context.consensus_down = group.leader()
     group.disks[context.consensus_down].sync_fails = True
@@ -80,30 +80,33 @@
     group.run_for(0.1)
 
 
-@then("the proposal at the consensus group's old leader ends as unknown, not as done")
+@then("the proposal at the consensus group's old leader ends with an unknown outcome")
 def proposal_unknown(context):
-    """The proposer learns that the entry may or may not be there."""
+    """Check that the proposer learns that its entry may or may not be committed."""
     (result,) = context.consensus_proposal
     assert result.is_error() and result.error.outcome == Outcome.UNKNOWN, result
 
 
 @then("the old leader of the consensus group has stopped with a storage fault naming the file")
 def stopped_with_fault(context):
-    """The fault says where the disk failed."""
+    """Check that the fault names the file at which the disk failed."""
     (fault,) = context.consensus.running[context.consensus_down].faults
     assert fault.code == FaultCode.STORAGE and "group-0/" in fault.detail, fault
 
 
 @then("the other replicas of the consensus group elect a leader and commit")
 def others_commit(context):
-    """The group goes on."""
+    """Check that the group commits with another leader."""
     context.consensus.commit(5)
     assert context.consensus.leader() != context.consensus_down
 
 
-@when("the syncs of a consensus group's follower lie while {count:d} numbers are committed")
-def lie(context, count):
-    """The follower acknowledges what its disk doesn't hold."""
+@when(
+    "the disk of a consensus group's follower reports syncs that it doesn't do "
+    "while {count:d} numbers are committed"
+)
+def report_false_syncs(context, count):
+    """Make the follower acknowledge entries that its disk doesn't hold."""
     group = context.consensus
     context.consensus_down = group.followers()[0]
     group.disks[context.consensus_down].sync_lies = True
@@ -111,8 +114,8 @@
 
 
 @when("that follower of the consensus group loses power and starts again")
-def lying_follower_restarts(context):
-    """Cut the power and start on an honest disk, reading the log meanwhile."""
+def restart_after_false_syncs(context):
+    """Cut the power and restart on a disk that syncs correctly, collecting log lines."""
     group = context.consensus
     context.consensus_log = []
     sink = logger.add(lambda line: context.consensus_log.append(str(line)), level="ERROR")
@@ -125,7 +128,7 @@
 
 @when("a follower of the consensus group starts again for another fleet")
 def start_for_other_fleet(context):
-    """The configuration names another fleet than the data folder."""
+    """Restart a follower whose configuration names another fleet than its data folder."""
     group = context.consensus
     context.consensus_down = group.followers()[0]
     group.crash(context.consensus_down)
@@ -136,7 +139,7 @@
 
 @then("that follower of the consensus group has not started, and the fault names both fleets")
 def refused_fleet(context):
-    """It touches nothing of the group."""
+    """Check that the replica has no driver and its fault names both fleets."""
     member = context.consensus.running[context.consensus_down]
     (fault,) = member.faults
     assert member.driver is None and "'test'" in fault.detail and "'other'" in fault.detail, fault
@@ -144,7 +147,7 @@
 
 @given("a consensus group of {count:d} replicas with {limit:d} bytes in flight at most")
 def start_bounded_group(context, count, limit):
-    """Start a group with a small window."""
+    """Start a group with a small in-flight limit."""
     settings = ConsensusSettings(max_in_flight_bytes=limit, max_batch_bytes=500)
     names = [f"replica-{number}" for number in range(1, count + 1)]
     context.consensus = SimulatedGroup(names, 3, settings)
@@ -153,7 +156,7 @@
 
 @when("a follower of the consensus group answers after {seconds:d} seconds")
 def slow_follower(context, seconds):
-    """Delay what one follower sends."""
+    """Delay the messages that one follower sends to the leader."""
     group = context.consensus
     context.consensus_slow = group.followers()[0]
     slow = LinkConditions(delay_s=seconds)
@@ -162,7 +165,7 @@
 
 @step("{count:d} numbers are proposed to the consensus group's leader in batches of {size:d}")
 def propose_batches(context, count, size):
-    """Propose, noting the most bytes in flight to the slow follower."""
+    """Propose in batches, recording the maximum bytes in flight to the slow follower."""
     group = context.consensus
     leader = group.driver(group.leader())
     identity = group.identity(context.consensus_slow)
@@ -183,7 +186,7 @@
     "the consensus group's leader never had more than {limit:d} bytes and a batch in flight to it"
 )
 def bounded_in_flight(context, limit):
-    """The window holds, and was reached."""
+    """Check that the in-flight limit was reached and not exceeded by more than a batch."""
     batch = context.consensus.settings.max_batch_bytes
     assert limit <= context.consensus_most_in_flight <= limit + batch, (
         context.consensus_most_in_flight
@@ -192,7 +195,7 @@
 
 @then("the numbers are acknowledged without the consensus group's slow follower")
 def acknowledged_without_slow(context):
-    """A quorum is enough, and the slow follower is behind."""
+    """Check that a quorum was enough while the slow follower was behind."""
     group = context.consensus
     assert len(group.acknowledged) == 300, len(group.acknowledged)
     leader = group.driver(group.leader())
@@ -201,7 +204,7 @@
 
 @then("the consensus group's leader has reported that follower's lost entries")
 def reported_lost(context):
-    """The operator learns which disk to replace."""
+    """Check that the log names the replica whose disk has to be replaced."""
     assert any(
         "lost entries" in line and context.consensus_down in line for line in context.consensus_log
     ), context.consensus_log
--- a/features/steps/consensus_group_steps.py
+++ b/features/steps/consensus_group_steps.py
@@ -32,7 +32,7 @@
 
 @then("every replica of the consensus group applies all of them")
 def all_apply(context):
-    """Every replica holds what was acknowledged."""
+    """Check that every replica applies all acknowledged numbers."""
     group = context.consensus
     for name in group.names:
         group.run_until(lambda name=name: group.holds_acknowledged(name), f"{name} caught up")
--- a/features/steps/consensus_groups_steps.py
+++ b/features/steps/consensus_groups_steps.py
@@ -12,7 +12,7 @@
 
 @when("one replica leads all of those consensus groups")
 def one_leads_all(context):
-    """Hand over until the first replica leads everywhere."""
+    """Transfer leadership until the first replica leads all groups."""
     groups = context.consensus_groups
     wanted = groups.names[0]
 
@@ -30,7 +30,7 @@
 
 @when("those consensus groups run {seconds:g} seconds with nothing to do")
 def run_idle(context, seconds):
-    """Count the messages of that time."""
+    """Measure the rate of messages that each replica receives."""
     groups = context.consensus_groups
     before = {name: process.transport.traffic.messages_received for name, process in _each(groups)}
     context.consensus_leaders = [groups.leader(group) for group in groups.groups]
@@ -47,7 +47,7 @@
 
 @then("each replica got at most {limit:d} messages a second for all of those consensus groups")
 def few_messages(context, limit):
-    """A heartbeat period is 0.15 s: about 7 beats a second, and as many answers."""
+    """Check the rates: at a period of 0.15 s, about 7 heartbeats a second and as many replies."""
     followers = {
         name: rate
         for name, rate in context.consensus_rates.items()
@@ -60,14 +60,14 @@
 
 @then("no consensus group of those changed its leader")
 def same_leaders(context):
-    """Merged heartbeats reach every group."""
+    """Check that merged heartbeats reach every group: no election took place."""
     groups = context.consensus_groups
     assert [groups.leader(group) for group in groups.groups] == context.consensus_leaders
 
 
 @when("{count:d} numbers are committed in each of those consensus groups")
 def commit_in_each(context, count):
-    """The numbers of a group name it."""
+    """Commit numbers that are unique to each group."""
     groups = context.consensus_groups
     for group in groups.groups:
         for _ in range(count):
@@ -83,13 +83,13 @@
 
 @when("that replica of the consensus groups starts again")
 def start_again(context):
-    """On its disk."""
+    """Restart the replica on its disk."""
     context.consensus_groups.start(context.consensus_down)
 
 
 @then("every replica applies exactly the numbers of each of those consensus groups")
 def exact_numbers(context):
-    """No group sees another's entries."""
+    """Check that each replica holds the numbers of each group and no others."""
     groups = context.consensus_groups
     for name in groups.names:
         for group, numbers in groups.committed.items():
--- a/features/steps/consensus_leadership_steps.py
+++ b/features/steps/consensus_leadership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on elections, leases and hand-overs of a simulated consensus group."""
+"""Steps on elections, leases and leadership transfers of a simulated consensus group."""
 
 from behave import given, step, then, when
 from features.support.consensus import SimulatedGroup, watch_chunks
@@ -16,7 +16,7 @@
     context.consensus_cut_s = group.clock.seconds()
 
 
-@when("the leader of the consensus group is cut off in silence")
+@when("the leader of the consensus group is cut off by dropped packets")
 def cut_leader(context):
     """Isolate the leader both ways."""
     _remember(context)
@@ -24,7 +24,7 @@
     context.consensus.network.isolate(context.consensus_cut)
 
 
-@when("a follower of the consensus group is cut off in silence")
+@when("a follower of the consensus group is cut off by dropped packets")
 def cut_follower(context):
     """Isolate a follower both ways."""
     _remember(context)
@@ -32,9 +32,9 @@
     context.consensus.network.isolate(context.consensus_cut)
 
 
-@when("a follower of the consensus group can speak but not hear")
-def deafen(context):
-    """Lose everything to a follower."""
+@when("a follower of the consensus group can send but not receive")
+def cut_incoming(context):
+    """Drop all messages to a follower."""
     _remember(context)
     deaf = context.consensus.followers()[0]
     for name in context.consensus.names:
@@ -44,7 +44,7 @@
 
 @when("the leader of the consensus group can reach only one other replica")
 def cut_majority(context):
-    """Cut the leader off from three of four."""
+    """Cut the leader off from three of its four followers."""
     _remember(context)
     group = context.consensus
     context.consensus_cut = context.consensus_leader
@@ -55,7 +55,7 @@
 
 @then("that leader of the consensus group steps down within {seconds:g} seconds")
 def steps_down(context, seconds):
-    """Check-quorum ends its leadership."""
+    """Check that the quorum check ends its leadership in time."""
     group = context.consensus
     name = context.consensus_cut
     group.run_until(lambda: not group.believes_to_lead(name), "step down", seconds)
@@ -63,7 +63,7 @@
 
 @then("the other replicas of the consensus group elect one leader")
 def elect_one(context):
-    """Never two under a lease at one moment."""
+    """Check that a commit succeeds and leases never overlap."""
     group = context.consensus
     group.commit(1)
     assert group.most_leaders == 1, group.most_leaders
@@ -73,7 +73,7 @@
     "the cut-off leader of the consensus group leads under its lease for at most {limit:g} seconds"
 )
 def lease_ends(context, limit):
-    """The lease runs out by itself."""
+    """Check that the lease expires in time."""
     group = context.consensus
     name = context.consensus_cut
     group.run_until(lambda: not group.driver(name).is_leader(), "the lease's end")
@@ -81,9 +81,9 @@
     assert took_s <= limit, f"{took_s:.3f} s"
 
 
-@then("the other replicas of the consensus group elect a leader before its old one could be stale")
+@then("the other replicas of the consensus group elect a leader, and no two leases overlap")
 def no_overlap(context):
-    """A new leader commits; no two held a lease at one moment."""
+    """Check that a new leader commits and leases never overlap."""
     group = context.consensus
     group.commit(3)
     assert group.leader() != context.consensus_cut
@@ -92,13 +92,13 @@
 
 @when("the consensus group runs {seconds:g} seconds")
 def run_group(context, seconds):
-    """Let virtual time pass."""
+    """Run the simulation for some virtual seconds."""
     context.consensus.run_for(seconds)
 
 
 @then("proposals and reads at the cut-off replica of the consensus group end with typed faults")
 def typed_faults(context):
-    """Each is answered NOT_LEADER, as not run."""
+    """Check that each fails with NOT_LEADER and outcome NOT_RUN."""
     group = context.consensus
     name = context.consensus_cut
     answers = [group.propose(name, 7_777), group.read(name)]
@@ -112,14 +112,14 @@
 
 @when("the cut-off replica of the consensus group is connected again")
 def reconnect(context):
-    """End the cut, noting the chunks of a snapshot that arrive."""
+    """End the cut, recording the snapshot chunks that arrive."""
     context.consensus_chunks = watch_chunks(context.consensus, context.consensus_cut)
     context.consensus.network.rejoin(context.consensus_cut)
 
 
 @then("the consensus group's leader and term are as before the {event}")
 def same_leader(context, event):
-    """Nobody was unseated."""
+    """Check that leader and term haven't changed after another 10 s."""
     group = context.consensus
     group.run_for(10.0)
     leader = group.leader()
@@ -129,13 +129,13 @@
 
 @when("a number is proposed at the cut-off leader of the consensus group")
 def propose_at_cut(context):
-    """The leader doesn't know yet that it is cut off."""
+    """Propose before the leader detects that it is cut off."""
     context.consensus_proposal = context.consensus.propose(context.consensus_cut, 7_777)
 
 
-@then("the proposal at the cut-off leader of the consensus group ended as unknown")
+@then("the proposal at the cut-off leader of the consensus group ended with an unknown outcome")
 def ended_unknown(context):
-    """It may or may not have been committed, as far as that leader knew."""
+    """Check that the fault leaves open whether the entry was committed."""
     (answer,) = context.consensus_proposal
     assert answer.error.outcome == Outcome.UNKNOWN, answer
 
@@ -162,7 +162,7 @@
 
 
 def _transfer_until_leading(group, wanted):
-    """Hand leadership on until the wanted replica has it."""
+    """Transfer leadership away from any other leader; always False, for use in conditions."""
     for name in group.leaders():
         if name != wanted and not group.driver(name).core.state.transfer_target:
             group.driver(name).transfer_leadership()
@@ -174,7 +174,7 @@
     "no two leases overlap in {count:d} fail-overs"
 )
 def leases_hold(context, leader, others, count):
-    """Cut the leader off again and again."""
+    """Cut the leader off repeatedly and check that leases never overlap."""
     most = _most_leaders(leader, others, count)
     assert most == 1, f"{most} leaders under a lease at one moment"
 
@@ -184,17 +184,17 @@
     "two leases overlap"
 )
 def leases_overlap(context, leader, others):
-    """Rates beyond the margin are noticed by the check above."""
+    """Check that clock rates beyond the margin make the check above fail."""
     assert _most_leaders(leader, others, 20) == 2
 
 
-@step("the consensus group's leader hands leadership over while numbers are committed")
-def hand_over(context):
-    """Ask for the transfer and note when another replica leads."""
+@step("the consensus group's leader transfers leadership while numbers are committed")
+def transfer_leadership(context):
+    """Request a transfer and measure the time until another replica leads."""
     group = context.consensus
     _remember(context)
     old = context.consensus_leader
-    group.run_until(lambda: group.status().health == "Healthy", "a sound group")
+    group.run_until(lambda: group.status().health == "Healthy", "a healthy group")
     begun_s = group.clock.seconds()
     answers = []
     group.driver(old).transfer_leadership().addCallback(answers.append)
@@ -206,14 +206,16 @@
 
 @then("the consensus group had a new leader within {seconds:g} seconds")
 def short_gap(context, seconds):
-    """No election timeout had to pass."""
+    """Check that the transfer took less than an election timeout, without overlapping leases."""
     assert context.consensus_gap_s <= seconds, f"{context.consensus_gap_s:.3f} s"
     assert context.consensus.most_leaders == 1
 
 
-@when("the consensus group's leader hands over to a replica that loses power at that moment")
-def hand_over_to_dying(context):
-    """The target never campaigns."""
+@when(
+    "the consensus group's leader transfers leadership to a replica that loses power at that moment"
+)
+def transfer_to_crashing(context):
+    """Crash the target before it campaigns."""
     group = context.consensus
     _remember(context)
     context.consensus_answers = []
@@ -223,24 +225,24 @@
     group.crash(next(name for name in group.names if group.identity(name) == target))
 
 
-@then("the consensus group's hand-over has ended and the group commits again")
-def hand_over_ended(context):
-    """The old leader has stepped down, or been replaced."""
+@then("the consensus group's leadership transfer has ended and the group commits again")
+def transfer_ended(context):
+    """Check that the old leader has stepped down and the group commits."""
     group = context.consensus
-    group.run_until(lambda: bool(context.consensus_answers), "the end of the hand-over", 3.0)
+    group.run_until(lambda: bool(context.consensus_answers), "the end of the transfer", 3.0)
     group.commit(3)
 
 
 @given("a consensus member that follows a leader of term {term:d}")
 def following_member(context, term):
-    """The member has just answered the leader's heartbeat."""
+    """Start a member that has just answered the leader's heartbeat."""
     context.consensus_member = DirectMember(term)
     context.consensus_member.hear_leader(term)
 
 
 @when("a late reply moves the consensus member to term {term:d}")
 def late_reply(context, term):
-    """A refused pre-vote brings the later term."""
+    """Deliver a refused pre-vote that carries the later term."""
     context.consensus_member.hear_late_refusal(term)
     assert context.consensus_member.core.state.term == term
 
@@ -249,7 +251,7 @@
     "a candidate asks the consensus member for its vote in term {term:d} after {seconds:g} seconds"
 )
 def candidate_asks(context, term, seconds):
-    """Candidate d asks."""
+    """Request the vote as candidate d."""
     context.consensus_member.now_s += seconds
     context.consensus_vote = context.consensus_member.asked_for_vote("d", term)
 
@@ -259,32 +261,32 @@
     "after {seconds:g} seconds"
 )
 def other_candidate_asks(context, term, seconds):
-    """Candidate e asks."""
+    """Request the vote as candidate e."""
     context.consensus_member.now_s += seconds
     context.consensus_vote = context.consensus_member.asked_for_vote("e", term)
 
 
 @then("the consensus member refuses its vote")
 def refuses(context):
-    """Nothing granted."""
+    """Check that the vote is refused."""
     assert not context.consensus_vote[0]
 
 
 @then("the consensus member grants its vote once that is synced")
 def grants(context):
-    """Granted, behind the sync."""
+    """Check that the vote is granted and the reply waits for the sync."""
     assert context.consensus_vote == (True, True), context.consensus_vote
 
 
 @when("the consensus member restarts with what it has stored")
 def restart_member(context):
-    """A new process on the same disk."""
+    """Start a new process from the same stored state."""
     context.consensus_member.start()
 
 
 @when("the consensus member restarts in a process that began {seconds:g} seconds before")
 def restart_member_slowly(context, seconds):
-    """The process took its time to load before it opened the disk."""
+    """Start in a process that ran for a while before it opened the disk."""
     member = context.consensus_member
     member.start(started_s=member.now_s - seconds)
 
@@ -293,7 +295,7 @@
     "the cut-off leader's lease is over and a read and a number wait at it in the consensus group"
 )
 def wait_at_cut_off(context):
-    """Between the lease's end and the moment at which the leader steps down."""
+    """Request both after the lease has expired and before the leader steps down."""
     group = context.consensus
     name = context.consensus_cut
     while group.driver(name).is_leader():
@@ -305,13 +307,13 @@
 
 @when("that member of the consensus group is stopped")
 def stop_member(context):
-    """As after a fatal fault."""
+    """Stop the member, as a fatal fault does."""
     context.consensus.driver(context.consensus_cut).stop()
 
 
 @then("the read and the number at the stopped member of the consensus group have ended with faults")
 def waiting_ended(context):
-    """Nobody waits for a member that is gone."""
+    """Check that both requests have failed."""
     for answers in context.consensus_waiting:
         (answer,) = answers
         assert answer.error.code == FaultCode.NOT_LEADER, answer
--- a/features/steps/consensus_log_steps.py
+++ b/features/steps/consensus_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the consensus log, its write tracker and its memberships against models."""
+"""Steps that compare the consensus log, write tracker and memberships with models."""
 
 from itertools import combinations
 
@@ -19,7 +19,7 @@
 
 @then("under any operations the consensus log agrees with a list of entries and memberships")
 def log_agrees(context):
-    """Run random operations on both."""
+    """Run random operations on the log and its model."""
     run_state_machine_as_test(LogWindowModel, settings=EXAMPLES)
 
 
@@ -27,7 +27,7 @@
     "under any order of writes, truncations and syncs no consensus write counts as synced too early"
 )
 def tracker_agrees(context):
-    """Run random operations on the tracker and on a disk that takes writes in order."""
+    """Run random operations on the tracker and its model."""
     run_state_machine_as_test(WriteTrackerModel, settings=EXAMPLES)
 
 
@@ -35,7 +35,7 @@
     "every consensus membership change of one step has overlapping quorums, larger ones are refused"
 )
 def quorums_overlap(context):
-    """Try every quorum of both memberships."""
+    """Check every pair of quorums of random memberships."""
     votes = strategies.dictionaries(strategies.sampled_from(NAMES), strategies.booleans())
 
     @settings(max_examples=150, deadline=None, derandomize=True)
@@ -62,7 +62,7 @@
 
 @given("a consensus log of {count:d} entries of {size:d} bytes each")
 def log_of_entries(context, count, size):
-    """Payloads that are no memberships."""
+    """Build a log of entries that are not memberships."""
     context.consensus_log = LogWindow()
     for index in range(1, count + 1):
         context.consensus_log.append(LogEntry(index, 1, NO_OPERATION_PAYLOAD.ljust(size, b"-")))
@@ -70,12 +70,12 @@
 
 @when("a snapshot at entry {index:d} keeps {entries:d} entries and {size:d} bytes at most")
 def compact_behind(context, index, entries, size):
-    """As after a snapshot of a member's own."""
+    """Compact the log as after a member's own snapshot."""
     log = context.consensus_log
     log.compact(log.retained_from(index, entries, size))
 
 
 @then("the consensus log begins with entry {index:d}")
 def log_begins(context, index):
-    """The base is the entry before the first."""
+    """Check the log's base, which is the entry before the first."""
     assert context.consensus_log.base_index == index - 1, context.consensus_log.base_index
--- a/features/steps/consensus_lost_disk_steps.py
+++ b/features/steps/consensus_lost_disk_steps.py
@@ -5,7 +5,9 @@
 from rainsail.consensus.group_status import GroupHealth
 
 
-@when("a follower of the consensus group loses its disk and is back before it is missed")
+@when(
+    "a follower of the consensus group loses its disk and restarts before it counts as unreachable"
+)
 def step_lose(context):
     group = context.consensus
     name = group.followers()[0]
@@ -13,10 +15,13 @@
     group.lose_disk(name)
     group.start(name)
     leader = group.driver(group.leader()).core.state
-    group.run_until(lambda: name in leader.join_candidates, "the new identity has called")
+    group.run_until(lambda: name in leader.join_candidates, "a Hello of the new identity")
 
 
-@then("the consensus group's leader says Degraded and bears {losses:d} loss before it is missed")
+@then(
+    "the consensus group's leader reports Degraded and {losses:d} tolerated loss "
+    "before it counts as unreachable"
+)
 def step_status(context, losses):
     group = context.consensus
     silent_s = group.clock.seconds() - context.consensus_lost_at_s
--- a/features/steps/consensus_model_steps.py
+++ b/features/steps/consensus_model_steps.py
@@ -9,9 +9,9 @@
 from rainsail.consensus.model_check import run_model_check
 
 
-@given("a consensus core that votes in any term that it has learned in passing")
-def vote_in_learned_term(context):
-    """Take the refusal out that holds in the member's own term."""
+@given("a consensus core that ignores a live leader's lease when it is in the candidate's term")
+def ignore_lease_in_own_term(context):
+    """Remove the check of the leader's lease for votes in the member's own term."""
     original = election.may_still_vote
     election.may_still_vote = lambda state, message, now: state.voted_for in ("", message.sender)
     context.add_cleanup(setattr, election, "may_still_vote", original)
@@ -32,13 +32,13 @@
 
 @then("the model check finds no violation")
 def nothing_found(context):
-    """Every property held."""
+    """Check that every property held."""
     assert not context.model_check.violations, context.model_check.violations
 
 
 @then("the model check has reached at least:")
 def reached(context):
-    """A check of nothing proves nothing."""
+    """Check that the schedules covered the events of interest often enough."""
     coverage = context.model_check.coverage
     found = {row["what"]: getattr(coverage, row["what"]) for row in context.table}
     short = [row["what"] for row in context.table if found[row["what"]] < int(row["times"])]
@@ -47,14 +47,14 @@
 
 @then('the model check finds a violation of "{name}"')
 def found_violation(context, name):
-    """The one violation at which the check stopped."""
+    """Check the property of the violation at which the model check stopped."""
     (violation,) = context.model_check.violations
     assert violation.property == name, violation
 
 
 @then("the model check finds it again from the violation's own seed")
 def found_again(context):
-    """Schedules are the same wherever they stand in a run."""
+    """Check that a schedule depends only on its own seed."""
     (violation,) = context.model_check.violations
     assert run_model_check(1, violation.seed).violations == [violation]
 
@@ -68,13 +68,13 @@
 
 @when('"rainsail check consensus --schedules {count:d} --seed {seed:d} " is run')
 def run_plain_command(context, count, seed):
-    """Run the command alone."""
+    """Run the command without an option."""
     run_command(context, count, seed, "")
 
 
 @then("the model check's command ends with exit code {code:d} and one JSON object as last line")
 def command_ends(context, code):
-    """For bad input there is no object, but a message that names the flag."""
+    """Check the exit code and the report; bad input gives a message that names the flag instead."""
     finished = context.model_command
     assert finished.code == code, finished
     if code == 2:
--- a/features/steps/consensus_repair_steps.py
+++ b/features/steps/consensus_repair_steps.py
@@ -1,4 +1,4 @@
-"""Steps on lost disks, their repair, and the truth of the group's status."""
+"""Steps on lost disks, their repair, and the correctness of the group's status."""
 
 from behave import given, then, when
 from features.support import consensus_stages as stages
@@ -8,14 +8,14 @@
 
 @given("a consensus group of {count:d} replicas that repairs after {seconds:g} seconds")
 def repairing_group(context, count, seconds):
-    """Start the group."""
+    """Start a group with the given repair timeout."""
     context.consensus = stages.new_group(count, seconds)
     context.consensus_repair_s = seconds
 
 
 @when("a replica of the consensus group loses its disk and starts again")
 def lose_one(context):
-    """A follower's disk; what the leader's membership was is kept."""
+    """Lose a follower's disk, recording its old identity."""
     group = context.consensus
     context.consensus_lost = group.followers()[0]
     context.consensus_old = group.identity(context.consensus_lost)
@@ -25,7 +25,7 @@
 
 @when("two replicas of the consensus group lose their disks and start again")
 def lose_two(context):
-    """Two followers' disks at one moment."""
+    """Lose the disks of two followers at the same time."""
     group = context.consensus
     for name in group.followers()[:2]:
         group.lose_disk(name)
@@ -34,16 +34,16 @@
 
 @when("the leader of the consensus group loses its disk and starts again")
 def lose_leader(context):
-    """The leader's disk."""
+    """Lose the leader's disk and restart it."""
     group = context.consensus
     name = group.leader()
     group.lose_disk(name)
     group.start(name)
 
 
-@then("the consensus group adds no newcomer for {seconds:g} seconds")
-def no_newcomer(context, seconds):
-    """The machine may come back with its disk."""
+@then("the consensus group adds no new member for {seconds:g} seconds")
+def no_new_member(context, seconds):
+    """Check that no repair starts early, while the machine may still return with its disk."""
     group = context.consensus
     before = stages.members(group)
     group.run_for(seconds - 0.2)
@@ -54,7 +54,7 @@
     "the consensus group's memberships go through learner, voter beside the old one, old one gone"
 )
 def membership_order(context):
-    """Watch the leader's membership at every event."""
+    """Record the leader's membership at every event and check the order of the changes."""
     group = context.consensus
     seen = [stages.members(group)]
     context.consensus_lag = []
@@ -86,18 +86,16 @@
     context.consensus_lag.append(state.commit_index - synced)
 
 
-@then("the newcomer held everything committed when the consensus group made it a voter")
+@then("the new member held everything committed when the consensus group promoted it")
 def synced_at_promotion(context):
-    """On its own disk, and not only in the leader's books."""
+    """Check the lag by the new member's own synced index, not by the leader's match index."""
     limit = context.consensus.settings.promotion_lag_entries
     assert len(context.consensus_lag) == 1 and context.consensus_lag[0] <= limit
 
 
-@when(
-    "the other two replicas of the consensus group change places: one loses its disk, one its power"
-)
+@when("the other two replicas of the consensus group fail: one loses its disk, one its power")
 def lose_both_others(context):
-    """What was committed last is now on no running disk but the crashed one's."""
+    """Leave the last committed entries only on the crashed leader's disk."""
     group = context.consensus
     leader = group.leader()
     other = next(name for name in group.names if name not in (leader, context.consensus_cut))
@@ -108,9 +106,9 @@
     group.start(other)
 
 
-@then("the consensus group elects nobody for {seconds:g} seconds")
+@then("the consensus group elects no leader for {seconds:g} seconds")
 def elects_nobody(context, seconds):
-    """An empty disk and a stale replica are no quorum."""
+    """Check that a replica with an empty disk and a stale replica form no quorum."""
     group = context.consensus
     group.run_for(1.0)
     group.most_leaders = 0
@@ -120,7 +118,7 @@
 
 @then("every replica of the consensus group that kept its disk applies all of them")
 def whole_ones_apply(context):
-    """The group goes on with the identities that voted before."""
+    """Check that the group goes on with the identities that voted before."""
     group = context.consensus
     group.commit(2)
     for name in group.names:
@@ -130,7 +128,7 @@
 
 @then("the consensus group never has two learners, and is healthy within {seconds:g} seconds")
 def one_at_a_time(context, seconds):
-    """Repairs go one at a time; at the end every machine counts again."""
+    """Check that repairs run one at a time and every replica is a member in the end."""
     group = context.consensus
     most = 0
 
@@ -149,16 +147,16 @@
 
 @when("the consensus group becomes healthy again")
 def wait_healthy(context):
-    """Run to the very event with which status says Healthy."""
+    """Run until the first event after which the status is Healthy."""
     group = context.consensus
     group.run_for(1.0)
-    group.run_until(lambda: bool(stages.learners(group)), "the repair's begin", REPAIR_LIMIT_S)
+    group.run_until(lambda: bool(stages.learners(group)), "the start of repair", REPAIR_LIMIT_S)
     group.run_until(lambda: stages.is_healthy(group), "health", REPAIR_LIMIT_S)
 
 
 @when("{count:d} further replicas of the consensus group lose their disks at that moment for good")
 def lose_more(context, count):
-    """The leader first, then others, never the one just repaired."""
+    """Lose the leader's disk first, then others, but not that of the repaired replica."""
     group = context.consensus
     others = [name for name in group.followers() if name != context.consensus_lost]
     for name in [group.leader(), *others][:count]:
@@ -167,13 +165,13 @@
 
 @then("the consensus group goes on and holds everything acknowledged")
 def group_goes_on(context):
-    """A new leader holds what was acknowledged before."""
-    assert stages.goes_on(context.consensus)
+    """Check that the group commits and a leader holds everything acknowledged."""
+    assert stages.still_commits(context.consensus)
 
 
 @when("a replica of the consensus group loses its disk, and its successor dies as a learner")
 def learner_dies(context):
-    """The learner's machine goes away."""
+    """Crash the replacement while it is a learner."""
     group = context.consensus
     context.consensus_learner = group.followers()[0]
     group.lose_disk(context.consensus_learner)
@@ -185,13 +183,13 @@
 
 @when("another replica of the consensus group loses its disk and starts again")
 def lose_another(context):
-    """A follower that is still there."""
+    """Lose the disk of a running follower."""
     lose_one(context)
 
 
 @then("the consensus group repairs the other replica within {seconds:g} seconds")
 def repairs_other(context, seconds):
-    """Its new identity votes, its old one is gone."""
+    """Check that the new identity votes and the old one is removed."""
     group = context.consensus
     name = context.consensus_lost
 
@@ -204,43 +202,43 @@
 
 @when("the dead learner of the consensus group starts again")
 def learner_returns(context):
-    """With its disk, on which it is still a learner."""
+    """Restart the learner on its disk, on which it is still a learner."""
     context.consensus.start(context.consensus_learner)
 
 
-@then("at every stage of a consensus group's troubles its status is true:")
+@then("at every stage of failure and repair a consensus group's status is correct:")
 def status_is_true(context):
-    """What status says can be lost is really lost; one more stops the group."""
+    """Check that the group survives the reported number of losses but not one more."""
     assert sorted(row["stage"] for row in context.table) == sorted(stages.STAGES)
     for row in context.table:
         stage, losses = row["stage"], int(row["losses"])
         group = stages.at_stage(stage)
         status = group.status()
-        said = (str(status.health), status.losses_borne)
-        assert said == (row["health"], losses), f"{stage}: status says {said}"
+        reported = (str(status.health), status.losses_borne)
+        assert reported == (row["health"], losses), f"{stage}: status reports {reported}"
         stages.lose_voters(group, losses)
-        assert stages.goes_on(group), f"{stage}: {losses} losses were not borne"
+        assert stages.still_commits(group), f"{stage}: {losses} losses were not tolerated"
         if stage != "one replica is far behind":
             group = stages.at_stage(stage)
             stages.lose_voters(group, losses + 1)
-            assert not stages.goes_on(group), f"{stage}: {losses + 1} losses were borne"
+            assert not stages.still_commits(group), f"{stage}: {losses + 1} losses were tolerated"
 
 
-@then("the followers of the consensus group say Degraded and no loss")
+@then("the followers of the consensus group report Degraded and no tolerated loss")
 def followers_say_degraded(context):
-    """They can't know."""
+    """Check that followers, which don't know the others' state, claim no health."""
     group = context.consensus
     for name in group.followers():
         status = group.driver(name).status()
         assert (str(status.health), status.losses_borne) == ("Degraded", 0)
 
 
-@then("the cut-off leader of the consensus group says so within {seconds:g} seconds")
+@then("the cut-off leader of the consensus group reports the same within {seconds:g} seconds")
 def cut_off_says_degraded(context, seconds):
-    """It steps down, and then claims nothing."""
+    """Check that the leader steps down and then reports Degraded and no tolerated loss."""
     group = context.consensus
     driver = group.driver(context.consensus_cut)
-    group.run_until(lambda: driver.status().losses_borne == 0, "an honest status", seconds)
+    group.run_until(lambda: driver.status().losses_borne == 0, "a status without losses", seconds)
     assert str(driver.status().health) == "Degraded"
 
 
@@ -249,7 +247,10 @@
     "with load and syncs of {sync:d} ms"
 )
 def loaded_group(context, count, entries, sync):
-    """A state of many chunks, small batches, and a slower disk where the loss will be."""
+    """Start a group under load, with many snapshot chunks and a slower disk at the first follower.
+
+    That follower is the one that later loses its disk.
+    """
     group = context.consensus = stages.new_group(count, snapshot_log_entries=entries)
     group.commit(10)
     leader = group.leader()
@@ -264,6 +265,6 @@
 
 @then("the consensus group's load went on all the time")
 def load_went_on(context):
-    """Most of what was proposed is committed."""
+    """Check that over 90 % of many proposals were committed."""
     load = context.consensus_load
     assert load.proposed > 1_000 and load.committed > 0.9 * load.proposed, vars(load)
--- a/features/steps/consensus_snapshot_reading_steps.py
+++ b/features/steps/consensus_snapshot_reading_steps.py
@@ -1,4 +1,4 @@
-"""Steps on snapshots of a simulated consensus group that can't be read to their end."""
+"""Steps on snapshots of a simulated consensus group that can't be read completely."""
 
 from contextlib import suppress
 
@@ -25,7 +25,7 @@
     "and repairs after {seconds:g} seconds"
 )
 def repairing_group(context, count, entries, seconds):
-    """A lost replica's new disk is taken in as a learner first."""
+    """Start a group that replaces a lost disk after the given repair timeout."""
     settings = ConsensusSettings(
         snapshot_log_entries=entries, retained_entries=entries // 5, repair_after_s=seconds
     )
@@ -34,8 +34,8 @@
     context.consensus.leader()
 
 
-def _gather_log(context):
-    """Keep what the members tell the operator."""
+def _collect_log(context):
+    """Collect the members' log lines from level WARNING on."""
     context.consensus_log = []
     sink = logger.add(lambda line: context.consensus_log.append(str(line)), level="WARNING")
     context.add_cleanup(logger.remove, sink)
@@ -43,7 +43,7 @@
 
 @given("a follower of the consensus group is cut off")
 def cut_follower(context):
-    _gather_log(context)
+    _collect_log(context)
     context.consensus_cut = context.consensus.followers()[0]
     context.consensus.network.isolate(context.consensus_cut)
 
@@ -53,8 +53,8 @@
     context.consensus.commit(count)
 
 
-def _spoil_reading(context, number, times):
-    """The disk answers as many readings with an error, once they have come so far."""
+def _fail_snapshot_reads(context, number, times):
+    """Make the first ``times`` reads that reach chunk ``number`` fail with a disk error."""
     group = context.consensus
     context.consensus_leader = group.leader()
     storage = group.driver(context.consensus_leader)._snapshots._storage
@@ -70,11 +70,11 @@
 
     storage.read_snapshot = reading
     context.consensus_failed = failed
-    _begin_readings_anew(context)
+    _close_snapshot_readers(context)
 
 
-def _begin_readings_anew(context):
-    """A reading that the cut-off follower has begun already is left out of the test."""
+def _close_snapshot_readers(context):
+    """Close open readers, so that a read that has already begun doesn't take part in the test."""
     group = context.consensus
     snapshots = group.driver(context.consensus_leader)._snapshots
     for name in group.names:
@@ -82,20 +82,20 @@
 
 
 @when("the leader of the consensus group can't read chunk {number:d} of its snapshot, once")
-def spoil_once(context, number):
-    _spoil_reading(context, number, ONCE)
+def fail_read_once(context, number):
+    _fail_snapshot_reads(context, number, ONCE)
 
 
 @when(
     "the leader of the consensus group can't read chunk {number:d} of its snapshot, {times:d} times"
 )
-def spoil_often(context, number, times):
-    _spoil_reading(context, number, times)
+def fail_read_often(context, number, times):
+    _fail_snapshot_reads(context, number, times)
 
 
 @when("the snapshot of the consensus group's leader is damaged in its middle")
 def damage_snapshot(context):
-    """One bit of the file is turned over."""
+    """Flip one bit of the snapshot file."""
     group = context.consensus
     context.consensus_leader = group.leader()
     disk = group.disks[context.consensus_leader]
@@ -103,11 +103,11 @@
     assert len(files) == 1, files
     path = f"group-0/{files[0]}"
     disk.flip_bit(path, len(disk.read(path)) // 2)
-    _begin_readings_anew(context)
+    _close_snapshot_readers(context)
 
 
 def _run(context, seconds, until=lambda: False):
-    """Run the group; the reactor logs what a handler raises and goes on, and so does this."""
+    """Run the group and collect errors of handlers, which the reactor would log and survive."""
     group = context.consensus
     errors = context.consensus_errors = getattr(context, "consensus_errors", [])
     until_s = group.clock.seconds() + seconds
@@ -135,22 +135,22 @@
 
 @when("the cut-off replica of the consensus group is connected again until it has chunk {number:d}")
 def reconnect_until(context, number):
-    """Of the snapshot that is sent to it."""
+    """Reconnect until a chunk of the transferred snapshot has arrived."""
     _rejoin(context)
     taken = context.consensus_taken
     _run(context, 10, lambda: any(chunk.offset == number for chunk in taken))
     assert taken and taken[-1].offset == number, taken
 
 
-@when("the follower of the consensus group is cut off anew for {seconds:d} seconds")
-def cut_anew(context, seconds):
+@when("the follower of the consensus group is cut off again for {seconds:d} seconds")
+def cut_again(context, seconds):
     context.consensus.network.isolate(context.consensus_cut)
     _run(context, seconds)
 
 
-@when("the cut-off replica of the consensus group takes the place of the other follower")
-def change_places(context):
-    """From now on the leader's only quorum is the replica that lacks the snapshot."""
+@when("the cut-off replica of the consensus group replaces the other follower in the quorum")
+def replace_in_quorum(context):
+    """Leave the leader only the replica without the snapshot to form a quorum."""
     group = context.consensus
     (other,) = (name for name in group.followers() if name != context.consensus_cut)
     _rejoin(context)
@@ -168,9 +168,9 @@
     _run(context, seconds)
 
 
-@when("that leader has a chunk to send, a read to answer and a commit index to take up at once")
-def much_at_once(context):
-    """One input's effects, while no timer runs."""
+@when("that leader has to send a chunk, answer a read and apply a commit index at once")
+def several_effects_at_once(context):
+    """Carry out the effects of one input while no timer runs."""
     group = context.consensus
     driver = group.driver(context.consensus_leader)
     request, done = driver._reads.open()
@@ -188,7 +188,9 @@
         driver._take(effects)
 
 
-@then("that leader has answered the read, taken up the commit index and planned its next heartbeat")
+@then(
+    "that leader has answered the read, applied the commit index and scheduled its next heartbeat"
+)
 def all_done(context):
     driver = context.consensus.driver(context.consensus_leader)
     assert [answer.is_ok() for answer in context.consensus_answers] == [True], "the read"
@@ -204,15 +206,15 @@
     assert len(set(numbers)) == len(numbers)
 
 
-@then("the reading of the consensus group's snapshot has failed {times:d} times")
+@then("reading the consensus group's snapshot has failed {times:d} times")
 def has_failed(context, times):
-    """So that the scenario shows what it is about."""
+    """Check that the injected failure occurred as often as the scenario intends."""
     assert len(context.consensus_failed) == times, context.consensus_failed
 
 
-@then("no error left the members of the consensus group")
+@then("no member of the consensus group raised an unhandled error")
 def no_error(context):
-    """What leaves a handler skips whatever the handler had still to do."""
+    """Check that no handler raised, since an exception skips the rest of the handler."""
     assert context.consensus_errors == [], context.consensus_errors[:3]
 
 
@@ -221,7 +223,7 @@
     "chunk {number:d} at most twice"
 )
 def took_once(context, number):
-    """The answer to the last chunk before the cut was lost; nothing else is sent again."""
+    """Check that only the chunk whose reply was lost in the cut is sent again."""
     offsets = [chunk.offset for chunk in context.consensus_taken if chunk.data]
     assert offsets.count(number) <= 2, offsets
     distinct = list(dict.fromkeys(offsets))
@@ -245,7 +247,7 @@
 
 @then("the leader of the consensus group starts again on the disk that was damaged")
 def starts_again(context):
-    """A damaged snapshot refuses to open."""
+    """Check that the snapshot was replaced: a member doesn't start from a damaged one."""
     group = context.consensus
     name = context.consensus_leader
     group.crash(name)
@@ -262,28 +264,28 @@
     assert identity in [member.identity for member in members.voters()], members
 
 
-def _spoil_pieces(context, number, spoil):
-    """Let ``spoil`` change what the leader's source gives at one offset, once."""
+def _replace_piece(context, number, replace):
+    """Let ``replace`` change the piece that the leader's source returns at one offset, once."""
     group = context.consensus
     context.consensus_leader = group.leader()
     source = group.driver(context.consensus_leader)._snapshots._source
-    honest = source.piece
-    spoilt = []
+    original = source.piece
+    replaced = []
     context.consensus_rejoined = False
 
     def piece(index, identity, offset):
-        found = honest(index, identity, offset)
-        if offset != number or spoilt or not context.consensus_rejoined:
+        found = original(index, identity, offset)
+        if offset != number or replaced or not context.consensus_rejoined:
             return found
-        spoilt.append(offset)
-        return Ok(spoil(found.ok))
+        replaced.append(offset)
+        return Ok(replace(found.ok))
 
     source.piece = piece
-    _begin_readings_anew(context)
+    _close_snapshot_readers(context)
 
 
 def _pieces(context):
-    """Read the leader's snapshot apart from the follower's own reading."""
+    """Read the leader's snapshot independently of the follower's reader."""
     group = context.consensus
     storage = group.driver(group.leader())._snapshots._storage
     return list(storage.read_snapshot())
@@ -293,30 +295,30 @@
     return _pieces(context)[offset]
 
 
-@when("the leader of the consensus group tells the end in place of chunk {number:d}, once")
+@when("the leader of the consensus group sends the checksum in place of chunk {number:d}, once")
 def end_early(context, number):
-    _spoil_pieces(context, number, lambda read: PieceRead(number, _piece_at(context, -1)))
+    _replace_piece(context, number, lambda read: PieceRead(number, _piece_at(context, -1)))
 
 
 @when("the leader of the consensus group sends chunk {other:d} in place of chunk {number:d}, once")
 def wrong_chunk(context, other, number):
-    _spoil_pieces(context, number, lambda read: PieceRead(number, _piece_at(context, other)))
+    _replace_piece(context, number, lambda read: PieceRead(number, _piece_at(context, other)))
 
 
 @when("the leader of the consensus group sends a flipped bit in chunk {number:d}, once")
 def flipped_bit(context, number):
-    """The bytes stay numbers, so that only the sum can tell."""
+    """Flip a bit that leaves the bytes valid numbers, so that only the checksum detects it."""
 
-    def spoil(read):
+    def replace(read):
         return PieceRead(number, read.piece[:-1] + bytes([read.piece[-1] ^ 1]))
 
-    _spoil_pieces(context, number, spoil)
+    _replace_piece(context, number, replace)
 
 
-@when("the leader of the consensus group sends a chunk behind the last one, once")
+@when("the leader of the consensus group sends a chunk after the last one, once")
 def one_more(context):
     count = len(_pieces(context)) - 1
-    _spoil_pieces(context, count, lambda read: PieceRead(count, b"1,2,3"))
+    _replace_piece(context, count, lambda read: PieceRead(count, b"1,2,3"))
 
 
 @given("{count:d} commands without a number are committed by the consensus group")
@@ -361,7 +363,7 @@
 @when("the leader of the consensus group can't encode the next snapshot of its state")
 def cannot_encode(context):
     group = context.consensus
-    _gather_log(context)
+    _collect_log(context)
     context.consensus_leader = group.leader()
     state = group.running[context.consensus_leader].state
     whole = state.snapshot
@@ -385,8 +387,8 @@
     assert meta is not None and meta.last_index > index, meta
 
 
-@then('the consensus group\'s log has told {times:d} times that a snapshot "{what}"')
-@then('the consensus group\'s log has told {times:d} times that a snapshot is "{what}"')
+@then('the consensus group has logged {times:d} times that a snapshot "{what}"')
+@then('the consensus group has logged {times:d} times that a snapshot is "{what}"')
 def told(context, times, what):
     lines = [line for line in context.consensus_log if what in line]
     assert len(lines) == times, context.consensus_log
@@ -394,13 +396,13 @@
 
 @then("the consensus group's leader has written {count:d} snapshot in place of the unreadable one")
 def renewed(context, count):
-    """The newest of the usual ones is that of entry 300."""
+    """Check the snapshot's index: the last regular snapshot is that of entry 300."""
     storage = context.consensus.driver(context.consensus_leader)._snapshots._storage
     assert storage.snapshot_meta.last_index == 300 + 2 * count, storage.snapshot_meta
 
 
-class _SnapshotAlone:
-    """A storage of nothing but a snapshot, which gives these pieces."""
+class _SnapshotOnly:
+    """A storage that holds only a snapshot with the given pieces."""
 
     last_index = 3
     snapshot_meta = SnapshotMeta(3, 1, b"")
@@ -411,23 +413,23 @@
 
 def _refuses(pieces):
     try:
-        recover_log(_SnapshotAlone(pieces), RecordingState())
+        recover_log(_SnapshotOnly(pieces), RecordingState())
     except RainsailError as error:
         assert error.fault.code == FaultCode.STORAGE, error.fault
         return True
     return False
 
 
-@then("a replica's log isn't recovered from a snapshot whose reading ends without its sum")
+@then("a replica's log isn't recovered from a snapshot that ends without its checksum")
 def not_without_sum(context):
     chunks = [b"1,2", b"3"]
     whole = SnapshotSum().with_chunk(chunks[0]).with_chunk(chunks[1])
-    assert not _refuses([*chunks, whole]), "a whole one"
+    assert not _refuses([*chunks, whole]), "a complete snapshot was refused"
     assert _refuses(chunks)
     assert _refuses([])
 
 
-@then("a replica's log isn't recovered from a snapshot whose sum is another's")
+@then("a replica's log isn't recovered from a snapshot that has another snapshot's checksum")
 def not_with_other_sum(context):
     chunks = [b"1,2", b"3"]
     for other in ([b"1,2"], [b"1,2", b"4"], [b"3", b"1,2"], [b"1,23"]):
--- a/features/steps/consensus_snapshot_steps.py
+++ b/features/steps/consensus_snapshot_steps.py
@@ -1,4 +1,4 @@
-"""Steps on snapshots of a simulated consensus group: chunks, resumption, compaction."""
+"""Steps on snapshots of a simulated consensus group: chunks, resumption and compaction."""
 
 from dataclasses import replace
 
@@ -23,14 +23,14 @@
 
 @given("a consensus group of {count:d} replicas that snapshots every {entries:d} entries")
 def snapshotting_group(context, count, entries):
-    """Start the group and note every chunk that is delivered."""
+    """Start a group with the given snapshot interval."""
     context.consensus = _group(count, entries)
     context.consensus.leader()
     context.consensus_chunks = []
 
 
 def _reconnect(context, arrives):
-    """Rejoin the follower; ``arrives`` sees each chunk and says whether it gets through."""
+    """Reconnect the follower; a chunk for which ``arrives`` returns False is dropped."""
     group = context.consensus
     context.consensus_chunks = watch_chunks(group, context.consensus_cut, arrives)
     group.network.rejoin(context.consensus_cut)
@@ -41,7 +41,7 @@
     "but its chunk {number:d} is lost once"
 )
 def lose_chunk(context, number):
-    """The chunk is lost the first time that it comes."""
+    """Drop the chunk the first time that it arrives."""
     lost = []
 
     def at_chunk(message):
@@ -65,16 +65,16 @@
     "and loses power at chunk {number:d}"
 )
 def crash_at_chunk(context, number):
-    """The follower's power is cut."""
+    """Crash the follower when it gets the chunk."""
     context.consensus_before = list(context.consensus.running[context.consensus_cut].state.numbers)
     _until_chunk(context, number)
     context.consensus_down = context.consensus_cut
     context.consensus.crash(context.consensus_down)
 
 
-@then("the follower of the consensus group still stands where it was before the snapshot")
+@then("the follower of the consensus group still has its state from before the snapshot")
 def stands_before(context):
-    """What is on its disk is the old state alone."""
+    """Check that its disk holds only the old state."""
     group = context.consensus
     name = context.consensus_down
     group.network.isolate(name)
@@ -92,7 +92,7 @@
     "and the leader dies at chunk {number:d}"
 )
 def leader_dies_at_chunk(context, number):
-    """The leader's power is cut."""
+    """Crash the leader when the follower gets the chunk."""
     _until_chunk(context, number)
     context.consensus_down = context.consensus.leader()
     context.consensus.crash(context.consensus_down)
@@ -103,14 +103,14 @@
     "and meanwhile {count:d} are committed"
 )
 def commit_meanwhile(context, count):
-    """The leader takes newer snapshots while it sends one."""
+    """Commit so much during the transfer that the leader takes newer snapshots."""
     _until_chunk(context, 3)
     context.consensus.commit(count)
 
 
 @then("the follower of the consensus group got every chunk of a snapshot in order, none twice")
 def chunks_in_order(context):
-    """Resumption repeats nothing that has arrived."""
+    """Check that no chunk that has arrived is sent again."""
     chunks = context.consensus_chunks
     offsets = [chunk.offset for chunk in chunks if chunk.data]
     assert len(offsets) > 20 and any(chunk.whole for chunk in chunks), offsets
@@ -119,7 +119,7 @@
 
 @then("no log of the consensus group holds more than {limit:d} entries")
 def short_logs(context, limit):
-    """In memory; the storage's own features hold the files."""
+    """Check the logs in memory; the storage features check the files."""
     group = context.consensus
     for name in group.names:
         log = group.driver(name).core.state.log
@@ -128,7 +128,7 @@
 
 @when("every replica of the consensus group loses power and starts again")
 def restart_all(context):
-    """All at once."""
+    """Crash and restart all replicas at once."""
     group = context.consensus
     for name in group.names:
         group.crash(name)
@@ -138,7 +138,7 @@
 
 @then("a consensus group's follower survives a power cut at any moment of storing a snapshot")
 def crash_while_storing(context):
-    """Cut the power a little later each time, with the disk keeping random parts."""
+    """Crash a little later in each run, with the disk keeping random unsynced parts."""
     for moment in range(CRASH_MOMENTS):
         group = _group(3, 50, seed=moment)
         victim = group.followers()[0]
@@ -151,12 +151,12 @@
         group.crash(victim)
         group.start(victim)
         group.commit(1)
-        group.run_until(lambda: group.holds_acknowledged(victim), f"whole after {moment}")  # noqa: B023
+        group.run_until(lambda: group.holds_acknowledged(victim), f"complete: {moment}")  # noqa: B023
 
 
 @when("an old chunk of the consensus group's snapshot comes late to a follower")
 def late_chunk(context):
-    """A whole one-chunk snapshot of long ago, from the leader of this term."""
+    """Deliver an outdated one-chunk snapshot with a valid checksum from the current leader."""
     group = context.consensus
     context.consensus_down = group.followers()[0]
     leader = group.driver(group.leader()).core.state
@@ -175,7 +175,7 @@
 
 @then("that follower of the consensus group has lost nothing and stored no snapshot")
 def nothing_lost(context):
-    """It reported its position instead."""
+    """Check that the follower kept its log, since it reports its position instead."""
     group = context.consensus
     assert group.holds_acknowledged(context.consensus_down)
     state = group.driver(context.consensus_down).core.state
@@ -184,7 +184,7 @@
 
 @when("{count:d} numbers are committed in the consensus group, {size:d} at a time")
 def commit_many(context, count, size):
-    """Propose in batches and wait for each."""
+    """Propose in batches and wait for each batch."""
     group = context.consensus
     leader = group.leader()
     for first in range(1, count + 1, size):
@@ -196,7 +196,7 @@
 
 @then("that follower of the consensus group applies all of them within {seconds:g} seconds")
 def follows_within(context, seconds):
-    """In virtual time, from the reconnection."""
+    """Check the catch-up time, in virtual seconds since the reconnection."""
     group = context.consensus
     name = context.consensus_cut
     last = group.acknowledged[-1]
@@ -207,7 +207,7 @@
 
 @when("a follower of the consensus group fails to write its own snapshot while it gets one")
 def own_snapshot_fails(context):
-    """Its own snapshot's sync takes long and fails; meanwhile it falls far behind."""
+    """Make the sync of a follower's own snapshot slow and then fail, while it falls far behind."""
     group = context.consensus
     name = group.followers()[0]
     driver, disk = group.driver(name), group.disks[name]
@@ -231,7 +231,7 @@
 
 @then("that follower of the consensus group has stopped with a storage fault")
 def stopped_follower(context):
-    """A failed sync is final; the process's supervisor starts it anew, here on a sound disk."""
+    """Check that a failed sync is final, and prepare a restart on a working disk."""
     group = context.consensus
     name = context.consensus_down
     group.run_until(lambda: bool(group.running[name].faults), "the end", 2 * SLOW_SYNC_S)
--- a/features/steps/consensus_stranger_steps.py
+++ b/features/steps/consensus_stranger_steps.py
@@ -12,8 +12,8 @@
     return group.running[group.leader()].driver.term()
 
 
-def _tell_to_campaign(context, source, messenger):
-    """Send each other replica what a leader sends to hand its leadership over."""
+def _send_campaign_request(context, source, messenger):
+    """Send each other replica the message with which a leader transfers its leadership."""
     group = context.consensus
     context.consensus_leader = group.leader()
     context.consensus_term = _term(group)
@@ -26,16 +26,16 @@
 
 
 @when('a process "{name}" tells every replica of the consensus group to campaign')
-def step_stranger(context, name):
+def step_unknown_sender(context, name):
     group = context.consensus
-    _tell_to_campaign(context, name, Messenger(group.network.transport(name), group.clock))
+    _send_campaign_request(context, name, Messenger(group.network.transport(name), group.clock))
 
 
-@when("a replica of the consensus group is told to campaign by another")
-def step_insider(context):
+@when("a replica of the consensus group gets a campaign request from another replica")
+def step_replica(context):
     group = context.consensus
     source = next(name for name in group.names if name != group.leader())
-    _tell_to_campaign(context, source, Messenger(group.network.transport(source), group.clock))
+    _send_campaign_request(context, source, Messenger(group.network.transport(source), group.clock))
 
 
 @then("the consensus group keeps its leader and its term")
--- a/features/steps/consensus_unreadable_steps.py
+++ b/features/steps/consensus_unreadable_steps.py
@@ -10,7 +10,7 @@
     raise CodecError("no such record")
 
 
-@when("a follower of the consensus group can't read what comes next")
+@when("a follower of the consensus group can't read the next entry")
 def unreadable(context):
     context.unreadable_at = context.consensus.followers()[0]
     context.consensus.running[context.unreadable_at].state.apply = _cannot_read
--- a/features/support/consensus.py
+++ b/features/support/consensus.py
@@ -1,4 +1,4 @@
-"""A replicated group in a virtual world, for the consensus features."""
+"""A replicated group on a simulated clock, network and disks, for the consensus features."""
 
 import random
 from collections.abc import Callable, Iterable, Iterator
@@ -28,12 +28,12 @@
 FLEET = "test"
 RUN_LIMIT_S = 60.0
 ANSWER_LIMIT_S = 5.0
-"""After this long a client asks again: a paused process answers nothing."""
+"""A client retries after this long, since a paused process never answers."""
 ANSWER_POLL_S = 0.01
 
 
 class RecordingState:
-    """A state machine that remembers the numbers it was given, in order."""
+    """A state machine that records the numbers it is given, in order."""
 
     def __init__(self, numbers_per_chunk: int = 10) -> None:
         self.numbers: list[int] = []
@@ -46,14 +46,14 @@
         return Done()
 
     def snapshot(self) -> Iterator[bytes]:
-        """Return some numbers a chunk, as they are at the call."""
+        """Return the numbers at the time of the call, ``numbers_per_chunk`` per chunk."""
         numbers = list(self.numbers)
         firsts = range(0, len(numbers), self._per_chunk)
         parts = (numbers[first : first + self._per_chunk] for first in firsts)
         return (",".join(map(str, part)).encode() for part in parts)
 
     def restore(self, chunks: Iterable[bytes]) -> None:
-        """Take the numbers of a snapshot."""
+        """Replace the numbers by those of a snapshot."""
         self.numbers = [int(number) for chunk in chunks for number in chunk.split(b",")]
 
 
@@ -157,11 +157,11 @@
         self.network.freeze(name)
 
     def thaw(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self.running[name].clock.thaw()
         self.network.thaw(name)
 
-    # --- looking -------------------------------------------------------------------------
+    # --- inspection ----------------------------------------------------------------------
 
     def driver(self, name: str) -> GroupDriver:
         """Return a running replica's driver."""
@@ -170,7 +170,7 @@
         return driver
 
     def leaders(self) -> list[str]:
-        """Return every replica that leads under a lease now."""
+        """Return all replicas that lead under a lease now."""
         running = ((name, member.driver) for name, member in self.running.items())
         return [name for name, driver in running if driver is not None and driver.is_leader()]
 
@@ -184,7 +184,7 @@
     def run_until(
         self, condition: Callable[[], bool], what: str, limit_s: float = RUN_LIMIT_S
     ) -> None:
-        """Run the virtual world until something holds."""
+        """Run the simulation until a condition holds."""
         deadline_s = self.clock.seconds() + limit_s
         while not condition():
             moved = self.clock.run_next(deadline_s)
@@ -193,7 +193,7 @@
                 raise AssertionError(f"not reached within {limit_s:g} virtual seconds: {what}")
 
     def run_for(self, seconds: float) -> None:
-        """Run the virtual world for a while."""
+        """Run the simulation for a number of virtual seconds."""
         until_s = self.clock.seconds() + seconds
         while self.clock.run_next(until_s):
             self.most_leaders = max(self.most_leaders, len(self.leaders()))
@@ -209,24 +209,24 @@
         return self.driver(self.leader()).status()
 
     def identity(self, name: str) -> str:
-        """Return the identity under which a replica runs."""
+        """Return the identity of a running replica."""
         return self.driver(name).core.state.identity
 
     def believes_to_lead(self, name: str) -> bool:
-        """Tell whether a replica's core is in the leader's role, with or without a lease."""
+        """Tell whether a replica's core is in the leader role, with or without a lease."""
         return self.driver(name).core.state.role == Role.LEADER
 
     # --- commands ------------------------------------------------------------------------
 
     def commit(self, count: int = 1) -> None:
-        """Commit numbers through whichever leader there is, retrying each until acknowledged."""
+        """Commit numbers through the current leader, retrying each until acknowledged."""
         for _ in range(count):
             number = self.next_number
             self.next_number += 1
             self.run_until(lambda number=number: self.try_commit(number), f"commit of {number}")
 
     def try_commit(self, number: int) -> bool:
-        """Propose a number once, where there is a leader; True when it is acknowledged."""
+        """Propose a number once if there is a leader; returns whether it was acknowledged."""
         leaders = self.leaders()
         if not leaders:
             return False
@@ -241,13 +241,13 @@
         return acknowledged
 
     def propose(self, name: str, number: int) -> list[Any]:
-        """Propose at one replica; the list gets the result when it is there."""
+        """Propose at one replica; the result is appended to the returned list."""
         results: list[Any] = []
         self.driver(name).propose(MarkInForce(number)).addCallback(results.append)
         return results
 
     def read(self, name: str) -> list[Any]:
-        """Ask for a read barrier at one replica; the list gets the result when it is there."""
+        """Request a read barrier at one replica; the result is appended to the returned list."""
         results: list[Any] = []
         self.driver(name).read_barrier().addCallback(results.append)
         return results
@@ -263,9 +263,9 @@
     name: str,
     arrives: Callable[[SnapshotChunk], bool] = lambda chunk: True,
 ) -> list[SnapshotChunk]:
-    """Return the list to which every snapshot chunk that arrives at a replica is added.
+    """Return a list to which every snapshot chunk that arrives at a replica is appended.
 
-    ``arrives`` sees each chunk first and says whether it gets through.
+    ``arrives`` is called with each chunk first; the chunk is dropped when it returns False.
     """
     transport = group.running[name].transport
     deliver = transport._deliver
--- a/features/support/consensus_faults.py
+++ b/features/support/consensus_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a consensus group must bear, alone or two at a time on different machines."""
+"""Faults that a consensus group must survive, alone or two at a time on different machines."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupFault:
-    """Something that goes wrong at one replica: how it comes, and how it ends."""
+    """A fault at one replica: how to inject it, and how to end it."""
 
-    bring: Callable[[SimulatedGroup, str], object]
+    inject: Callable[[SimulatedGroup, str], object]
     end: Callable[[SimulatedGroup, str], object]
 
 
@@ -36,7 +36,7 @@
     group.start(name)
 
 
-def _stop_frozen(group: SimulatedGroup, name: str) -> None:
+def _thaw(group: SimulatedGroup, name: str) -> None:
     group.thaw(name)
 
 
@@ -56,7 +56,7 @@
     disk.capacity_bytes = disk.used_bytes() + FULL_DISK_ROOM_BYTES
 
 
-def _empty_full_disk(group: SimulatedGroup, name: str) -> None:
+def _restart_with_free_space(group: SimulatedGroup, name: str) -> None:
     faults = group.running[name].faults
     assert [fault.code for fault in faults] == [FaultCode.STORAGE], f"{name} went on: {faults}"
     group.disks[name].capacity_bytes = None
@@ -102,7 +102,7 @@
     group.start(name, rate=FAST_RATE)
 
 
-def _hears_only(group: SimulatedGroup, name: str) -> None:
+def _cut_outgoing(group: SimulatedGroup, name: str) -> None:
     for other in group.names:
         if other != name:
             group.network.cut(name, other)
@@ -118,12 +118,14 @@
 
 GROUP_FAULTS: dict[str, GroupFault] = {
     "power cut": GroupFault(lambda group, name: group.crash(name), _start),
-    "cut off in silence": GroupFault(lambda group, name: group.network.isolate(name), _rejoin),
-    "can hear but not speak": GroupFault(_hears_only, _rejoin),
-    "frozen": GroupFault(lambda group, name: group.freeze(name), _stop_frozen),
+    "cut off by dropped packets": GroupFault(
+        lambda group, name: group.network.isolate(name), _rejoin
+    ),
+    "can receive but not send": GroupFault(_cut_outgoing, _rejoin),
+    "frozen": GroupFault(lambda group, name: group.freeze(name), _thaw),
     "disk lost": GroupFault(_lose_disk, _nothing),
     "sync fails": GroupFault(_fail_syncs, _replace_after_failed_sync),
-    "disk full": GroupFault(_fill_disk, _empty_full_disk),
+    "disk full": GroupFault(_fill_disk, _restart_with_free_space),
     "disk slow": GroupFault(_slow_disk, _fast_disk),
     "bit flipped": GroupFault(_flip_bit, _replace_damaged),
     "network lossy": GroupFault(_loss, _no_loss),
@@ -132,7 +134,7 @@
 
 
 def new_group(seed: int, replicas: int = 5) -> SimulatedGroup:
-    """Start a group that snapshots and repairs soon, and commit a little."""
+    """Start a group with frequent snapshots and a short repair timeout, and commit 10 numbers."""
     names = [f"replica-{number}" for number in range(1, replicas + 1)]
     group = SimulatedGroup(names, seed, FAULTY_SETTINGS)
     group.commit(10)
@@ -140,31 +142,31 @@
 
 
 def survive(group: SimulatedGroup, faults: list[tuple[str, bool]]) -> None:
-    """Bring faults (name, at the leader or not) one after the other, commit, end them, check."""
-    struck: list[tuple[str, str]] = []
+    """Inject faults (name, at the leader or not) in sequence, commit, end them, and check."""
+    injected: list[tuple[str, str]] = []
     for name, at_leader in faults:
-        victim = _victim(group, at_leader, [replica for _, replica in struck])
-        GROUP_FAULTS[name].bring(group, victim)
-        struck.append((name, victim))
+        victim = _victim(group, at_leader, [replica for _, replica in injected])
+        GROUP_FAULTS[name].inject(group, victim)
+        injected.append((name, victim))
         group.commit(3)
     group.run_for(FAULT_LASTS_S)
     group.commit(3)
-    for name, victim in struck:
+    for name, victim in injected:
         GROUP_FAULTS[name].end(group, victim)
     group.commit(3)
-    check_whole(group)
+    check_converged(group)
 
 
-def _victim(group: SimulatedGroup, at_leader: bool, struck: list[str]) -> str:
+def _victim(group: SimulatedGroup, at_leader: bool, injected: list[str]) -> str:
     leader = group.leader()
-    if at_leader and leader not in struck:
+    if at_leader and leader not in injected:
         return leader
-    return next(name for name in group.names if name not in struck and name != leader)
+    return next(name for name in group.names if name not in injected and name != leader)
 
 
-def check_whole(group: SimulatedGroup) -> None:
-    """Everything acknowledged is everywhere, in one order, and there was one leader at a time."""
-    group.run_until(lambda: _all_equal(group), "all replicas whole and equal", 120.0)
+def check_converged(group: SimulatedGroup) -> None:
+    """Check that replicas are equal, hold all acknowledged numbers, and leases didn't overlap."""
+    group.run_until(lambda: _all_equal(group), "all replicas complete and equal", 120.0)
     assert group.most_leaders <= 1, f"{group.most_leaders} leaders at one moment"
     for name in group.names:
         assert group.holds_acknowledged(name), f"{name} lacks acknowledged numbers"
--- a/features/support/consensus_log_model.py
+++ b/features/support/consensus_log_model.py
@@ -1,4 +1,4 @@
-"""Plain models of the consensus log in memory and of what is synced, for hypothesis."""
+"""Hypothesis models of the in-memory consensus log and of its write tracker."""
 
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -17,7 +17,7 @@
 
 
 class LogWindowModel(RuleBasedStateMachine):
-    """A ``LogWindow`` beside a list of all its entries."""
+    """Compares a ``LogWindow`` with a plain list of its entries."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -65,7 +65,7 @@
 
     @rule(ahead=strategies.integers(1, 20), growth=strategies.integers(0, 3))
     def reset(self, ahead: int, growth: int) -> None:
-        """Start anew behind a snapshot."""
+        """Restart the log after a snapshot."""
         self.base = (self.log.last_index + ahead, self._last_term() + growth)
         self.entries, self.memberships = [], {}
         self.base_membership = Membership((MemberSpec("b", f"b.{ahead}"),))
@@ -92,7 +92,7 @@
 
     @invariant()
     def agrees(self) -> None:
-        """Ends, terms and memberships are the list's."""
+        """Check that bounds, terms, entries and memberships agree with the list."""
         last = self.entries[-1].index if self.entries else self.base[0]
         assert (self.log.last_index, self.log.last_term) == (last, self._last_term())
         assert self.log.term_at(self.base[0]) == self.base[1]
@@ -104,7 +104,7 @@
 
 
 class WriteTrackerModel(RuleBasedStateMachine):
-    """A ``WriteTracker`` beside a disk that takes batches of writes in order."""
+    """Compares a ``WriteTracker`` with a disk that syncs batches of writes in order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -141,7 +141,7 @@
 
     @invariant()
     def counts_no_more_than_the_disk(self) -> None:
-        """What counts as synced is on the disk, as it is in the log now."""
+        """Check that entries that count as synced are on the disk and equal the current log's."""
         index = self.tracker.synced_index
         assert self.disk[:index] == self.written[:index]
         if not self.queue:
--- a/features/support/consensus_member.py
+++ b/features/support/consensus_member.py
@@ -1,4 +1,4 @@
-"""One member's consensus core, fed with messages by hand."""
+"""One member's consensus core, to which a test passes messages directly."""
 
 import random
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class DirectMember:
-    """Member c of five, whose log holds the founding entry of term 1."""
+    """Member c of five members, whose log holds the founding entry of term 1."""
 
     def __init__(self, term: int) -> None:
         self.now_s = 100.0
@@ -28,7 +28,7 @@
         self.start()
 
     def start(self, started_s: float | None = None) -> None:
-        """Start on what is stored, in a process that began at a time."""
+        """Start from the stored state, in a process that started at ``started_s``."""
         self.core = ConsensusCore(
             GROUP,
             "c",
@@ -43,22 +43,22 @@
         )
 
     def receive(self, source: str, message: Any) -> Effects:
-        """Hand a message over and store what it writes."""
+        """Pass a message to the core and store the hard state that it writes."""
         effects = self.core.receive(source, message, self.now_s)
         if effects.hard_state is not None:
             self.hard_state = effects.hard_state
         return effects
 
     def hear_leader(self, term: int) -> Effects:
-        """Hear a heartbeat of leader a."""
+        """Receive a heartbeat of leader a."""
         return self.receive("a", AppendRequest(GROUP, term, "a.1", SELF, 1, 1, 0, 1, ()))
 
     def hear_late_refusal(self, term: int) -> Effects:
-        """Hear that a pre-vote of long ago was refused in a later term."""
+        """Receive a late refusal of a pre-vote, which carries a later term."""
         return self.receive("e", PreVoteReply(GROUP, term, "e.1", SELF, term, False))
 
     def asked_for_vote(self, candidate: str, term: int) -> tuple[bool, bool]:
-        """Ask for a vote; returns (granted, whether the answer waits for a sync)."""
+        """Request a vote; returns (granted, whether the reply waits for a sync)."""
         request = VoteRequest(GROUP, term, f"{candidate}.1", SELF, 1, 1, False)
         effects = self.receive(candidate, request)
         at_once = [out.message for out in effects.messages if isinstance(out.message, VoteReply)]
--- a/features/support/consensus_stages.py
+++ b/features/support/consensus_stages.py
@@ -1,4 +1,4 @@
-"""Stages of a group's troubles, and the trial of what its status says at each."""
+"""Stages of failure and repair of a group, for checks of its status at each stage."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 REPAIR_AFTER_S = 3.0
 DETECTION_S = 2.5
-"""Longer than a member may be silent before it counts as not reachable."""
+"""Longer than ``unreachable_after_s``: a silent member counts as unreachable by then."""
 STALL_S = 12.0
 STAGE_SETTINGS = ConsensusSettings(
     repair_after_s=REPAIR_AFTER_S,
@@ -26,7 +26,7 @@
 
 
 class SteadyLoad:
-    """Proposes at the leader, period by period, without waiting for answers."""
+    """Proposes a batch at the leader in each period, without waiting for answers."""
 
     def __init__(self, group: SimulatedGroup) -> None:
         self._group = group
@@ -49,7 +49,7 @@
 def new_group(
     replicas: int = 5, repair_after_s: float = REPAIR_AFTER_S, **settings: Any
 ) -> SimulatedGroup:
-    """Start a group, without a commit yet."""
+    """Start a group with the stage settings and wait for its leader."""
     names = [f"replica-{number}" for number in range(1, replicas + 1)]
     changed = {"repair_after_s": repair_after_s, **settings}
     group = SimulatedGroup(names, 5, STAGE_SETTINGS.model_copy(update=changed))
@@ -63,7 +63,7 @@
 
 
 def learners(group: SimulatedGroup) -> list:
-    """Return the members that don't vote."""
+    """Return the members that are learners."""
     return [member for member in members(group) if not member.voter]
 
 
@@ -73,7 +73,7 @@
 
 
 def is_healthy(group: SimulatedGroup) -> bool:
-    """Tell whether there is a leader and it says Healthy."""
+    """Tell whether there is a leader and it reports Healthy."""
     return bool(group.leaders()) and group.status().health == "Healthy"
 
 
@@ -97,7 +97,7 @@
     group.run_until(lambda: bool(learners(group)), "a learner")
 
 
-def _two_identities(group: SimulatedGroup) -> None:
+def _two_voting_identities(group: SimulatedGroup) -> None:
     victim = _disk_lost(group)
     group.run_until(lambda: has_two_voters_of(group, victim), "both identities vote")
 
@@ -135,7 +135,7 @@
     "one replica is back from the power cut": _back,
     "one disk is lost": _disk_lost_and_noticed,
     "its successor is a learner": _learner,
-    "the old identity still counts": _two_identities,
+    "the old identity still votes": _two_voting_identities,
     "the repair is done": _repaired,
     "one replica is far behind": _far_behind,
     "the leader has just changed": _leader_changed,
@@ -143,7 +143,7 @@
 
 
 def at_stage(stage: str) -> SimulatedGroup:
-    """Bring a new group to a stage; the same stage is always the same group."""
+    """Bring a new group to a stage; the same stage always gives the same group state."""
     group = new_group()
     group.commit(60)
     STAGES[stage](group)
@@ -151,7 +151,7 @@
 
 
 def lose_voters(group: SimulatedGroup, count: int) -> None:
-    """Lose machines that vote and are reachable, for good, the leader first."""
+    """Permanently lose reachable voters, the leader first."""
     leader = group.leader()
     status = group.status()
     sound = [m.replica for m in status.members if m.voter and m.reachable and m.replica != leader]
@@ -159,7 +159,7 @@
         group.lose_disk(name)
 
 
-def goes_on(group: SimulatedGroup) -> bool:
+def still_commits(group: SimulatedGroup) -> bool:
     """Tell whether the group commits again and its leader holds everything acknowledged."""
     before = group.next_number
     try:
