--- a/features/consensus/model_check.feature
+++ b/features/consensus/model_check.feature
@@ -41,7 +41,7 @@
     When the model check runs up to 30 schedules from seed 1060
     Then the model check finds a violation of "lease-promise"
 
-  Scenario Outline: The command's exit code and last line tell what was found
+  Scenario Outline: The command's exit code and last line report the result
     When "rainsail check consensus --schedules 30 --seed <seed> <option>" is run
     Then the model check's command ends with exit code <code> and one JSON object as last line
 
--- a/features/consensus/repair.feature
+++ b/features/consensus/repair.feature
@@ -54,7 +54,7 @@
   Scenario: A permanently lost learner doesn't block other repairs
     Given a consensus group of 5 replicas that repairs after 3 seconds
     And 60 numbers are committed in the consensus group
-    When a replica of the consensus group loses its disk, and its successor dies as a learner
+    When a replica of the consensus group loses its disk, and its successor crashes as a learner
     And another replica of the consensus group loses its disk and starts again
     Then the consensus group repairs the other replica within 30 seconds
     When the dead learner of the consensus group starts again
--- a/features/consensus/snapshots.feature
+++ b/features/consensus/snapshots.feature
@@ -33,7 +33,7 @@
     Given a consensus group of 3 replicas that snapshots every 50 entries
     When a follower of the consensus group is cut off by dropped packets
     And 400 numbers are committed in the consensus group
-    And the cut-off replica of the consensus group is connected again and the leader dies at chunk 10
+    And the cut-off replica of the consensus group is connected again and the leader crashes at chunk 10
     And the crashed replica of the consensus group starts again
     Then every replica of the consensus group applies all of them
 
--- a/features/steps/consensus_failing_command_steps.py
+++ b/features/steps/consensus_failing_command_steps.py
@@ -58,7 +58,7 @@
 
 
 @then("its proposer gets an internal fault whose outcome is unknown")
-def told(context):
+def proposer_gets_fault(context):
     fault = context.failed_result.error
     assert (fault.code, fault.step) == (FaultCode.INTERNAL, "consensus.apply"), fault
     assert fault.outcome == Outcome.UNKNOWN, fault
@@ -107,15 +107,15 @@
 def fail_listener(context):
     group = context.consensus
     driver = group.driver(group.leader())
-    context.told = []
+    context.notified = []
     driver.on_applied(_fail)
-    driver.on_applied(context.told.append)
+    driver.on_applied(context.notified.append)
 
 
 @then("the other listener was notified of each of them")
-def other_told(context):
+def other_notified(context):
     group = context.consensus
-    assert context.told[-1] == group.driver(group.leader())._applier.applied_index
+    assert context.notified[-1] == group.driver(group.leader())._applier.applied_index
 
 
 @when("the first listener to each replica's leadership fails")
@@ -131,5 +131,5 @@
 
 
 @then("the next leader's other listener was notified that it leads")
-def other_told_of_leadership(context):
+def other_notified_of_leadership(context):
     assert context.leadership[context.consensus.leader()] == [True], context.leadership
--- a/features/steps/consensus_failures_steps.py
+++ b/features/steps/consensus_failures_steps.py
@@ -67,7 +67,9 @@
     group.run_until(lambda: group.leaders() in ([slow], [kept]), "another leader")
     group.commit(1)
     group.network.rejoin(leader)
-    group.run_until(lambda: all(map(group.holds_acknowledged, group.names)), "all whole", 20.0)
+    group.run_until(
+        lambda: all(map(group.holds_acknowledged, group.names)), "all replicas complete", 20.0
+    )
 
 
 @when("the syncs of the consensus group's leader fail and a number is proposed there")
--- a/features/steps/consensus_repair_steps.py
+++ b/features/steps/consensus_repair_steps.py
@@ -123,7 +123,7 @@
     group.commit(2)
     for name in group.names:
         if name != context.consensus_lost:
-            group.run_until(lambda name=name: group.holds_acknowledged(name), f"{name} whole")
+            group.run_until(lambda name=name: group.holds_acknowledged(name), f"{name} complete")
 
 
 @then("the consensus group never has two learners, and is healthy within {seconds:g} seconds")
@@ -169,8 +169,8 @@
     assert stages.still_commits(context.consensus)
 
 
-@when("a replica of the consensus group loses its disk, and its successor dies as a learner")
-def learner_dies(context):
+@when("a replica of the consensus group loses its disk, and its successor crashes as a learner")
+def crash_learner(context):
     """Crash the replacement while it is a learner."""
     group = context.consensus
     context.consensus_learner = group.followers()[0]
--- a/features/steps/consensus_snapshot_reading_steps.py
+++ b/features/steps/consensus_snapshot_reading_steps.py
@@ -58,11 +58,11 @@
     group = context.consensus
     context.consensus_leader = group.leader()
     storage = group.driver(context.consensus_leader)._snapshots._storage
-    whole = storage.read_snapshot
+    read_snapshot = storage.read_snapshot
     failed = []
 
     def reading():
-        for place, chunk in enumerate(whole()):
+        for place, chunk in enumerate(read_snapshot()):
             if place == number and len(failed) < times:
                 failed.append(place)
                 raise RainsailError(Fault(FaultCode.STORAGE, "snapshot", "input/output error"))
@@ -366,11 +366,11 @@
     _collect_log(context)
     context.consensus_leader = group.leader()
     state = group.running[context.consensus_leader].state
-    whole = state.snapshot
+    take_snapshot = state.snapshot
     failed = []
 
     def snapshot():
-        chunks = whole()
+        chunks = take_snapshot()
         yield next(chunks)
         if not failed:
             failed.append(True)
@@ -389,7 +389,7 @@
 
 @then('the consensus group has logged {times:d} times that a snapshot "{what}"')
 @then('the consensus group has logged {times:d} times that a snapshot is "{what}"')
-def told(context, times, what):
+def logged(context, times, what):
     lines = [line for line in context.consensus_log if what in line]
     assert len(lines) == times, context.consensus_log
 
--- a/features/steps/consensus_snapshot_steps.py
+++ b/features/steps/consensus_snapshot_steps.py
@@ -89,9 +89,9 @@
 
 @when(
     "the cut-off replica of the consensus group is connected again "
-    "and the leader dies at chunk {number:d}"
+    "and the leader crashes at chunk {number:d}"
 )
-def leader_dies_at_chunk(context, number):
+def crash_leader_at_chunk(context, number):
     """Crash the leader when the follower gets the chunk."""
     _until_chunk(context, number)
     context.consensus_down = context.consensus.leader()
--- a/features/steps/consensus_stranger_steps.py
+++ b/features/steps/consensus_stranger_steps.py
@@ -25,7 +25,7 @@
     group.clock.advance(WAIT_S)
 
 
-@when('a process "{name}" tells every replica of the consensus group to campaign')
+@when('a process "{name}" asks every replica of the consensus group to campaign')
 def step_unknown_sender(context, name):
     group = context.consensus
     _send_campaign_request(context, name, Messenger(group.network.transport(name), group.clock))
--- a/features/support/consensus_stages.py
+++ b/features/support/consensus_stages.py
@@ -154,8 +154,10 @@
     """Permanently lose reachable voters, the leader first."""
     leader = group.leader()
     status = group.status()
-    sound = [m.replica for m in status.members if m.voter and m.reachable and m.replica != leader]
-    for name in [leader, *sound][:count]:
+    reachable = [
+        m.replica for m in status.members if m.voter and m.reachable and m.replica != leader
+    ]
+    for name in [leader, *reachable][:count]:
         group.lose_disk(name)
 
 
--- a/src/rainsail/consensus/applier.py
+++ b/src/rainsail/consensus/applier.py
@@ -120,7 +120,7 @@
             self._apply_command(entry.index, command_of(entry.payload))
         if waiting is None:
             return None
-        return waiting.proposal, Error(overruled())
+        return waiting.proposal, Error(entry_replaced())
 
     def _apply_command(self, index: int, command: Any) -> ProposalResult:
         """Apply a command; if the state machine raises, the outcome is an error.
@@ -161,7 +161,7 @@
     return Fault(FaultCode.INTERNAL, "consensus.apply", detail, outcome=Outcome.UNKNOWN)
 
 
-def overruled() -> Fault:
+def entry_replaced() -> Fault:
     """Return the fault of a proposal whose entry was replaced by another leader's."""
     return Fault(
         FaultCode.NOT_LEADER,
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -232,9 +232,9 @@
         now = self._clock.seconds()
         self._take(self.core.tick(now))
         if self._leads_on_stalled_disk(now):
-            self._hand_over(now)
-        if open_group.should_hand_over(self.core.state):
-            self._hand_over(now)
+            self._begin_transfer(now)
+        if open_group.should_transfer_leadership(self.core.state):
+            self._begin_transfer(now)
         membership = repair.next_membership(self.core.state, now)
         if membership is not None and not self._stopped:
             self.change_membership(membership)
@@ -247,7 +247,7 @@
         stalled = self._sync_stall_detector.is_stalled(self._sync_queue.running_sequence, now)
         return stalled and self.core.state.role == Role.LEADER
 
-    def _hand_over(self, now: float) -> None:
+    def _begin_transfer(self, now: float) -> None:
         _, effects = self.core.transfer_leadership(now)
         self._take(effects)
 
--- a/src/rainsail/consensus/founding.py
+++ b/src/rainsail/consensus/founding.py
@@ -28,7 +28,7 @@
     """Try to found the group, and announce this replica's identity."""
     state.election_deadline_s = now + state.settings.hello_period_s
     if is_founder(state) and not state.group_exists:
-        ask_for_founding(state)
+        request_founding_votes(state)
     send_hello(state)
 
 
@@ -38,11 +38,11 @@
         state.send(name, Hello(state.group, state.term, state.identity, "", state.replica))
 
 
-def ask_for_founding(state: CoreState) -> None:
+def request_founding_votes(state: CoreState) -> None:
     """Request every bootstrap replica's vote, in a new term when a vote was refused."""
-    asks_again = state.role == Role.FOUNDER and not state.founding_refused
+    repeats_request = state.role == Role.FOUNDER and not state.founding_refused
     state.change_role(Role.FOUNDER)
-    if not asks_again:
+    if not repeats_request:
         # A restart also starts a new term: this replica may have led the stored term already and
         # lost its entries.
         state.founding_refused = False
--- a/src/rainsail/consensus/model_schedule.py
+++ b/src/rainsail/consensus/model_schedule.py
@@ -15,8 +15,8 @@
 
 
 CRASH_DELAY_STEPS = 25
-SYNC_WHEN_IDLE = 0.8
-SECOND_CRASH = 0.3
+SYNC_WHEN_IDLE_PROBABILITY = 0.8
+SECOND_CRASH_PROBABILITY = 0.3
 SLOW_LINK_STEPS = 150
 
 
@@ -115,7 +115,7 @@
         if leader is not None:
             self._crash(leader)
         other = self._any_running()
-        if other is not None and self._random.random() < SECOND_CRASH:
+        if other is not None and self._random.random() < SECOND_CRASH_PROBABILITY:
             self._crash(other)
 
     def _any_running(self) -> ModelMember | None:
@@ -134,7 +134,7 @@
     def _deliver(self) -> None:
         in_flight = self._world.in_flight
         if not in_flight:
-            if self._random.random() < SYNC_WHEN_IDLE and self._sync():
+            if self._random.random() < SYNC_WHEN_IDLE_PROBABILITY and self._sync():
                 return
             self._advance_time()
             return
--- a/src/rainsail/consensus/model_start.py
+++ b/src/rainsail/consensus/model_start.py
@@ -27,7 +27,7 @@
 )
 CLOSE_TIMEOUTS = MODEL_SETTINGS.model_copy(update={"election_timeout_spread": 0.05})
 """Settings with which members campaign at nearly the same time, so that candidates compete."""
-CLOSE_TIMEOUTS_SHARE = 0.3
+CLOSE_TIMEOUTS_PROBABILITY = 0.3
 
 
 def founded_disk(member: ModelMember, membership: Membership, founder: str) -> None:
@@ -40,7 +40,7 @@
     """Build a group of running members, founded already in most cases."""
     names = tuple(MEMBER_NAMES[:size])
     members = {}
-    settings = CLOSE_TIMEOUTS if random.random() < CLOSE_TIMEOUTS_SHARE else MODEL_SETTINGS
+    settings = CLOSE_TIMEOUTS if random.random() < CLOSE_TIMEOUTS_PROBABILITY else MODEL_SETTINGS
     for name in names:
         rate = 1 + random.uniform(-CLOCK_RATE_SPREAD, CLOCK_RATE_SPREAD)
         members[name] = ModelMember(name, names, settings, random, rate)
--- a/src/rainsail/consensus/open_group.py
+++ b/src/rainsail/consensus/open_group.py
@@ -20,7 +20,7 @@
     return replica in state.contacts or bool(state.membership.named(replica))
 
 
-def should_hand_over(state: CoreState) -> bool:
+def should_transfer_leadership(state: CoreState) -> bool:
     """Return whether this member leads, is to leave, and enough other voters remain."""
     if state.replica not in state.leaving or state.role != Role.LEADER:
         return False
--- a/src/rainsail/consensus/repair.py
+++ b/src/rainsail/consensus/repair.py
@@ -24,7 +24,7 @@
         return None
     learner = next((m for m in state.membership.members if not m.voter), None)
     if learner is not None:
-        return after_learner(state, learner, now)
+        return after_learner_step(state, learner, now)
     replaced = replaced_member(state)
     if replaced is not None:
         return state.membership.without(replaced.identity)
@@ -34,7 +34,7 @@
     return with_replacement_learner(state, now) or with_additional_learner(state, now)
 
 
-def after_learner(state: CoreState, learner: MemberSpec, now: float) -> Membership | None:
+def after_learner_step(state: CoreState, learner: MemberSpec, now: float) -> Membership | None:
     """Promote a caught-up learner, or remove one that was replaced or is past the repair timeout.
 
     A learner that is permanently lost must not block other repairs.
--- a/src/rainsail/consensus/snapshot_source.py
+++ b/src/rainsail/consensus/snapshot_source.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class _Reading:
+class _SnapshotReader:
     """One follower's read position in the snapshot."""
 
     snapshot_index: int
@@ -33,7 +33,7 @@
 
     def __init__(self, storage: GroupStorage) -> None:
         self._storage = storage
-        self._readings: dict[str, _Reading] = {}
+        self._readers: dict[str, _SnapshotReader] = {}
 
     def piece(self, snapshot_index: int, identity: str, offset: int) -> Result[PieceRead, Fault]:
         """Return the piece at an offset of the current snapshot, or its checksum past the end.
@@ -48,21 +48,21 @@
 
     def forget(self, identity: str) -> None:
         """Close a follower's reader."""
-        self._readings.pop(identity, None)
+        self._readers.pop(identity, None)
 
     def _read(self, snapshot_index: int, identity: str, offset: int) -> PieceRead:
-        reading = self._readings.get(identity)
-        if reading is None or reading.snapshot_index != snapshot_index or offset < reading.offset:
-            reading = self._open(snapshot_index)
-            self._readings[identity] = reading
-        while reading.offset < offset and not isinstance(reading.piece, SnapshotSum):
-            reading.piece = _next_piece(reading.pieces)
-            reading.offset += 1
-        return PieceRead(reading.offset, reading.piece)
-
-    def _open(self, snapshot_index: int) -> _Reading:
+        reader = self._readers.get(identity)
+        if reader is None or reader.snapshot_index != snapshot_index or offset < reader.offset:
+            reader = self._open(snapshot_index)
+            self._readers[identity] = reader
+        while reader.offset < offset and not isinstance(reader.piece, SnapshotSum):
+            reader.piece = _next_piece(reader.pieces)
+            reader.offset += 1
+        return PieceRead(reader.offset, reader.piece)
+
+    def _open(self, snapshot_index: int) -> _SnapshotReader:
         pieces = self._storage.read_snapshot()
-        return _Reading(snapshot_index, pieces, 0, _next_piece(pieces))
+        return _SnapshotReader(snapshot_index, pieces, 0, _next_piece(pieces))
 
 
 def _next_piece(pieces: Iterator[SnapshotPiece]) -> SnapshotPiece:
