--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -1,8 +1,8 @@
-"""Runs one member of a group: carries out what the consensus core decides.
+"""Runs one member of a group: carries out the effects that the consensus core returns.
 
-Owns the order in which effects are carried out, the member's wake-up timer, and the answers to
-proposals and reads. Relies on ``core`` for every decision, on ``sync_queue`` for writes, on
-``apply_loop`` for the state machine and on ``snapshot_worker`` for snapshots.
+The driver owns the order of effects, the member's timer, and the replies to proposals and reads.
+``core`` makes every decision, ``sync_queue`` writes, ``apply_loop`` runs the state machine, and
+``snapshot_worker`` handles snapshots.
 """
 
 from collections import deque
@@ -21,12 +21,12 @@
 from rainsail.consensus.group_status import GroupStatusReply
 from rainsail.consensus.leadership import Leadership
 from rainsail.consensus.log_window import LogWindow
+from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
 from rainsail.consensus.member_log import (
     log_acknowledged_lost,
     log_snapshot_refused,
-    log_stranger,
+    log_unknown_sender,
 )
-from rainsail.consensus.member_seams import GroupMember, MemberSeams
 from rainsail.consensus.membership import Membership
 from rainsail.consensus.messages import GroupMessage
 from rainsail.consensus.proposal_queue import ProposalQueue
@@ -36,7 +36,7 @@
 from rainsail.consensus.snapshot_worker import SnapshotWorker
 from rainsail.consensus.status import status_reply
 from rainsail.consensus.sync_queue import SyncQueue
-from rainsail.consensus.sync_watch import SyncWatch
+from rainsail.consensus.sync_stall_detector import SyncStallDetector
 from rainsail.consensus.wake_timer import WakeTimer
 from rainsail.errors import Fault, FaultCode
 
@@ -45,29 +45,29 @@
     """One member of a replicated group; implements ``rainsail.consensus.interface.Group``."""
 
     def __init__(
-        self, member: GroupMember, seams: MemberSeams, settings: ConsensusSettings
+        self, member: GroupMember, dependencies: MemberDependencies, settings: ConsensusSettings
     ) -> None:
         self.group = member.group
         self.settings = settings
         self._founders = frozenset(member.founders)
-        self._clock = seams.clock
-        self._router = seams.router
-        self._state_machine = seams.state_machine
-        log = recover_log(seams.storage, seams.state_machine)
-        self.core = _new_core(member, seams, settings, log)
+        self._clock = dependencies.clock
+        self._router = dependencies.router
+        self._state_machine = dependencies.state_machine
+        log = recover_log(dependencies.storage, dependencies.state_machine)
+        self.core = _new_core(member, dependencies, settings, log)
         self._effects: deque[Effects] = deque()
         self._taking = False
         self._stopped = False
         self._fatal_listeners: list[Callable[[Fault], None]] = []
         self._timer = WakeTimer(self._clock, self._wake)
         self._leadership = Leadership()
-        self._applier = Applier(log, seams.state_machine, log.base_index)
+        self._applier = Applier(log, dependencies.state_machine, log.base_index)
         self._reads = ReadBarriers(self._applier)
-        self._sync_queue = SyncQueue(seams.storage, self._send, self._synced, self._fatal)
-        self._sync_watch = SyncWatch(settings.sync_stall_s)
+        self._sync_queue = SyncQueue(dependencies.storage, self._send, self._synced, self._fatal)
+        self._sync_stall_detector = SyncStallDetector(settings.sync_stall_s)
         self._snapshots = SnapshotWorker(
-            seams.storage,
-            seams.state_machine,
+            dependencies.storage,
+            dependencies.state_machine,
             self._applier,
             self.core,
             self._clock,
@@ -90,13 +90,13 @@
             self._clock,
             self._take,
             self._not_leader,
-            seams.encode_command,
+            dependencies.encode_command,
         )
 
     # --- life cycle ----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to take messages and run timers."""
+        """Start to receive messages and run timers."""
         self._router.add(self.group, self._receive)
         self._arm()
 
@@ -115,7 +115,7 @@
         self._reads.fail_all(self._not_leader("consensus.read_barrier"))
 
     def on_fatal(self, listener: Callable[[Fault], None]) -> None:
-        """Call ``listener`` when this member had to stop: its storage can't be trusted."""
+        """Call ``listener`` when a fault stops this member, as when its storage is unreliable."""
         self._fatal_listeners.append(listener)
 
     def _fatal(self, fault: Fault) -> None:
@@ -128,13 +128,13 @@
     # --- the Group interface -------------------------------------------------------------
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, has applied its first entry and holds the lease."""
+        """Return whether this replica leads, has applied its first entry and holds the lease."""
         if self._stopped or not self._leadership.announced:
             return False
         return self.core.holds_lease(self._clock.seconds())
 
     def leader(self) -> str:
-        """Return the name of the leader as last heard of, or an empty string."""
+        """Return the name of the last known leader, or an empty string."""
         return self.core.state.leader_replica
 
     def term(self) -> int:
@@ -150,7 +150,7 @@
         self._leadership.listen(listener)
 
     def propose(self, command: Any) -> "Deferred[ProposalResult]":
-        """Commit and apply a command; fires with (index, outcome) or a fault."""
+        """Commit and apply a command; the Deferred fires with (index, outcome) or a fault."""
         return self._proposals.propose(command)
 
     def _not_leader(self, step: str) -> Fault:
@@ -166,38 +166,38 @@
         return done
 
     def status(self) -> GroupStatusReply:
-        """Return this replica's view of the group; only a leader's speaks of its health."""
+        """Return this replica's view of the group; only the leader can report its health."""
         revision = int(getattr(self._state_machine, "revision", 0))
         now = self._clock.seconds()
         return status_reply(self.core.state, self._applier.applied_index, revision, now)
 
     def transfer_leadership(self) -> "Deferred[Result[None, Fault]]":
-        """Hand leadership to the most advanced voter; fires when this replica leads no more."""
+        """Transfer leadership to the most advanced voter; fires when this replica stops leading."""
         step = "consensus.transfer_leadership"
         if self._stopped or self.core.state.role != Role.LEADER:
             return succeed(Error(self._not_leader(step)))
         begun, effects = self.core.transfer_leadership(self._clock.seconds())
         if not begun:
-            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter is there")))
+            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter to take over")))
         done: Deferred[Result[None, Fault]] = Deferred()
-        self._leadership.when_over(lambda: done.callback(Ok(None)))
+        self._leadership.call_when_ended(lambda: done.callback(Ok(None)))
         self._take(effects)
         return done
 
     def change_membership(self, membership: Membership) -> Fault | None:
-        """Propose a single-step membership change, or say why it can't be made now."""
+        """Propose a single-step membership change, or return why it is refused now."""
         fault, effects = self.core.change_membership(membership, self._clock.seconds())
         self._take(effects)
         return fault
 
     # --- open groups ---------------------------------------------------------------------
 
-    def open_to(self, contacts: tuple[str, ...], target_voters: int) -> None:
-        """Let replicas that were not founders join; ``contacts`` are those known by now."""
-        open_group.open_to(self.core.state, contacts, target_voters)
+    def open_membership(self, contacts: tuple[str, ...], target_voters: int) -> None:
+        """Let replicas other than the founders join; ``contacts`` are the known replicas."""
+        open_group.open_membership(self.core.state, contacts, target_voters)
 
-    def let_go(self, replicas: frozenset[str]) -> None:
-        """Move the group off these replicas; a leader among them hands its leadership over."""
+    def set_leaving_replicas(self, replicas: frozenset[str]) -> None:
+        """Move the group off these replicas; a leader among them transfers its leadership."""
         self.core.state.leaving = replicas
 
     def members(self) -> Membership:
@@ -209,8 +209,10 @@
     def _receive(self, source: str, message: GroupMessage) -> None:
         if self._stopped:
             return
-        if source not in self._founders and not open_group.may_speak(self.core.state, source):
-            log_stranger(source, message)
+        if source not in self._founders and not open_group.accepts_messages_from(
+            self.core.state, source
+        ):
+            log_unknown_sender(source, message)
             return
         self._take(self.core.receive(source, message, self._clock.seconds()))
 
@@ -230,29 +232,29 @@
         now = self._clock.seconds()
         self._take(self.core.tick(now))
         if self._leads_on_stalled_disk(now):
-            self._hand_over(now)
-        if open_group.should_hand_over(self.core.state):
-            self._hand_over(now)
+            self._begin_transfer(now)
+        if open_group.should_transfer_leadership(self.core.state):
+            self._begin_transfer(now)
         membership = repair.next_membership(self.core.state, now)
         if membership is not None and not self._stopped:
             self.change_membership(membership)
 
     def _leads_on_stalled_disk(self, now: float) -> bool:
-        """Tell whether the own disk finishes no sync while this member leads.
+        """Return whether this member leads while a sync of its disk is stalled.
 
-        Nothing new would be committed until another replica leads.
+        New proposals wait for that sync, so nothing new commits until another replica leads.
         """
-        stalled = self._sync_watch.is_stalled(self._sync_queue.running_sequence, now)
+        stalled = self._sync_stall_detector.is_stalled(self._sync_queue.running_sequence, now)
         return stalled and self.core.state.role == Role.LEADER
 
-    def _hand_over(self, now: float) -> None:
+    def _begin_transfer(self, now: float) -> None:
         _, effects = self.core.transfer_leadership(now)
         self._take(effects)
 
     # --- effects -------------------------------------------------------------------------
 
     def _take(self, effects: Effects) -> None:
-        """Carry effects out in order, also those that arise while others are carried out."""
+        """Carry effects out in order, including those that arise while others are carried out."""
         self._effects.append(effects)
         if self._taking:
             return
@@ -295,7 +297,10 @@
 
 
 def _new_core(
-    member: GroupMember, seams: MemberSeams, settings: ConsensusSettings, log: LogWindow
+    member: GroupMember,
+    dependencies: MemberDependencies,
+    settings: ConsensusSettings,
+    log: LogWindow,
 ) -> ConsensusCore:
     return ConsensusCore(
         member.group,
@@ -303,9 +308,9 @@
         member.identity.identity,
         member.founders,
         settings,
-        seams.random,
-        seams.storage.hard_state,
+        dependencies.random,
+        dependencies.storage.hard_state,
         log,
-        seams.clock.seconds(),
-        seams.process_started_s,
+        dependencies.clock.seconds(),
+        dependencies.process_started_s,
     )
--- a/src/rainsail/consensus/leadership.py
+++ b/src/rainsail/consensus/leadership.py
@@ -1,14 +1,14 @@
-"""Tells listeners when a member's leadership begins and ends."""
+"""Notification of listeners when a member's leadership begins and ends."""
 
 from collections.abc import Callable
 
-from rainsail.consensus.listeners import tell_each
+from rainsail.consensus.listeners import notify_listeners
 
 Listener = Callable[[bool], None]
 
 
 class Leadership:
-    """Whether the member's leadership has been announced, and to whom."""
+    """Tracks whether the member's leadership is announced, and notifies the listeners."""
 
     def __init__(self) -> None:
         self.announced = False
@@ -18,8 +18,8 @@
         """Call ``listener(True)`` when leadership begins, ``listener(False)`` when it ends."""
         self._listeners.append(listener)
 
-    def when_over(self, call: Callable[[], None]) -> None:
-        """Call once when leadership ends, also when it was never announced."""
+    def call_when_ended(self, call: Callable[[], None]) -> None:
+        """Call ``call`` once when leadership ends, even if it was never announced."""
 
         def ended(leads: bool) -> None:
             if not leads:
@@ -32,11 +32,11 @@
     def begin(self) -> None:
         """Announce that leadership has begun."""
         self.announced = True
-        tell_each(self._listeners, True)
+        notify_listeners(self._listeners, True)
 
     def end(self) -> None:
         """Announce that leadership has ended, if it was announced."""
         if not self.announced:
             return
         self.announced = False
-        tell_each(self._listeners, False)
+        notify_listeners(self._listeners, False)
--- a/src/rainsail/consensus/model_schedule.py
+++ b/src/rainsail/consensus/model_schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules: which step comes next, and how rough the weather is."""
+"""Random schedules: the choice of the next step, and planned crashes and link cuts."""
 
 import random as random_module
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from rainsail.consensus.model_links import SlowLinks
 from rainsail.consensus.model_member import ModelMember
 from rainsail.consensus.model_start import new_world
-from rainsail.consensus.model_weather import WEATHERS
+from rainsail.consensus.model_weights import WEIGHT_PROFILES
 from rainsail.consensus.model_world import InFlight
 
 MAX_IN_FLIGHT = 60
@@ -15,34 +15,34 @@
 
 
 CRASH_DELAY_STEPS = 25
-SYNC_WHEN_IDLE = 0.8
-SECOND_CRASH = 0.3
+SYNC_WHEN_IDLE_PROBABILITY = 0.8
+SECOND_CRASH_PROBABILITY = 0.3
 SLOW_LINK_STEPS = 150
 
 
 class Schedule:
-    """One random run of a world."""
+    """One random run of a group."""
 
     def __init__(self, seed: int) -> None:
         self._random = random_module.Random(f"schedule {seed}")
-        weather = self._random.choice(WEATHERS)
-        self._weather = weather
-        self.world = new_world(self._random, self._random.choice(weather.sizes))
+        weights = self._random.choice(WEIGHT_PROFILES)
+        self._weights = weights
+        self.world = new_world(self._random, self._random.choice(weights.sizes))
         self._world = self.world
         self._steps: list[tuple[float, Callable[[], object]]] = []
         total = 0.0
         for weight, step in (
-            (weather.deliver, self._deliver),
-            (weather.sync, self._sync),
-            (weather.pass_time, self._pass_time),
-            (weather.client, self._client),
-            (weather.crash, self._crash_any),
-            (weather.restart, self._start_any),
-            (weather.lose_disk, self._lose_disk),
-            (weather.cut, self._cut_or_mend),
-            (weather.manage, self._manage),
-            (weather.slow_link, self._slow_link),
-            (weather.lose_two_disks, self._lose_two_disks),
+            (weights.deliver, self._deliver),
+            (weights.sync, self._sync),
+            (weights.advance_time, self._advance_time),
+            (weights.client, self._client),
+            (weights.crash, self._crash_any),
+            (weights.restart, self._start_any),
+            (weights.lose_disk, self._lose_disk),
+            (weights.cut, self._cut_or_heal_links),
+            (weights.manage, self._manage),
+            (weights.slow_link, self._slow_link),
+            (weights.lose_two_disks, self._lose_two_disks),
         ):
             total += weight
             self._steps.append((total, step))
@@ -64,12 +64,12 @@
                     step()
                     break
             if self._world.coverage.elections > elections:
-                self._plan_crash(self._weather.crash_after_election)
-                self._plan_cut(self._weather.cut_after_election)
+                self._plan_crash(self._weights.crash_after_election)
+                self._plan_cut(self._weights.cut_after_election)
             if self._world.coverage.commits > commits:
-                self._plan_crash(self._weather.crash_after_commit)
+                self._plan_crash(self._weights.crash_after_commit)
             if self._world.coverage.membership_changes > changes:
-                self._plan_crash(self._weather.crash_in_change)
+                self._plan_crash(self._weights.crash_in_change)
             self._crash_when_planned()
             self._cut_when_planned()
 
@@ -86,7 +86,7 @@
         return self._random.randint(1, 4 if soon else CRASH_DELAY_STEPS)
 
     def _cut_when_planned(self) -> None:
-        """Cut off the leader of the latest term, and end the cuts before."""
+        """Isolate the leader of the latest term, and end all earlier cuts."""
         if self._cut_in is None:
             return
         self._cut_in -= 1
@@ -104,7 +104,7 @@
         return max(leaders, key=lambda member: member.term()) if leaders else None
 
     def _crash_when_planned(self) -> None:
-        """Cut the power of the leader, now and then with another machine's."""
+        """Crash a leader, sometimes together with another member."""
         if self._crash_in is None:
             return
         self._crash_in -= 1
@@ -115,7 +115,7 @@
         if leader is not None:
             self._crash(leader)
         other = self._any_running()
-        if other is not None and self._random.random() < SECOND_CRASH:
+        if other is not None and self._random.random() < SECOND_CRASH_PROBABILITY:
             self._crash(other)
 
     def _any_running(self) -> ModelMember | None:
@@ -134,9 +134,9 @@
     def _deliver(self) -> None:
         in_flight = self._world.in_flight
         if not in_flight:
-            if self._random.random() < SYNC_WHEN_IDLE and self._sync():
+            if self._random.random() < SYNC_WHEN_IDLE_PROBABILITY and self._sync():
                 return
-            self._pass_time()
+            self._advance_time()
             return
         while len(in_flight) > MAX_IN_FLIGHT:
             self._take(self._random.randrange(len(in_flight)))
@@ -146,14 +146,14 @@
             position = self._slow_links.first_ready(in_flight, self._world.coverage.steps)
         message = self._take(position)
         drawn = self._random.random()
-        if drawn < self._weather.loss:
+        if drawn < self._weights.loss:
             return
-        if drawn > 1 - self._weather.duplication:
+        if drawn > 1 - self._weights.duplication:
             in_flight.append(message)
         self._world.deliver(message)
 
     def _slow_link(self) -> None:
-        """Hold back what one member sends to another, for some steps."""
+        """Hold back messages from one member to another for some steps."""
         source, target = self._random.sample(list(self._world.members), 2)
         until = self._world.coverage.steps + self._random.randint(10, SLOW_LINK_STEPS)
         self._slow_links.hold(source, target, until)
@@ -172,7 +172,7 @@
             self._world.sync(member)
         return True
 
-    def _pass_time(self) -> None:
+    def _advance_time(self) -> None:
         world = self._world
         running = world.running()
         if not running:
@@ -209,7 +209,7 @@
             self._crash(member)
 
     def _crash(self, member: ModelMember) -> None:
-        """Crash a member; what it had sent is lost with its connections, or arrives late."""
+        """Crash a member; its sent messages are lost with its connections or arrive late."""
         self._world.coverage.crashes_in_change += self._world.in_change()
         member.crash()
         if self._random.random() < 0.5:
@@ -217,7 +217,7 @@
         self._world.coverage.crashes += 1
 
     def _lose_disk(self) -> None:
-        """Lose a disk, but never so many that no copy of the group's state is left."""
+        """Lose a disk, but only while a majority of the disks keeps the group's state."""
         members = list(self._world.members.values())
         whole = [member for member in members if not member.disk.is_blank()]
         member = self._random.choice(members)
@@ -232,13 +232,13 @@
             member.start(self._world.time_s)
 
     def _lose_two_disks(self) -> None:
-        """Lose two disks shortly one after the other."""
+        """Lose two disks within a few steps."""
         self._lose_disk()
         for _ in range(self._random.randint(0, CRASH_DELAY_STEPS)):
             self._deliver()
         self._lose_disk()
 
-    def _cut_or_mend(self) -> None:
+    def _cut_or_heal_links(self) -> None:
         world = self._world
         names = list(world.members)
         if world.cuts and self._random.random() < 0.6:
--- a/src/rainsail/consensus/snapshot_source.py
+++ b/src/rainsail/consensus/snapshot_source.py
@@ -1,4 +1,4 @@
-"""Reads the stored snapshot chunk by chunk for followers that are behind the log."""
+"""Reading of the stored snapshot, chunk by chunk, for followers that are behind the log."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,8 +11,8 @@
 
 
 @dataclass(slots=True)
-class _Reading:
-    """One follower's place in the snapshot."""
+class _SnapshotReader:
+    """One follower's read position in the snapshot."""
 
     snapshot_index: int
     pieces: Iterator[SnapshotPiece]
@@ -22,23 +22,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceRead:
-    """A chunk, or behind the last one the sum of all; the sum's ``offset`` counts the chunks."""
+    """A chunk or, after the last one, the checksum of all; its offset is the chunk count."""
 
     offset: int
     piece: SnapshotPiece
 
 
 class SnapshotSource:
-    """Keeps one open reading per follower, so that chunks in sequence cost one read each."""
+    """Keeps one open reader per follower, so that consecutive chunks cost one read each."""
 
     def __init__(self, storage: GroupStorage) -> None:
         self._storage = storage
-        self._readings: dict[str, _Reading] = {}
+        self._readers: dict[str, _SnapshotReader] = {}
 
     def piece(self, snapshot_index: int, identity: str, offset: int) -> Result[PieceRead, Fault]:
-        """Return the piece at an offset of the current snapshot, or its sum when it is shorter.
+        """Return the piece at an offset of the current snapshot, or its checksum past the end.
 
-        A reading that fails is forgotten: the next call begins a new one.
+        A reader that fails is closed; the next call opens a new one.
         """
         try:
             return Ok(self._read(snapshot_index, identity, offset))
@@ -47,27 +47,27 @@
             return Error(error.fault)
 
     def forget(self, identity: str) -> None:
-        """Close a follower's reading."""
-        self._readings.pop(identity, None)
+        """Close a follower's reader."""
+        self._readers.pop(identity, None)
 
     def _read(self, snapshot_index: int, identity: str, offset: int) -> PieceRead:
-        reading = self._readings.get(identity)
-        if reading is None or reading.snapshot_index != snapshot_index or offset < reading.offset:
-            reading = self._open(snapshot_index)
-            self._readings[identity] = reading
-        while reading.offset < offset and not isinstance(reading.piece, SnapshotSum):
-            reading.piece = _next_piece(reading.pieces)
-            reading.offset += 1
-        return PieceRead(reading.offset, reading.piece)
-
-    def _open(self, snapshot_index: int) -> _Reading:
+        reader = self._readers.get(identity)
+        if reader is None or reader.snapshot_index != snapshot_index or offset < reader.offset:
+            reader = self._open(snapshot_index)
+            self._readers[identity] = reader
+        while reader.offset < offset and not isinstance(reader.piece, SnapshotSum):
+            reader.piece = _next_piece(reader.pieces)
+            reader.offset += 1
+        return PieceRead(reader.offset, reader.piece)
+
+    def _open(self, snapshot_index: int) -> _SnapshotReader:
         pieces = self._storage.read_snapshot()
-        return _Reading(snapshot_index, pieces, 0, _next_piece(pieces))
+        return _SnapshotReader(snapshot_index, pieces, 0, _next_piece(pieces))
 
 
 def _next_piece(pieces: Iterator[SnapshotPiece]) -> SnapshotPiece:
-    """Return the next piece; a reading that ends before the sum has failed."""
+    """Return the next piece; a reader that ends before the checksum has failed."""
     piece = next(pieces, None)
     if piece is None:
-        raise not_whole("the reading ended before the snapshot did")
+        raise not_whole("the snapshot reader ended before the checksum")
     return piece
--- a/src/rainsail/consensus/status.py
+++ b/src/rainsail/consensus/status.py
@@ -1,4 +1,4 @@
-"""The leader's view of its group as a status reply."""
+"""The status reply of a group: reachability, health and tolerated losses."""
 
 from rainsail.consensus.append_replies import match_index_of
 from rainsail.consensus.core_state import CoreState, Role
@@ -7,26 +7,29 @@
 
 
 def is_reachable(state: CoreState, member: MemberSpec, now: float) -> bool:
-    """Tell whether a member was heard of lately; a follower speaks for itself and its leader."""
+    """Return whether a member has answered recently.
+
+    A follower knows this only of itself and its leader.
+    """
     if member.identity == state.identity:
         return True
     if state.role != Role.LEADER:
-        heard_lately = now - state.heard_leader_at_s < state.settings.unreachable_after_s
-        return member.identity == state.leader and heard_lately
+        heard_recently = now - state.heard_leader_at_s < state.settings.unreachable_after_s
+        return member.identity == state.leader and heard_recently
     progress = state.progress.get(member.identity)
     return progress is not None and now - progress.heard_at_s < state.settings.unreachable_after_s
 
 
 def losses_borne(state: CoreState, now: float) -> int:
-    """Return how many further voters may be lost while a caught-up majority stays."""
+    """Return how many more voters may be lost while a healthy majority remains."""
     if state.role != Role.LEADER:
         return 0
-    good = [member for member in state.membership.voters() if is_sound(state, member, now)]
-    return max(0, len(good) - state.membership.quorum())
+    healthy = [member for member in state.membership.voters() if is_healthy(state, member, now)]
+    return max(0, len(healthy) - state.membership.quorum())
 
 
-def is_sound(state: CoreState, member: MemberSpec, now: float) -> bool:
-    """Tell whether a member is reachable, has its disk and has nearly everything synced."""
+def is_healthy(state: CoreState, member: MemberSpec, now: float) -> bool:
+    """Return whether a member is reachable, kept its disk and has synced nearly everything."""
     if has_lost_disk(state, member):
         return False
     lag = state.commit_index - match_index_of(state, member.identity)
@@ -34,16 +37,16 @@
 
 
 def has_lost_disk(state: CoreState, member: MemberSpec) -> bool:
-    """Tell whether a member's replica has called under a new identity since it last answered."""
-    newcomer = state.newcomers.get(member.replica)
+    """Return whether a member's replica has sent Hello as another identity since it answered."""
+    candidate = state.join_candidates.get(member.replica)
     progress = state.progress.get(member.identity)
-    if newcomer is None or progress is None or newcomer.identity == member.identity:
+    if candidate is None or progress is None or candidate.identity == member.identity:
         return False
-    return newcomer.heard_at_s > progress.heard_at_s
+    return candidate.heard_at_s > progress.heard_at_s
 
 
 def health(state: CoreState, now: float) -> GroupHealth:
-    """Return whether the group bears the losses it is meant for."""
+    """Return the group's health; only the leader can report anything but Degraded."""
     if state.role != Role.LEADER:
         return GroupHealth.DEGRADED
     members = state.membership.members
@@ -52,8 +55,8 @@
     if len(members) > len({member.replica for member in members}):
         return GroupHealth.REPAIRING
     intended = max(len(state.bootstrap), 1)
-    sound = [member for member in members if is_sound(state, member, now)]
-    if len(sound) >= intended:
+    healthy = [member for member in members if is_healthy(state, member, now)]
+    if len(healthy) >= intended:
         return GroupHealth.HEALTHY
     return GroupHealth.DEGRADED
 
@@ -61,7 +64,7 @@
 def status_reply(
     state: CoreState, applied_index: int, revision: int, now: float
 ) -> GroupStatusReply:
-    """Build the reply; only a leader's speaks of health, another replica's says Degraded."""
+    """Build this replica's status reply."""
     members = tuple(
         MemberStatus(
             member.replica,
