--- a/src/rainsail/assembly/seams.py
+++ b/src/rainsail/assembly/dependencies.py
@@ -1,4 +1,4 @@
-"""The seams that a node is built over."""
+"""The dependencies that a node is built over."""
 
 import random
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSeams:
+class NodeDependencies:
     """What every node needs from outside.
 
     ``wall_clock`` returns Unix seconds; it serves only deadlines that callers state.
@@ -25,17 +25,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaSeams:
-    """A replica's seams: a node's, its data folder and the platform's machine list."""
+class ReplicaDependencies:
+    """A replica's dependencies: a node's, its data folder and the platform's machine list."""
 
-    node: NodeSeams
+    node: NodeDependencies
     files: FileSystem
     machine_list: MachineListClient | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class GatewaySeams:
-    """A gateway's seams: a node's and the client of the engines."""
+class GatewayDependencies:
+    """A gateway's dependencies: a node's and the client of the engines."""
 
-    node: NodeSeams
+    node: NodeDependencies
     engine: EngineClient
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from rainsail.assembly.seams import GatewaySeams
+from rainsail.assembly.dependencies import GatewayDependencies
 from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.policies import make_policy
@@ -39,8 +39,8 @@
 class NativeGatewayNode:
     """Assembles a gateway; a restarted gateway is a new node with a new incarnation."""
 
-    def __init__(self, config: GatewayConfig, seams: GatewaySeams) -> None:
-        node = seams.node
+    def __init__(self, config: GatewayConfig, dependencies: GatewayDependencies) -> None:
+        node = dependencies.node
         self.config = config
         self.incarnation = f"{node.random.getrandbits(64):016x}"
         self.messenger = Messenger(node.transport, node.clock)
@@ -61,12 +61,12 @@
             config.name,
             config.zone,
             self.view,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.gateway,
         )
-        prefill = OnlinePrefillMeter(seams.engine, self.fleet.cached_tokens)
+        prefill = OnlinePrefillMeter(dependencies.engine, self.fleet.cached_tokens)
         self.core = GatewayCore(
             config.name,
             self.incarnation,
@@ -79,11 +79,11 @@
             node.random,
             config.gateway,
         )
-        self.keeper = RunnerReconciler(
+        self.runner_reconciler = RunnerReconciler(
             self.fleet,
             self.view,
             self.client,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.gateway,
@@ -96,7 +96,7 @@
             self.fleet,
             self.view,
             self.client,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.batch,
@@ -109,7 +109,7 @@
         self.view.start()
         self.fleet.start()
         self.core.start()
-        self.keeper.start()
+        self.runner_reconciler.start()
         self.dispatcher.start()
 
     @inlineCallbacks
@@ -122,7 +122,7 @@
 
     def stop(self) -> None:
         """Stop every timer and subscription."""
-        self.keeper.stop()
+        self.runner_reconciler.stop()
         self.core.stop()
         self.fleet.stop()
         self.view.stop()
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -7,8 +7,8 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 
+from rainsail.assembly.dependencies import ReplicaDependencies
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_placement import members_of_group
 from rainsail.consensus.member_seams import GroupMember, MemberSeams
@@ -48,18 +48,18 @@
 def open_group(
     group: GroupId,
     config: ReplicaConfig,
-    seams: ReplicaSeams,
+    dependencies: ReplicaDependencies,
     identity: ReplicaIdentity,
     state: ReplicatedState,
     router: GroupRouter,
 ) -> Generator[Deferred[Any], Any, Result[HostedGroup, Fault]]:
     """Open a group's log and make its driver; the driver is not started yet."""
-    storage = yield open_group_storage(seams.files, group, config.storage)
+    storage = yield open_group_storage(dependencies.files, group, config.storage)
     if storage.is_error():
         return Error(storage.error)
     names = members_of_group(group, config.replicas, config.control.replicas_per_group)
     member = GroupMember(group, config.name, identity, tuple(names))
-    node = seams.node
+    node = dependencies.node
     given = MemberSeams(storage.ok, state, router, node.clock, node.random, encode_command)
     try:
         driver = GroupDriver(member, given, config.consensus)
--- a/src/rainsail/assembly/recording.py
+++ b/src/rainsail/assembly/recording.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from rainsail.assembly.seams import NodeSeams
+from rainsail.assembly.dependencies import NodeDependencies
 from rainsail.control.interface import ConfigReader
 from rainsail.experiment.trace.recorder import TraceRecorder
 from rainsail.experiment.trace.settings import RecordingSettings
@@ -16,7 +16,7 @@
     data_folder: Path,
     entry: GatewayEntry,
     config: ConfigReader,
-    seams: NodeSeams,
+    dependencies: NodeDependencies,
     settings: RecordingSettings,
 ) -> TraceRecorder:
     """Open ``recordings/GATEWAY-SECONDS.avro`` and follow the configuration's changes."""
@@ -30,14 +30,14 @@
         if config.ready():
             recorder.configuration(event)
 
-    name = f"{entry.name}-{int(seams.wall_clock())}.avro"
+    name = f"{entry.name}-{int(dependencies.wall_clock())}.avro"
     recorder = TraceRecorder(
         data_folder / RECORDINGS_FOLDER / name,
         entry.zone,
         default_class,
-        seams.clock,
-        seams.random,
-        seams.wall_clock,
+        dependencies.clock,
+        dependencies.random,
+        dependencies.wall_clock,
         settings,
     )
     config.on_event(changed)
--- a/src/rainsail/assembly/replica.py
+++ b/src/rainsail/assembly/replica.py
@@ -6,10 +6,10 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 
+from rainsail.assembly.dependencies import ReplicaDependencies
 from rainsail.assembly.hosted_group import HostedGroup, hosted_ids, open_group
 from rainsail.assembly.machine_watch import MachineWatch
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.router import GroupRouter
 from rainsail.control.controllers.manager import ControllerManager
@@ -31,13 +31,13 @@
     operator API is served from.
     """
 
-    def __init__(self, config: ReplicaConfig, seams: ReplicaSeams) -> None:
+    def __init__(self, config: ReplicaConfig, dependencies: ReplicaDependencies) -> None:
         self.config = config
-        self._seams = seams
+        self._dependencies = dependencies
         self._on_fatal: Callable[[Fault], None] = lambda fault: None
         self.state = ReplicatedState(config.state)
         self.hosted: dict[GroupId, HostedGroup] = {}
-        self.messenger = Messenger(seams.node.transport, seams.node.clock)
+        self.messenger = Messenger(dependencies.node.transport, dependencies.node.clock)
         self.service: ControlService | None = None
         self.controllers: list[ControllerManager] = []
         self.operator_api: OperatorApi | None = None
@@ -45,8 +45,8 @@
         self.client = LeaderClient(
             self.messenger,
             config.replicas,
-            seams.node.clock,
-            seams.node.random,
+            dependencies.node.clock,
+            dependencies.node.random,
             config.control,
         )
 
@@ -63,17 +63,17 @@
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
         """Start everything; a fault names the file or step that stands in the way."""
-        node = self._seams.node
+        node = self._dependencies.node
         config = self.config
         identity = yield load_or_create_identity(
-            self._seams.files, config.fleet, config.name, durable_fingerprint(), node.random
+            self._dependencies.files, config.fleet, config.name, durable_fingerprint(), node.random
         )
         if identity.is_error():
             return Error(identity.error)
         router = GroupRouter(self.messenger, node.clock)
         for group in hosted_ids(config):
             state = self.state if group == ROOT_GROUP else ReplicatedState(config.state)
-            opened = yield open_group(group, config, self._seams, identity.ok, state, router)
+            opened = yield open_group(group, config, self._dependencies, identity.ok, state, router)
             if opened.is_error():
                 return Error(opened.error)
             self.hosted[group] = opened.ok
@@ -84,9 +84,9 @@
         return Ok(None)
 
     def _start_control(self) -> None:
-        node = self._seams.node
-        if self._seams.machine_list is not None:
-            self._machines = MachineWatch(self._seams.machine_list, node.clock)
+        node = self._dependencies.node
+        if self._dependencies.machine_list is not None:
+            self._machines = MachineWatch(self._dependencies.machine_list, node.clock)
             self._machines.start()
         self.service = ControlService(
             {number: hosted.driver for number, hosted in self.hosted.items()},
@@ -103,7 +103,7 @@
             self._make_operator_api(root)
 
     def _start_controllers(self, hosted: HostedGroup) -> None:
-        node = self._seams.node
+        node = self._dependencies.node
         manager = ControllerManager(
             hosted.driver,
             hosted.state,
@@ -117,7 +117,7 @@
         self.controllers.append(manager)
 
     def _make_operator_api(self, root: HostedGroup) -> None:
-        node = self._seams.node
+        node = self._dependencies.node
         others = [hosted.driver for hosted in self.hosted.values() if hosted is not root]
         self.operator_api = OperatorApi(
             root.driver,
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a process over the real seams: sockets, files, the monotonic clock."""
+"""The roles of a process over the real dependencies: sockets, files, the monotonic clock."""
 
 import time
 from collections.abc import Generator
@@ -10,13 +10,17 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.web.client import Agent
 
+from rainsail.assembly.dependencies import (
+    GatewayDependencies,
+    NodeDependencies,
+    ReplicaDependencies,
+)
 from rainsail.assembly.folder_lock import FolderLock
 from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.listening import HTTP_IDLE_TIMEOUT_S, listen_site
 from rainsail.assembly.recording import open_recorder
 from rainsail.assembly.replica import ReplicaNode
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
 from rainsail.assembly.served_connections import ServedConnections
 from rainsail.control.operator_site import make_operator_site
 from rainsail.engine.http_client import HttpEngineClient
@@ -60,8 +64,8 @@
     return Random(SystemRandom().getrandbits(64))
 
 
-def real_seams(settings: ProcessSettings, reactor: Any, name: str) -> NodeSeams:
-    """Return the seams of a daemon named ``name`` in this process."""
+def make_node_dependencies(settings: ProcessSettings, reactor: Any, name: str) -> NodeDependencies:
+    """Return the dependencies of a daemon named ``name`` in this process."""
     peers = {entry.name: parse_address(entry.address) for entry in settings.replicas}
     peers.update({each: parse_address(entry.address) for each, entry in settings.peers.items()})
     peers.pop(name, None)
@@ -76,7 +80,7 @@
         draw,
         role_in_fleet(settings),
     )
-    return NodeSeams(MonotonicClock(reactor), transport, draw, time.time)
+    return NodeDependencies(MonotonicClock(reactor), transport, draw, time.time)
 
 
 def role_in_fleet(settings: ProcessSettings) -> RoleOf:
@@ -108,7 +112,7 @@
         self._reactor = reactor
         self._address = parse_address(entry.address)
         self._operator_address = operator_address
-        self._seams = real_seams(settings, reactor, entry.name)
+        self._dependencies = make_node_dependencies(settings, reactor, entry.name)
         self._ports: list[Any] = []
         self._served: ServedConnections | None = None
         config = ReplicaConfig(
@@ -125,7 +129,9 @@
         self._lock = FolderLock(data_folder)
         files = LocalFileSystem(data_folder, reactor)
         machine_list = machine_list_client(settings, reactor)
-        self.node = ReplicaNode(config, ReplicaSeams(self._seams, files, machine_list))
+        self.node = ReplicaNode(
+            config, ReplicaDependencies(self._dependencies, files, machine_list)
+        )
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
@@ -136,13 +142,13 @@
         started = yield self.node.start()
         if started.is_error():
             return Error(started.error)
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         listening = yield transport.listen_on(self._address.host, self._address.port)
         if listening.is_error():
             return Error(listening.error)
         assert self.node.operator_api is not None
         site = make_operator_site(self.node.operator_api.app.resource(), HTTP_IDLE_TIMEOUT_S)
-        self._served = ServedConnections(site, self._seams.clock)
+        self._served = ServedConnections(site, self._dependencies.clock)
         port = listen_site(self._reactor, site, self._operator_address)
         if port.is_error():
             return Error(port.error)
@@ -157,7 +163,7 @@
                 yield self._served.stop_accepting(port)
             yield self._served.finish(LAST_ANSWERS_LIMIT_S)
         yield self.node.planned_stop()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
         self._lock.release()
 
@@ -167,7 +173,7 @@
         self.node.stop()
         for port in self._ports:
             yield port.stopListening()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
         self._lock.release()
 
@@ -179,8 +185,8 @@
         self.name = entry.name
         self._reactor = reactor
         self._entry = entry
-        self._seams = real_seams(settings, reactor, entry.name)
-        self._engine = HttpEngineClient(self._seams.clock, reactor)
+        self._dependencies = make_node_dependencies(settings, reactor, entry.name)
+        self._engine = HttpEngineClient(self._dependencies.clock, reactor)
         config = GatewayConfig(
             entry.name,
             entry.region,
@@ -190,7 +196,7 @@
             settings.gateway,
             settings.batch,
         )
-        self.node = NativeGatewayNode(config, GatewaySeams(self._seams, self._engine))
+        self.node = NativeGatewayNode(config, GatewayDependencies(self._dependencies, self._engine))
         self._recorder = self._make_recorder(settings)
         self.caller_api = self._make_caller_api(settings)
         self._port: Any = None
@@ -203,14 +209,14 @@
             settings.process.data_folder,
             self._entry,
             self.node.view,
-            self._seams,
+            self._dependencies,
             settings.recording,
         )
 
     def _make_caller_api(self, settings: ProcessSettings) -> CallerApi:
         core: Gateway = self.node.core
         intake: Intake = self.node.intake
-        self.metered = MeteredGateway(core, self._seams.clock)
+        self.metered = MeteredGateway(core, self._dependencies.clock)
         core = self.metered
         if self._recorder is not None:
             core = RecordingGateway(core, self._recorder)
@@ -224,14 +230,14 @@
         """Listen for callers, follow the configuration."""
         address = parse_address(self._entry.caller_api)
         site = self.caller_api.site()
-        self._served = ServedConnections(site, self._seams.clock)
+        self._served = ServedConnections(site, self._dependencies.clock)
         port = listen_site(self._reactor, site, address)
         if port.is_error():
             return Error(port.error)
         self._port = port.ok
         if self._entry.address is not None:
             address = parse_address(self._entry.address)
-            transport: Any = self._seams.transport
+            transport: Any = self._dependencies.transport
             listening = yield transport.listen_on(address.host, address.port)
             if listening.is_error():
                 return Error(listening.error)
@@ -248,5 +254,5 @@
             yield self._served.stop_accepting(self._port)
             yield self._served.finish(LAST_ANSWERS_LIMIT_S)
         yield self._engine.close()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
--- a/src/rainsail/simulation/processes.py
+++ b/src/rainsail/simulation/processes.py
@@ -4,10 +4,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from rainsail.assembly.dependencies import (
+    GatewayDependencies,
+    NodeDependencies,
+    ReplicaDependencies,
+)
 from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.replica import ReplicaNode
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
 from rainsail.engine.interface import AttemptListener, GenerateRequest
 from rainsail.errors import Fault
 from rainsail.machines.machine_list import MachineListClient
@@ -50,12 +54,12 @@
         self._clock: SkewedClock | None = None
         self._transport: SimulatedTransport | None = None
 
-    def _new_seams(self) -> NodeSeams:
+    def _new_seams(self) -> NodeDependencies:
         self._starts += 1
         self._clock = SkewedClock(self._world.clock, self._rate)
         self._transport = self._world.network.transport(self.name, self.zone)
         draw = self._world.random_for(f"{self.name}/{self._starts}")
-        return NodeSeams(self._clock, self._transport, draw, self._world.clock.seconds)
+        return NodeDependencies(self._clock, self._transport, draw, self._world.clock.seconds)
 
     def _stop_running(self) -> None:
         assert self._clock is not None and self._transport is not None
@@ -107,7 +111,7 @@
         self.running = True
         self.disk_lost = False
         self.last_fault = None
-        seams = ReplicaSeams(self._new_seams(), self.disk, self._machine_list)
+        seams = ReplicaDependencies(self._new_seams(), self.disk, self._machine_list)
         self.node = ReplicaNode(self._config, seams)
         self.node.on_fatal(self._fatal)
         self.node.start().addCallback(self._started)
@@ -182,7 +186,7 @@
         self._engine = ObservedEngineClient(
             self.name, self._world.engines, node_seams.clock, node_seams.random
         )
-        node = NativeGatewayNode(self._config, GatewaySeams(node_seams, self._engine))
+        node = NativeGatewayNode(self._config, GatewayDependencies(node_seams, self._engine))
         self._engine.on_generate = lambda: self.on_generate(node)
         self.node = node
         self.on_started(self.node)
