--- a/features/steps/fuzz_files_steps.py
+++ b/features/steps/fuzz_files_steps.py
@@ -29,7 +29,7 @@
 from rainsail.experiment.trace.summary import summarise
 from rainsail.settings.load import load_settings
 from rainsail.simulation.fault_plan import FaultAction, FaultKind, FaultPlan, read_plan
-from rainsail.wire.codec import CodecError, parsed_schema, write_plain
+from rainsail.wire.codec import CodecError, parsed_schema, to_avro_value
 
 EXAMPLES = ROOT / "examples" / "guayaquil"
 PLAN = FaultPlan(
@@ -226,9 +226,9 @@
     """Return a compressed file of one sound record with a very long text."""
     if record is TraceRecord:
         long = replace(request(1), prompt=PromptShape("t", 0, 0, LONG_TEXT))
-        plain = write_plain(TraceRecord(long))
+        plain = to_avro_value(TraceRecord(long))
     else:
-        plain = write_plain(HistoryRecord(JobAccepted(1.0, LONG_TEXT, "", "", 1)))
+        plain = to_avro_value(HistoryRecord(JobAccepted(1.0, LONG_TEXT, "", "", 1)))
     file = io.BytesIO()
     fastavro.writer(file, parsed_schema(record), [plain], codec="deflate")
     return file.getvalue()
--- a/features/steps/replay_files_steps.py
+++ b/features/steps/replay_files_steps.py
@@ -22,7 +22,7 @@
     write_history,
 )
 from rainsail.experiment.trace.records import PromptShape, TraceRecord
-from rainsail.wire.codec import parsed_schema, write_plain
+from rainsail.wire.codec import parsed_schema, to_avro_value
 
 BLOCK_OF_ZEROS_AT = 6000
 
@@ -115,7 +115,7 @@
             record = HistoryRecord(histories.clean_events()[0])
             write_container(path, HistoryRecord, [record])
         else:
-            plain = [write_plain(TraceRecord(request(1)))]
+            plain = [to_avro_value(TraceRecord(request(1)))]
             with path.open("wb") as file:
                 fastavro.writer(file, parsed_schema(TraceRecord), plain, codec="deflate")
         return path.read_bytes()
--- a/src/rainsail/experiment/container.py
+++ b/src/rainsail/experiment/container.py
@@ -17,7 +17,7 @@
 
 from rainsail.errors import Fault, FaultCode
 from rainsail.runtime.files import read_bounded
-from rainsail.wire.codec import parsed_schema, read_plain, write_plain
+from rainsail.wire.codec import from_avro_value, parsed_schema, to_avro_value
 
 MAX_FILE_BYTES = 256 * 1024 * 1024
 MAGIC = b"Obj\x01"
@@ -49,7 +49,7 @@
 
 def write_container(path: Path, record_type: Any, records: Iterable[Any]) -> None:
     """Write records to a file; the same records give the same bytes."""
-    plain = (write_plain(record) for record in records)
+    plain = (to_avro_value(record) for record in records)
     with path.open("wb") as file:
         fastavro.writer(
             file, parsed_schema(record_type), plain, codec=CODEC, sync_marker=SYNC_MARKER
@@ -108,6 +108,6 @@
 
     def _read_block(self, block: Any) -> None:
         for plain in block:
-            self.records.append(read_plain(self._record_type, plain))
+            self.records.append(from_avro_value(self._record_type, plain))
         self._progress(self._file.tell() - self._offset)
         self._offset = self._file.tell()
--- a/src/rainsail/experiment/trace/recorder.py
+++ b/src/rainsail/experiment/trace/recorder.py
@@ -33,7 +33,7 @@
 from rainsail.resources.specs import Kind, RequestClass, ResourceKey, TenantSpec, WatchEvent
 from rainsail.runtime.clock import Clock
 from rainsail.state.commands import ItemBody, JobView
-from rainsail.wire.codec import parsed_schema, write_plain
+from rainsail.wire.codec import parsed_schema, to_avro_value
 
 RECORDED_KINDS = (Kind.TENANT, Kind.SERVICE, Kind.MODEL_VERSION, Kind.ADAPTER)
 """Kinds that shape the traffic; runners and processes belong to the fleet that is replayed on."""
@@ -169,7 +169,7 @@
         self._waiting_characters = 0
         try:
             for entry in waiting:
-                self._writer.write(write_plain(TraceRecord(entry)))
+                self._writer.write(to_avro_value(TraceRecord(entry)))
             self._writer.flush()
             self._file.flush()
         except OSError as error:
--- a/src/rainsail/wire/codec.py
+++ b/src/rainsail/wire/codec.py
@@ -159,13 +159,13 @@
     return read
 
 
-def write_plain(message: Any) -> Any:
+def to_avro_value(message: Any) -> Any:
     """Return a dataclass as fastavro's plain value, for Avro container files."""
     record: Any = type(message)
     return _writer(record)(message)
 
 
-def read_plain(cls: Any, plain: Any) -> Any:
+def from_avro_value(cls: Any, plain: Any) -> Any:
     """Return the dataclass of fastavro's plain value (read with ``return_record_name``)."""
     return _reader(cls)(plain)
 
