--- a/features/steps/event_log_steps.py
+++ b/features/steps/event_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the structured log of a daemon."""
+"""Steps of features/logs/event_log.feature."""
 
 import json
 import subprocess
@@ -40,7 +40,7 @@
 
 
 class _Message:
-    """What loguru hands to a sink."""
+    """The part of a loguru message that a sink reads."""
 
     def __init__(self, event, elapsed_s):
         class Level:
@@ -57,7 +57,7 @@
         }
 
 
-@given("an event log with a budget of {lines:d} lines a second and a ring")
+@given("an event log with a limit of {lines:d} lines per second and a ring")
 def make_log(context, lines):
     context.written = []
     context.ring = LogRing()
@@ -76,7 +76,7 @@
     context.log = EventLog("node-1", "storage", put=put, ring=context.ring)
 
 
-@when('{count:d} events "{event}" and one event "{other}" come within a second')
+@when('{count:d} events "{event}" and one event "{other}" are logged within a second')
 def events_come(context, count, event, other):
     for _ in range(count):
         context.log.write(_Message(event, 1.5))
@@ -89,7 +89,7 @@
     assert len(context.ring.lines()) == total
 
 
-@when('an event "{event}" comes a second later')
+@when('an event "{event}" is logged a second later')
 def event_later(context, event):
     context.log.write(_Message(event, 2.5))
 
@@ -121,7 +121,7 @@
     context.run = _run(UNHANDLED)
 
 
-@then('its standard output has a line "unhandled_error" for each, with the place where it arose')
+@then('its standard output has a line "unhandled_error" for each, with its traceback')
 def unhandled_lines(context):
     lines = [json.loads(line) for line in context.run.stdout.splitlines()]
     found = [line for line in lines if line["event"] == "unhandled_error"]
--- a/src/rainsail/errors.py
+++ b/src/rainsail/errors.py
@@ -1,8 +1,8 @@
-"""Typed errors: what failed, at which step, at which peer, and whether the work was run.
+"""Typed errors: what failed, at which step, at which peer, and whether the work was executed.
 
 Errors travel as values: functions return ``expression.Result[T, Fault]``, asynchronous ones
-``Deferred[Result[T, Fault]]``. ``Fault`` is a wire record, so it crosses process borders whole.
-``RainsailError`` carries a fault through code that must raise.
+``Deferred[Result[T, Fault]]``. ``Fault`` is a wire record, so it reaches other processes with
+all its fields. ``RainsailError`` carries a fault through code that must raise.
 """
 
 from dataclasses import dataclass, replace
@@ -12,7 +12,7 @@
 
 
 class Outcome(StrEnum):
-    """What became of a caller's request."""
+    """Whether a caller's request was executed; UNKNOWN when it may have been."""
 
     NOT_RUN = "not_run"
     COMPLETED = "completed"
@@ -65,9 +65,9 @@
 class Fault:
     """One failure as a value.
 
-    ``step`` names the operation that failed (``"gateway.admission"``), ``peer`` the process it
-    spoke to (empty when local). ``outcome`` is NOT_RUN only when it is certain that the work
-    was not run. ``retry_after_s`` is a hint for the caller, ``current_revision`` the revision a
+    ``step`` names the operation that failed (``"gateway.admission"``), ``peer`` the remote process
+    (empty when local). ``outcome`` is NOT_RUN only when the work was certainly not executed.
+    ``retry_after_s`` is a hint for the caller, ``current_revision`` the revision that a
     conflicting change should have expected.
     """
 
@@ -81,11 +81,11 @@
 
     @property
     def http_status(self) -> int:
-        """The HTTP status that this fault is answered with."""
+        """The HTTP status of a response that reports this fault."""
         return HTTP_STATUS[self.code]
 
     def at(self, peer: str) -> "Fault":
-        """Return the same fault, naming the peer at which it arose."""
+        """Return a copy of the fault with ``peer`` set."""
         return replace(self, peer=peer)
 
     def __str__(self) -> str:
--- a/src/rainsail/event_log.py
+++ b/src/rainsail/event_log.py
@@ -1,9 +1,10 @@
-"""Structured logs on standard output: one JSON object a line, bounded, never blocking.
+"""Structured logs on standard output: one JSON object per line, rate-limited and non-blocking.
 
-Each event name has a budget of lines a second; what goes over it is counted, and the count is
-printed with the next line of that name. A reader that stalls costs lines, not requests. A ring in
-memory keeps the last records, those that were left out with them; it is written into the data
-folder when the process ends by a fault of its own, or on SIGUSR1.
+Each event name has a limit of lines per second. Lines over the limit are counted, and the next
+line of that name carries the count as ``left_out``. When the reader of standard output stalls,
+lines are dropped rather than requests delayed. A ring buffer in memory keeps the most recent
+records, including those that were not printed. It is dumped into the data folder when an error is
+logged, as it is before a fatal end, and on SIGUSR1.
 """
 
 import json
@@ -23,7 +24,7 @@
 
 
 class EventLog:
-    """A loguru sink that writes JSON lines."""
+    """A loguru sink that writes rate-limited JSON lines."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         put: Callable[[bytes], object] | None = None,
         ring: LogRing | None = None,
     ) -> None:
-        """``put`` writes one line and raises ``OSError`` when it can't; None: standard output."""
+        """``put`` writes one line or raises ``OSError``; None writes to standard output."""
         self._common = {"node": node, "role": role}
         self._lines_per_s = lines_per_s
         self._put = _write_to_stdout if put is None else put
@@ -44,7 +45,7 @@
         self.lines_lost = 0
 
     def write(self, message: Any) -> None:
-        """Take one loguru message."""
+        """Write one loguru message, and add it to the ring buffer."""
         record = message.record
         event = record["message"]
         line = self._line(record)
@@ -90,10 +91,10 @@
 
 
 def configure_event_log(node: str, role: str, folder: Path | None = None) -> LogRing:
-    """Send every record from INFO up to standard output, and keep the last ones in a ring.
+    """Send every record from INFO up to standard output and to a ring buffer; return the ring.
 
-    The ring is dumped into ``folder`` at each record of level ERROR or worse. What Twisted reports
-    as handled by nobody becomes a record too.
+    The ring is dumped into ``folder`` at each record of level ERROR or above. Errors that Twisted
+    reports as unhandled are logged as well.
     """
     ring = LogRing(folder, RING_RECORDS)
     log = EventLog(node, role, ring=ring)
@@ -104,7 +105,7 @@
         os.set_blocking(sys.stdout.fileno(), False)
     except (OSError, ValueError):
         log.lines_lost = 0
-    _take_unhandled_errors()
+    _log_unhandled_errors()
     return ring
 
 
@@ -115,8 +116,8 @@
     return dump
 
 
-def _take_unhandled_errors() -> None:
-    """Log what a timer raised, or a Deferred failed with, while nobody was there to handle it."""
+def _log_unhandled_errors() -> None:
+    """Log exceptions raised in timers and failures of Deferreds that have no errback."""
     from twisted.logger import globalLogBeginner
 
     observer: Any = _log_failure
--- a/src/rainsail/logs.py
+++ b/src/rainsail/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: a bounded ring in memory, written out on error or on request, little else.
+"""Structured logs: a bounded ring buffer in memory, dumped on error or on request.
 
-Components use ``from rainsail.logs import logger`` and bind what matters
+Components use ``from rainsail.logs import logger`` and bind context to it
 (``logger.bind(process=..., peer=...)``). Every record goes to the ring of the process as one
-JSON line; only warnings and worse are printed to stderr. ``LogRing.dump`` writes the ring to the
-data folder.
+JSON line; by default only warnings and above are printed to stderr. ``LogRing.dump`` writes the
+ring to the data folder.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 class LogRing:
-    """The last records of one process, each a JSON line."""
+    """Ring buffer of the most recent log records of one process, each a JSON line."""
 
     def __init__(self, folder: Path | None = None, records: int = DEFAULT_RING_RECORDS) -> None:
         self._folder = folder
@@ -28,21 +28,22 @@
         self._dumps = 0
 
     def write(self, message: Any) -> None:
-        """Take one loguru message (a sink)."""
+        """Add one loguru message (used as a sink)."""
         self.add(_json_line(message.record))
 
     def add(self, line: str) -> None:
-        """Take one record as its JSON line."""
+        """Add one record, given as a JSON line."""
         self._lines.append(line)
 
     def lines(self) -> list[str]:
-        """Return the records held, oldest first."""
+        """Return the buffered records, oldest first."""
         return list(self._lines)
 
     def dump(self, reason: str) -> Path | None:
-        """Write the ring to ``logs/`` of the data folder; None without a folder or on failure.
+        """Write the ring to ``logs/`` in the data folder and return the file's path.
 
-        At most ``MAX_DUMPS_KEPT`` files are kept, the oldest is written over.
+        Returns None without a data folder or when writing fails. At most ``MAX_DUMPS_KEPT`` files
+        are kept; the oldest is overwritten.
         """
         if self._folder is None:
             return None
@@ -61,9 +62,9 @@
 def configure_logs(
     folder: Path | None, records: int = DEFAULT_RING_RECORDS, print_level: str = "WARNING"
 ) -> LogRing:
-    """Send every record to a new ring and those from ``print_level`` up to stderr.
+    """Send every record to a new ring, and those from ``print_level`` up to stderr as well.
 
-    A record of level ERROR or worse also dumps the ring.
+    A record of level ERROR or above also dumps the ring.
     """
     ring = LogRing(folder, records)
     logger.remove()
@@ -95,13 +96,13 @@
         "module": record["name"],
         "message": record["message"],
     }
-    line.update({key: _plain(value) for key, value in record["extra"].items()})
+    line.update({key: _json_value(value) for key, value in record["extra"].items()})
     if record["exception"] is not None:
         line["exception"] = repr(record["exception"].value)
     return json.dumps(line, ensure_ascii=False)
 
 
-def _plain(value: Any) -> Any:
+def _json_value(value: Any) -> Any:
     return value if isinstance(value, bool | int | float | str) or value is None else str(value)
 
 
--- a/src/rainsail/mechanisms.py
+++ b/src/rainsail/mechanisms.py
@@ -1,7 +1,7 @@
-"""The policies that can be turned off one by one, to measure what each of them is worth.
+"""Policies that can be turned off individually, to measure the effect of each (ablation).
 
-A fleet serves with these defaults. ``tools/ablation.py`` turns the switches over in turn; the
-settings file has each in its ``mechanisms`` section.
+Fleets run with the defaults below. ``tools/ablation.py`` flips one switch at a time through the
+``mechanisms`` section of the settings file.
 """
 
 from pydantic import BaseModel, ConfigDict, Field
@@ -14,41 +14,48 @@
 
     placement: bool = Field(
         default=True,
-        description="While a service is busy the ledger's leader says where requests go",
+        description="While a service is busy, the ledger's leader places its requests",
     )
     admission: bool = Field(
         default=True,
-        description="Requests that would wait too long are refused at once, to come back",
+        description="Requests that would wait too long are rejected at once, with a retry time",
     )
     prompt_homes: bool = Field(
-        default=True, description="Long shared parts of prompts have a runner that all agree on"
+        default=True,
+        description="Each long shared prompt prefix has one preferred runner fleet-wide",
     )
     prefix_memory: bool = Field(
-        default=True, description="Gateways remember which runner has read which part of a prompt"
+        default=True,
+        description="Gateways remember which runner has probably cached which part of a prompt",
     )
     reading_clock: bool = Field(
-        default=True, description="Runners that still read long prompts are passed over"
+        default=True, description="Runners that are still prefilling long prompts are skipped"
     )
     silence: bool = Field(
-        default=True, description="Runners that owe an answer and say nothing are left"
+        default=True,
+        description="Runners that owe an answer but send nothing until a timeout are abandoned",
     )
     ejection: bool = Field(
-        default=True, description="Runners that break answers off are left out for a while"
+        default=True, description="Runners that break off answers are ejected for a while"
     )
     overload_order: bool = Field(
-        default=True, description="The fewest items are given up when not all can be in time"
+        default=True,
+        description="Under overload, as few batch items as possible miss their deadlines",
     )
     batch_reserve: bool = Field(
-        default=True, description="Items that have time to spare leave slots to online work"
+        default=True,
+        description="Batch items with time to spare leave slots free for online requests",
     )
     yield_pause: bool = Field(
-        default=True, description="No item starts where one has just given way"
+        default=True,
+        description="After preempting a batch item, a runner starts no other for a while",
     )
     foreign_load: bool = Field(
-        default=True, description="What runners run for others counts when items start"
+        default=True,
+        description="Load from other callers of a runner counts when batch items start",
     )
     progress_notes: bool = Field(
-        default=True, description="The ledger keeps how far items have come"
+        default=True, description="The ledger records the progress of batch items"
     )
 
 
--- a/src/rainsail/metrics.py
+++ b/src/rainsail/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format: one registry per process, with its own processor time."""
+"""Metrics in the Prometheus text format: one registry per process, with its CPU and memory use."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, ProcessCollector
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
@@ -9,9 +9,9 @@
 
 
 class Metrics:
-    """Makes metrics of one process and writes them out.
+    """Creates the metrics of one process and renders them.
 
-    Names get the prefix ``rainsail_``; asking twice for a name returns the same metric.
+    Names get the prefix ``rainsail_``; a second request for a name returns the same metric.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         return self._make(Gauge, name, help_text, labels)
 
     def histogram(self, name: str, help_text: str, labels: tuple[str, ...] = ()) -> Histogram:
-        """Return a histogram of seconds."""
+        """Return a histogram of durations in seconds, with the buckets ``LATENCY_BUCKETS_S``."""
         return self._make(Histogram, name, help_text, labels, buckets=LATENCY_BUCKETS_S)
 
     def exposition(self) -> bytes:
--- a/src/rainsail/node_metrics.py
+++ b/src/rainsail/node_metrics.py
@@ -1,34 +1,34 @@
-"""Counters, gauges and histograms of a node, written out in the Prometheus text format.
+"""Counters, gauges and histograms of a node, rendered in the Prometheus text format.
 
-A node counts in plain dictionaries and loads ``prometheus_client`` only when it is asked for its
-figures, so that a node nobody asks stays small.
+A node counts in plain dictionaries and imports ``prometheus_client`` only when its metrics are
+first scraped, so that a node that is never scraped uses less memory.
 """
 
 from bisect import bisect_left
 from collections.abc import Callable
 
 Labels = tuple[tuple[str, str], ...]
-"""Names and values of a figure's labels, in order of name."""
+"""Names and values of a metric's labels, sorted by name."""
 
 LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0)
 PREFIX = "rainsail_"
 
 
 class Histogram:
-    """Counts of values by bucket; the last bucket has no upper end."""
+    """Counts of values by bucket; the last bucket has no upper bound."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(LATENCY_BUCKETS_S) + 1)
         self.total = 0.0
 
     def observe(self, value: float) -> None:
-        """Count a value."""
+        """Add a value."""
         self.counts[bisect_left(LATENCY_BUCKETS_S, value)] += 1
         self.total += value
 
 
 class NodeMetrics:
-    """The figures of one process, by name and labels."""
+    """The metrics of one process, by name and labels."""
 
     def __init__(self) -> None:
         self._counters: dict[str, dict[Labels, float]] = {}
@@ -42,7 +42,7 @@
         values[key] = values.get(key, 0.0) + amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add a time to a histogram."""
+        """Add a duration to a histogram."""
         histograms = self._histograms.setdefault(name, {})
         key = tuple(sorted(labels.items()))
         if key not in histograms:
@@ -50,11 +50,11 @@
         histograms[key].observe(seconds)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Have a value read whenever the figures are asked for."""
+        """Register a gauge whose value is read at each scrape."""
         self._gauges[name] = read
 
     def exposition(self) -> bytes:
-        """Return every figure in the text format."""
+        """Return every metric in the text format."""
         from prometheus_client import CollectorRegistry, ProcessCollector
         from prometheus_client.core import (
             CounterMetricFamily,
@@ -86,18 +86,18 @@
 
 
 class _Families:
-    """A collector of families that are there already."""
+    """A Prometheus collector over metric families that are already built."""
 
     def __init__(self, families: list[object]) -> None:
         self._families = families
 
     def collect(self) -> list[object]:
-        """Return them."""
+        """Return the families."""
         return self._families
 
 
 def _cumulative(histogram: Histogram) -> list[tuple[str, float]]:
-    """Return the upper ends of the buckets with the counts up to them."""
+    """Return each bucket's upper bound with the cumulative count up to it."""
     ends = [str(end) for end in LATENCY_BUCKETS_S] + ["+Inf"]
     buckets: list[tuple[str, float]] = []
     so_far = 0
