--- a/features/steps/assembly_groups_steps.py
+++ b/features/steps/assembly_groups_steps.py
@@ -1,4 +1,4 @@
-"""Steps over the placement of replicated groups on replicas."""
+"""Steps of features/assembly/groups.feature."""
 
 from collections import Counter
 
@@ -36,7 +36,7 @@
     check()
 
 
-@then("the numbers of groups on two replicas differ by at most one round")
+@then("the numbers of groups on two replicas differ by at most one")
 def spread_evenly(context):
     @settings(derandomize=True, max_examples=100, deadline=None)
     @any_of(REPLICAS, PER_GROUP, strategies.integers(min_value=1, max_value=60))
@@ -49,12 +49,12 @@
     check()
 
 
-@given("{count:d} replicas listed in turn from zones a, b and c")
+@given("{count:d} replicas listed in rotation from zones a, b and c")
 def listed_replicas(context, count):
     context.zones = {f"replica-{number}": "abc"[number % 3] for number in range(count)}
 
 
-@then("each of {groups:d} groups of {per_group:d} keeps a quorum without any one zone")
+@then("each of {groups:d} groups of {per_group:d} keeps a quorum when any one zone is lost")
 def zone_quorum(context, groups, per_group):
     for group in range(groups):
         members = members_of_group(group, tuple(context.zones), per_group)
@@ -70,7 +70,7 @@
 
 
 @given(
-    "a group without resources that keeps jobs of tenant {first} with weight {first_weight:g} "
+    "a group without resources that holds jobs of tenant {first} with weight {first_weight:g} "
     "and {second} with weight {second_weight:g}"
 )
 def group_without_resources(context, first, first_weight, second, second_weight):
@@ -98,7 +98,7 @@
     assert found == {first: first_count, second: second_count}, found
 
 
-@then("no job is kept by the root group, and more than one group keeps jobs")
+@then("the root group holds no job, and more than one other group holds jobs")
 def jobs_by_group(context):
     keeping = Counter()
     for process in context.simulated_fleet.replicas.values():
--- a/src/rainsail/assembly/__init__.py
+++ b/src/rainsail/assembly/__init__.py
@@ -1,4 +1,4 @@
-"""Assembly: how the parts of a replica and of a gateway are put together.
+"""Assembly of replicas, gateways and emulated engines from their components.
 
 A node takes its dependencies as arguments, so a daemon and a simulated fleet assemble the same
 parts.
--- a/src/rainsail/assembly/daemon.py
+++ b/src/rainsail/assembly/daemon.py
@@ -11,7 +11,7 @@
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run the process until it is told to stop; exits with its code."""
+    """Run the process until it is stopped, then exit with its exit code."""
     from twisted.internet import reactor
 
     process = Process(settings, reactor)
@@ -20,7 +20,7 @@
 
 
 def build_roles(settings: ProcessSettings, process: Process, reactor: object) -> None:
-    """Add the roles that the settings name to a process."""
+    """Add to a process the roles that the settings name."""
     roles = settings.process.roles
     if RoleName.EMULATOR in roles and settings.engines:
         process.roles.append(EmulatorRole(settings, _own_engines(settings), reactor))
--- a/src/rainsail/assembly/dependencies.py
+++ b/src/rainsail/assembly/dependencies.py
@@ -1,4 +1,4 @@
-"""The dependencies that a node is built over."""
+"""The dependencies that are injected into a node."""
 
 import random
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeDependencies:
-    """What every node needs from outside.
+    """The dependencies of every node.
 
-    ``wall_clock`` returns Unix seconds; it serves only deadlines that callers state.
+    ``wall_clock`` returns Unix seconds; it is used only for deadlines that callers state.
     """
 
     clock: Clock
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaDependencies:
-    """A replica's dependencies: a node's, its data folder and the platform's machine list."""
+    """Those of a node, with the replica's data folder and the platform's machine list."""
 
     node: NodeDependencies
     files: FileSystem
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayDependencies:
-    """A gateway's dependencies: a node's and the client of the engines."""
+    """Those of a node, with the client of the engines."""
 
     node: NodeDependencies
     engine: EngineClient
--- a/src/rainsail/assembly/embedded.py
+++ b/src/rainsail/assembly/embedded.py
@@ -12,7 +12,7 @@
 
 
 def run(settings: ProcessSettings) -> None:
-    """Run the fleet until it is told to stop; exits with its code."""
+    """Run the fleet until it is stopped, then exit with the process's exit code."""
     from twisted.internet import reactor
 
     process = Process(settings, reactor)
@@ -21,7 +21,7 @@
 
 
 class EmbeddedFleet:
-    """Every role of the settings: replicas, gateways, emulated engines."""
+    """Every role in the settings: replicas, gateways and emulated engines."""
 
     def __init__(self, settings: ProcessSettings, reactor: Any) -> None:
         self.settings = settings
@@ -33,7 +33,7 @@
         }
 
     def add_to(self, process: Process) -> None:
-        """Let a process run the fleet; a replica that can't go on ends it."""
+        """Add every role to a process; a fatal fault of a replica ends the process."""
         process.roles.append(self.emulator)
         for replica in self.replicas.values():
             replica.node.on_fatal(process.fail)
@@ -41,7 +41,7 @@
         process.roles += self.gateways.values()
 
     def make_replica(self, name: str) -> ReplicaRole:
-        """Return a replica that is not started yet, on its own part of the data folder."""
+        """Return a replica, not yet started, with its own subfolder of the data folder."""
         entry = next(each for each in self.settings.replicas if each.name == name)
         folder = self.settings.process.data_folder / name
         return ReplicaRole(
--- a/src/rainsail/assembly/emulator.py
+++ b/src/rainsail/assembly/emulator.py
@@ -1,4 +1,4 @@
-"""The emulator role: engines, their weight store and the machine list of a platform."""
+"""The emulator role: emulated engines, their weight store and the platform's machine list."""
 
 from collections.abc import Generator
 from typing import Any
@@ -43,7 +43,7 @@
         self._ports: list[Any] = []
 
     def _make_engine(self, entry: EngineEntry) -> EmulatedEngine:
-        """Make an engine whose incarnations differ from those of earlier processes."""
+        """Make an engine whose incarnation ids differ from those of earlier processes."""
         return EmulatedEngine(
             entry.runner,
             self._clock,
@@ -55,7 +55,7 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Put every engine on its port, and the machine list when it has an address."""
+        """Serve every engine on its port, and the machine list when it has an address."""
         yield succeed(None)
         recording = self._record_executions()
         if recording.is_error():
--- a/src/rainsail/assembly/folder_lock.py
+++ b/src/rainsail/assembly/folder_lock.py
@@ -1,4 +1,4 @@
-"""One process per data folder: a second one would write over the first one's log."""
+"""Locks a data folder for one process: a second process would overwrite the first one's log."""
 
 import fcntl
 import os
@@ -13,14 +13,14 @@
 
 
 class FolderLock:
-    """Holds a data folder for this process; the system lets go when the process ends."""
+    """An exclusive lock on a data folder; the kernel releases it when the process ends."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._descriptor: int | None = None
 
-    def take(self) -> Result[None, Fault]:
-        """Take the folder, making it when it is missing; a fault when another process has it."""
+    def acquire(self) -> Result[None, Fault]:
+        """Lock the folder, creating it if missing; a fault when another process holds the lock."""
         path = self._folder / LOCK_FILE
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -37,7 +37,7 @@
         return Ok(None)
 
     def release(self) -> None:
-        """Let go of the folder."""
+        """Release the lock, if it is held."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway: caller requests, owned runners and the dispatcher of batch items."""
+"""A gateway node: online requests, the runners it owns, and dispatch of batch items."""
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """What a gateway is told: its name, its place and the replicas of the root group."""
+    """A gateway's name, region, zone and settings, and the names of all replicas."""
 
     name: str
     region: str
@@ -37,7 +37,7 @@
 
 
 class NativeGatewayNode:
-    """Assembles a gateway; a restarted gateway is a new node with a new incarnation."""
+    """Assembles a gateway. Each start of a gateway is a new node with a new incarnation id."""
 
     def __init__(self, config: GatewayConfig, dependencies: GatewayDependencies) -> None:
         node = dependencies.node
@@ -105,7 +105,7 @@
         )
 
     def start(self) -> None:
-        """Start following the configuration; work is taken once the first lease holds."""
+        """Start watching the configuration; work is accepted once the first lease is held."""
         self.view.start()
         self.fleet.start()
         self.core.start()
@@ -114,7 +114,7 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Give batch items back, finish what callers wait for, then stop."""
+        """Return the leased batch items, finish the online requests in progress, then stop."""
         batch_returned = self.dispatcher.stop()
         yield self.core.drain()
         yield batch_returned
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -1,4 +1,4 @@
-"""One replicated group on a replica: its durable log, its state and its driver."""
+"""A replica's member of one replicated group: its durable log, state machine and driver."""
 
 from collections.abc import Generator
 from dataclasses import dataclass
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HostedGroup:
-    """A group that this replica keeps a member of."""
+    """A group that this replica hosts a member of."""
 
     driver: GroupDriver
     state: ReplicatedState
 
 
 def group_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
-    """Return every group of the fleet in order: the root group and those of the batch ledger."""
+    """Return every group of the fleet, sorted: the root group and the batch ledger's groups."""
     return tuple(sorted({ROOT_GROUP, *config.batch.groups}))
 
 
 def hosted_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
-    """Return the groups that this replica keeps a member of."""
+    """Return the groups that this replica hosts a member of."""
     count = config.control.replicas_per_group
     return tuple(
         group
@@ -53,7 +53,7 @@
     state: ReplicatedState,
     router: GroupRouter,
 ) -> Generator[Deferred[Any], Any, Result[HostedGroup, Fault]]:
-    """Open a group's log and make its driver; the driver is not started yet."""
+    """Open a group's log and make its driver, without starting it."""
     storage = yield open_group_storage(dependencies.files, group, config.storage)
     if storage.is_error():
         return Error(storage.error)
--- a/src/rainsail/assembly/listening.py
+++ b/src/rainsail/assembly/listening.py
@@ -1,4 +1,4 @@
-"""Putting HTTP applications on loopback or machine addresses."""
+"""Serving HTTP applications on TCP ports."""
 
 from typing import Any
 
@@ -13,12 +13,12 @@
 
 
 def listen_http(reactor: Any, resource: Any, address: PeerAddress) -> Result[Any, Fault]:
-    """Serve a web resource; a fault names the address that can't be had."""
+    """Serve a web resource; a fault names the address if it can't be bound."""
     return listen_site(reactor, Site(resource, timeout=HTTP_IDLE_TIMEOUT_S), address)
 
 
 def listen_site(reactor: Any, site: Site, address: PeerAddress) -> Result[Any, Fault]:
-    """Serve a web site; a fault names the address that can't be had."""
+    """Serve a web site; a fault names the address if it can't be bound."""
     site.displayTracebacks = False
     try:
         return Ok(reactor.listenTCP(address.port, site, interface=address.host))
--- a/src/rainsail/assembly/machine_watch.py
+++ b/src/rainsail/assembly/machine_watch.py
@@ -1,4 +1,4 @@
-"""Follows the platform's machine list, so that planners can look at it without waiting."""
+"""Polls the platform's machine list, so that planners read it from memory without waiting."""
 
 from typing import Any
 
@@ -11,14 +11,15 @@
 from rainsail.runtime.clock import Clock
 
 FETCH_PERIOD_S = 2.0
-"""Seconds between two fetches; the list itself lags by more."""
+"""Time between two fetches; the list itself lags behind the machines by more."""
 
 
 class MachineWatch:
-    """Keeps the last machine list that was fetched; implements ``MachineView``.
+    """Caches the last machine list that was fetched; implements ``MachineView``.
 
-    A machine that was listed once and is missing from a later list is gone. After a failed fetch
-    the last list stands: the list only ever takes runners out of use, it never brings work back.
+    A machine that was listed once and is missing from a later list is gone. A failed fetch keeps
+    the previous list. That is safe, because the list is only ever used to take runners out of
+    service, never to requeue work.
     """
 
     def __init__(self, client: MachineListClient, clock: Clock) -> None:
@@ -29,17 +30,17 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Fetch now and then every FETCH_PERIOD_S."""
+        """Fetch at once, then again ``FETCH_PERIOD_S`` after each fetch has ended."""
         self._client.fetch().addCallback(self._take)
 
     def stop(self) -> None:
-        """Fetch no more."""
+        """Stop polling."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def machine_state(self, name: str) -> WatchedMachineState | None:
-        """Return what is known of a machine; None when it was never listed."""
+        """Return the last known state of a machine; None when it was never listed."""
         return self._states.get(name)
 
     def _take(self, result: Result[tuple[Machine, ...], Fault]) -> None:
--- a/src/rainsail/assembly/process.py
+++ b/src/rainsail/assembly/process.py
@@ -1,4 +1,4 @@
-"""A process: its roles, its status port, its log ring, its end."""
+"""A process: its roles, status port, log ring and shutdown."""
 
 import signal
 from collections.abc import Generator
@@ -88,7 +88,7 @@
         return self._metrics.exposition()
 
     def fail(self, fault: Fault) -> None:
-        """End the process because of a fault."""
+        """Log a fatal fault and shut the process down with ``EXIT_FAILED``."""
         logger.error(str(fault))
         self.exit_code = EXIT_FAILED
         self.stop()
@@ -99,7 +99,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Stop as planned: gateways finish first, replicas last; then end the reactor."""
+        """Shut down gracefully: gateways first, replicas last; then stop the reactor."""
         if self._stopping:
             return
         self._stopping = True
@@ -118,4 +118,4 @@
 
 
 _STOP_ORDER = {"GatewayRole": 0, "EmulatorRole": 1, "ReplicaRole": 2}
-"""Gateways need engines and replicas to finish, so they stop first."""
+"""Gateways stop first: to finish their requests they need the engines and the replicas."""
--- a/src/rainsail/assembly/recording.py
+++ b/src/rainsail/assembly/recording.py
@@ -1,4 +1,4 @@
-"""Opening a gateway's recording when its settings ask for one."""
+"""Opens the trace file in which a gateway records its traffic."""
 
 from pathlib import Path
 
@@ -19,7 +19,7 @@
     dependencies: NodeDependencies,
     settings: RecordingSettings,
 ) -> TraceRecorder:
-    """Open ``recordings/GATEWAY-SECONDS.avro`` and follow the configuration's changes."""
+    """Open ``recordings/GATEWAY-SECONDS.avro`` and record the configuration's changes in it."""
 
     def default_class(service: str) -> RequestClass:
         found = config.get(ResourceKey(Kind.SERVICE, service))
--- a/src/rainsail/assembly/replica.py
+++ b/src/rainsail/assembly/replica.py
@@ -1,4 +1,4 @@
-"""A replica: a member of the groups placed on it, with its control service and controllers."""
+"""A replica node: members of the groups placed on it, control service and controllers."""
 
 from collections.abc import Callable, Generator
 from typing import Any
@@ -25,10 +25,10 @@
 
 
 class ReplicaNode:
-    """Opens the data folder, joins its groups and serves control messages.
+    """Opens the data folder, joins the replica's groups and serves control messages.
 
-    ``group`` and ``state`` are those of the root group when this replica keeps it, which the
-    operator API is served from.
+    ``group`` and ``state`` belong to the root group. The operator API is served from them, on the
+    replicas that host a member of the root group.
     """
 
     def __init__(self, config: ReplicaConfig, dependencies: ReplicaDependencies) -> None:
@@ -52,17 +52,17 @@
 
     @property
     def group(self) -> GroupDriver | None:
-        """The root group, when this replica keeps a member of it and has opened it."""
+        """The root group's driver; None unless this replica hosts a member and has opened it."""
         root = self.hosted.get(ROOT_GROUP)
         return None if root is None else root.driver
 
     def on_fatal(self, listener: Callable[[Fault], None]) -> None:
-        """Call ``listener`` when the replica can't go on (a failed sync, a damaged log)."""
+        """Call ``listener`` on a fatal fault, such as a failed disk sync or a damaged log."""
         self._on_fatal = listener
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Start everything; a fault names the file or step that stands in the way."""
+        """Open every group and start all services; a fault names the file or step that failed."""
         node = self._dependencies.node
         config = self.config
         identity = yield load_or_create_identity(
@@ -136,7 +136,7 @@
         self._on_fatal(fault)
 
     def stop(self) -> None:
-        """Stop at once; durable state stays as synced."""
+        """Stop at once; the durable state stays as last synced."""
         if self._machines is not None:
             self._machines.stop()
         for manager in self.controllers:
@@ -148,7 +148,7 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Hand the leadership of every group over, then stop."""
+        """Transfer the leadership of every group that this replica leads, then stop."""
         led = [hosted.driver for hosted in self.hosted.values() if hosted.driver.is_leader()]
         yield gatherResults([driver.transfer_leadership() for driver in led])
         self.stop()
--- a/src/rainsail/assembly/replica_config.py
+++ b/src/rainsail/assembly/replica_config.py
@@ -1,4 +1,4 @@
-"""What a replica is told of itself and its fleet."""
+"""Configuration of a replica node."""
 
 from dataclasses import dataclass, field
 
--- a/src/rainsail/assembly/role_metrics.py
+++ b/src/rainsail/assembly/role_metrics.py
@@ -1,4 +1,4 @@
-"""What each role tells in the process's metrics; read when they are asked for."""
+"""Metrics of each role, read when they are scraped."""
 
 from collections.abc import Callable
 from functools import partial
@@ -31,7 +31,7 @@
 
 
 def register_role(metrics: Metrics, role: Any) -> None:
-    """Add a role's metrics; a role of another type has none."""
+    """Register a role's metrics; roles of other types have none."""
     if isinstance(role, ReplicaRole):
         _register_replica(metrics, role)
     elif isinstance(role, GatewayRole):
@@ -71,7 +71,7 @@
     ("batch_results_committed", "Results taken", lambda each: each.committer.counts.committed),
     ("batch_results_dropped", "Results too late", lambda each: each.committer.counts.dropped),
 )
-"""What a gateway's dispatcher has counted since its start."""
+"""Counts of a gateway's batch dispatcher since its start, exported as gauges."""
 
 
 def _register_gateway(metrics: Metrics, role: GatewayRole) -> None:
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a process over the real dependencies: sockets, files, the monotonic clock."""
+"""The roles of a process, built over real sockets, files and the monotonic clock."""
 
 import time
 from collections.abc import Generator
@@ -41,8 +41,8 @@
 from rainsail.wire.tcp import TcpTransport
 
 MACHINE_LIST_CONNECT_TIMEOUT_S = 2.0
-LAST_ANSWERS_LIMIT_S = 10.0
-"""Time that answers get to leave at a planned stop, after the gateway's own grace time."""
+RESPONSE_FLUSH_LIMIT_S = 10.0
+"""Time for the last responses to be sent at a graceful stop, after the gateway's grace period."""
 
 
 class RunningRole(Protocol):
@@ -51,7 +51,7 @@
     name: str
 
     def start(self) -> "Deferred[Result[None, Fault]]":
-        """Start; a fault names what stands in the way."""
+        """Start; a fault names what failed."""
         ...
 
     def planned_stop(self) -> "Deferred[None]":
@@ -60,12 +60,12 @@
 
 
 def fresh_random() -> Random:
-    """Return a generator seeded once from the system."""
+    """Return a generator seeded from the operating system."""
     return Random(SystemRandom().getrandbits(64))
 
 
 def make_node_dependencies(settings: ProcessSettings, reactor: Any, name: str) -> NodeDependencies:
-    """Return the dependencies of a daemon named ``name`` in this process."""
+    """Return the dependencies of the node named ``name`` in this process."""
     peers = {entry.name: parse_address(entry.address) for entry in settings.replicas}
     peers.update({each: parse_address(entry.address) for each, entry in settings.peers.items()})
     peers.pop(name, None)
@@ -84,13 +84,13 @@
 
 
 def role_in_fleet(settings: ProcessSettings) -> RoleOf:
-    """Return what tells a peer's role by its name: the replicas of the settings, else gateways."""
+    """Return the lookup of roles by name: replicas of the settings; any other is a gateway."""
     replicas = frozenset(entry.name for entry in settings.replicas)
     return lambda name: ProcessRole.REPLICA if name in replicas else ProcessRole.GATEWAY
 
 
 def machine_list_client(settings: ProcessSettings, reactor: Any) -> MachineListClient | None:
-    """Return the client of the platform's machine list; None when no list is named."""
+    """Return the client of the platform's machine list; None when none is configured."""
     if settings.platform.machine_list is None:
         return None
     agent = Agent(reactor, connectTimeout=MACHINE_LIST_CONNECT_TIMEOUT_S)
@@ -98,7 +98,7 @@
 
 
 class ReplicaRole:
-    """A replica with its data folder, its internal port and its operator API."""
+    """A replica node with its data folder, internal port and operator API."""
 
     def __init__(
         self,
@@ -135,8 +135,8 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Open the data folder, join the group, listen."""
-        locked = self._lock.take()
+        """Lock the data folder, start the node and listen on the internal and operator ports."""
+        locked = self._lock.acquire()
         if locked.is_error():
             return Error(locked.error)
         started = yield self.node.start()
@@ -157,11 +157,11 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Hand leadership over, close the ports, stop."""
+        """Drain and close the operator port, transfer leadership, then stop."""
         if self._served is not None:
             for port in self._ports:
                 yield self._served.stop_accepting(port)
-            yield self._served.finish(LAST_ANSWERS_LIMIT_S)
+            yield self._served.finish(RESPONSE_FLUSH_LIMIT_S)
         yield self.node.planned_stop()
         transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
@@ -169,7 +169,7 @@
 
     @inlineCallbacks
     def abrupt_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Stop at once, as a killed process would, and close the ports."""
+        """Stop without draining, as a killed process would, and close the ports."""
         self.node.stop()
         for port in self._ports:
             yield port.stopListening()
@@ -179,7 +179,7 @@
 
 
 class GatewayRole:
-    """A gateway with its caller API."""
+    """A gateway node with its caller API."""
 
     def __init__(self, settings: ProcessSettings, entry: GatewayEntry, reactor: Any) -> None:
         self.name = entry.name
@@ -227,7 +227,7 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Listen for callers, follow the configuration."""
+        """Listen for callers and peers, then start the node."""
         address = parse_address(self._entry.caller_api)
         site = self.caller_api.site()
         self._served = ServedConnections(site, self._dependencies.clock)
@@ -246,13 +246,13 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Finish every request in progress, then stop."""
+        """Finish every request in progress, close the caller port, then stop."""
         yield self.node.planned_stop()
         if self._recorder is not None:
             self._recorder.close()
         if self._served is not None and self._port is not None:
             yield self._served.stop_accepting(self._port)
-            yield self._served.finish(LAST_ANSWERS_LIMIT_S)
+            yield self._served.finish(RESPONSE_FLUSH_LIMIT_S)
         yield self._engine.close()
         transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
--- a/src/rainsail/assembly/served_connections.py
+++ b/src/rainsail/assembly/served_connections.py
@@ -1,10 +1,11 @@
-"""Follows the connections of a web site, so that a planned stop cuts no request.
-
-A process that stops listening and then ends would drop requests that it has not read, and answers
-that are still being worked on or have not left yet. ``stop_accepting`` lets in what has been sent
-to the port; each answer tells its client that the connection closes. ``finish`` lets requests under
-way end, closes each connection once its bytes have left, and gives up on what is left after a
-limit. A connection that has carried no request yet gets ``FIRST_REQUEST_S`` from its start.
+"""Tracks the connections of a web site, so that a graceful stop drops no request.
+
+A process that merely stops listening and ends would drop requests that it has not read yet, and
+responses that are still being produced or sent. ``stop_accepting`` accepts the connections and
+reads the requests that already reached the port; from then on each response announces that its
+connection closes. ``finish`` lets requests in progress end, closes each connection once its bytes
+are sent, and aborts those that are left after a limit. A connection without a request so far stays
+open for ``FIRST_REQUEST_S`` from its start.
 """
 
 from collections.abc import Generator
@@ -24,44 +25,44 @@
 )
 
 IDLE_READ_S = 0.25
-"""Idle connections are read for this long before they are closed at a planned stop.
+"""Idle connections are read for this long before they are closed at a graceful stop.
 
-Longer than the way of a request that was sent when the stop began.
+Longer than a request that was sent when the stop began takes to arrive.
 """
 
 
 class ServedConnections:
-    """The open connections of one site, by their channels."""
+    """The open connections of one site, by their HTTP channels."""
 
     def __init__(self, site: Site, clock: Clock) -> None:
         self._clock = clock
         self._channels: set[Any] = set()
         self._opened_s: dict[Any, float] = {}
-        """When the connections were opened that have carried no request yet."""
+        """When each connection that has carried no request yet was opened."""
         self._is_closing = False
         self._finished: Deferred[None] | None = None
         self._timer: Any = None
-        followed: Any = site
-        find = followed.getResourceFor
-        build = followed.buildProtocol
+        tracked: Any = site
+        find = tracked.getResourceFor
+        build = tracked.buildProtocol
 
-        def follow_request(request: Any) -> Any:
+        def track_request(request: Any) -> Any:
             self._opened_s.pop(request.channel, None)
             if self._is_closing:
                 _close_after(request)
             return find(request)
 
-        def follow_connection(address: Any) -> Any:
+        def track_connection(address: Any) -> Any:
             protocol = build(address)
-            self._follow(protocol)
+            self._track(protocol)
             return protocol
 
-        followed.getResourceFor = follow_request
-        followed.buildProtocol = follow_connection
+        tracked.getResourceFor = track_request
+        tracked.buildProtocol = track_connection
 
     @inlineCallbacks
     def stop_accepting(self, port: Any) -> Generator[Deferred[Any], Any, None]:
-        """Close the listening port once all that was sent to it so far has been read."""
+        """Close the listening port once the connections and requests sent so far are read."""
         self._announce_close()
         yield sleep(self._clock, IDLE_READ_S)
         ignore_new_connections(port)
@@ -70,25 +71,25 @@
         yield sleep(self._clock, IDLE_READ_S)
 
     def finish(self, limit_s: float) -> "Deferred[None]":
-        """Fire when every connection is closed; those still open after ``limit_s`` are cut."""
+        """Fire when every connection is closed; those still open after ``limit_s`` are aborted."""
         self._announce_close()
         for channel in list(self._channels):
             self._close_when_idle(channel)
         if not self._channels:
             return succeed(None)
         self._finished = Deferred()
-        self._timer = self._clock.callLater(limit_s, self._cut)
+        self._timer = self._clock.callLater(limit_s, self._abort_remaining)
         return self._finished
 
     def _announce_close(self) -> None:
-        """Have each answer that has not begun tell that its connection closes."""
+        """Make each response that has not started yet announce that its connection closes."""
         self._is_closing = True
         for channel in self._channels:
             for request in channel.requests:
                 _close_after(request)
 
     def _close_when_idle(self, channel: Any) -> None:
-        """Close a connection on which no request is under way, partly read or unread."""
+        """Close a connection once no request is in progress, partly read or unread on it."""
         for request in channel.requests:
             answered = request.notifyFinish()
             answered.addCallbacks(lambda _: self._close_when_idle(channel), lambda _: None)
@@ -101,12 +102,12 @@
             close_if_nothing_unread(channel.transport, channel.loseConnection)
 
     def _first_request_wait_s(self, channel: Any) -> float:
-        """Return how much longer the first request of a connection is to be expected."""
+        """Return how much longer to wait for the first request of a connection."""
         opened_s = self._opened_s.get(channel)
         return 0.0 if opened_s is None else opened_s + FIRST_REQUEST_S - self._clock.seconds()
 
-    def _follow(self, protocol: Any) -> None:
-        """Follow a connection from its start to its end."""
+    def _track(self, protocol: Any) -> None:
+        """Track a connection from its start to its end."""
         # Twisted wraps the channel that reads the requests.
         channel = getattr(protocol, "_channel", protocol)
         made, lost = channel.connectionMade, channel.connectionLost
@@ -136,26 +137,26 @@
         if finished is not None:
             finished.callback(None)
 
-    def _cut(self) -> None:
+    def _abort_remaining(self) -> None:
         """Reset every connection; ``finish`` fires when the last one is closed.
 
-        Were it to fire at once, the process could end before the resets: its connections would then
-        close in order, which ends an answer without a length as complete.
+        If it fired at once, the process could end before the resets are sent. Its connections
+        would then close in order, and a truncated response without a length would look complete.
         """
         requests = sum(len(channel.requests) for channel in self._channels)
-        logger.warning("{} requests have outlasted the planned stop and are cut", requests)
+        logger.warning("aborting {} requests not finished within the graceful stop", requests)
         for channel in list(self._channels):
             channel.transport.abortConnection()
 
 
 def has_begun_request(channel: Any) -> bool:
-    """Tell whether some bytes of a request have been read that is not answered yet."""
-    # Twisted makes a request of its first line; the bytes before the line's end are its own.
+    """Tell whether bytes of a request that is not answered yet have been read."""
+    # Twisted creates the request at its first complete line; until then it buffers the bytes.
     return bool(channel.requests or getattr(channel, "_buffer", b""))
 
 
 def _close_after(request: Any) -> None:
-    """Close a request's connection behind its answer, and tell the client so if it still can."""
+    """Close a request's connection after its response, announced if no header is sent yet."""
     if request.startedWriting:
         return
     request.responseHeaders.setRawHeaders(b"connection", [b"close"])
