--- a/features/settings/settings.feature
+++ b/features/settings/settings.feature
@@ -17,10 +17,10 @@
       | guayaquil | 3     | 5        | 2+2+1    | 3        | reports 6, positions 3   |
       | taoyuan   | 3     | 5        | 2+2+1    | 3        | assistant 9, dock 3      |
 
-  Scenario: Every example of resources and jobs is valid
+  Scenario: Every example file of resources and jobs is valid
     Then every example file of resources and jobs is accepted by its reader
 
-  Scenario Outline: Bad settings name the place and what was expected, and nothing is written
+  Scenario Outline: Invalid settings are refused by key and expectation, and nothing is written
     Given the settings file of an example with <change>
     When rainsail is run on it with "settings check"
     Then rainsail exits with 2
@@ -40,9 +40,9 @@
       | addresses.internal set to "10.0.0.1:7300" | tls: expected a section                        |
       | wire.max_frame_bytes set to 12            | wire.max_frame_bytes: Input should be greater  |
       | wire.dead_peer_timeout_s set to 1.0       | at least twice keepalive_period_s              |
-      | two replicas of one name                  | stands twice                                   |
-      | the table process taken out               | process: Field required                        |
-      | a byte that is no UTF-8                   | expected UTF-8                                 |
+      | two replicas of one name                  | appears twice                                  |
+      | the table process removed                 | process: Field required                        |
+      | a byte that is not UTF-8                  | expected UTF-8                                 |
 
   Scenario Outline: run and up refuse bad settings before they start anything
     Given the settings file of an example with process.name set to "Replica 1"
@@ -56,7 +56,7 @@
       | run     |
       | up      |
 
-  Scenario: Flags win over the environment, and the environment over the file
+  Scenario: Flags override the environment, and the environment overrides the file
     Given the settings file of an example with process.zone set to "from-file"
     When the settings are loaded
     Then the loaded zone is "from-file"
@@ -65,7 +65,7 @@
     When the settings are loaded with the flag "process.zone=from-flag" over RAINSAIL_PROCESS__ZONE "from-environment"
     Then the loaded zone is "from-flag"
 
-  Scenario Outline: A bad override names its source
+  Scenario Outline: An invalid override is reported with its source
     Given the settings file of an example with process.zone set to "a"
     When the settings are loaded with the flag "<flag>" over RAINSAIL_<variable> "<value>"
     Then loading the settings fails at "<source>" with "<words>"
@@ -78,10 +78,10 @@
       | PROCESS__ZONE         | a     | process            | --set       | key.path=value      |
       | PROCESS__ZONE         | a     | process.zone=A B   | --set       | process.zone        |
 
-  Scenario: Drawn bytes as a settings file never crash the loader
-    When 60 drawn texts are loaded as settings
-    Then each gave settings or named problems
+  Scenario: Random bytes in a settings file never crash the loader
+    When 60 settings files with random bytes are loaded
+    Then each gave settings, or problems that name the file
 
-  Scenario: The settings page is that of the models
+  Scenario: The settings page describes every key of the models
     When the settings page is generated
     Then it names every key of the settings with a description
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -7,8 +7,8 @@
 
 from behave import given, then, when
 from features.support.command_line import ROOT, rainsail, rainsail_here
-from features.support.wire import drawn, temporary_folder
-from hypothesis import given as drawn_from
+from features.support.wire import derandomized, temporary_folder
+from hypothesis import given as for_each
 from hypothesis import seed
 from hypothesis import strategies as st
 
@@ -70,9 +70,9 @@
 def _changed(text, change):
     if change == "two replicas of one name":
         return text.replace('name = "replica-2"', 'name = "replica-1"').encode()
-    if change == "the table process taken out":
+    if change == "the table process removed":
         return ("[addresses]" + text.split("[addresses]", 1)[1]).encode()
-    if change == "a byte that is no UTF-8":
+    if change == "a byte that is not UTF-8":
         return b"# \xff\n" + text.encode()
     if change.startswith("the line"):
         return text.replace('zone = "gye-a"', change.split('"')[1], 1).encode()
@@ -150,15 +150,15 @@
     assert any(where == source and words in text for where, text in texts), texts
 
 
-@when("{examples:d} drawn texts are loaded as settings")
-def step_drawn_texts(context, examples):
+@when("{examples:d} settings files with random bytes are loaded")
+def step_random_files(context, examples):
     path = temporary_folder(context) / "drawn.toml"
     context.settings_outcomes = []
     lines = BASE.read_text().split("\n")[:14]
 
     @seed(1)
-    @drawn(examples)
-    @drawn_from(st.integers(0, len(lines)), st.binary(max_size=40), st.booleans())
+    @derandomized(examples)
+    @for_each(st.integers(0, len(lines)), st.binary(max_size=40), st.booleans())
     def run(place, junk, cut):
         head = "\n".join(lines[:place]).encode()
         tail = b"" if cut else "\n".join(lines[place:]).encode()
@@ -170,7 +170,7 @@
     run()
 
 
-@then("each gave settings or named problems")
+@then("each gave settings, or problems that name the file")
 def step_named(context):
     outcomes = context.settings_outcomes
     assert any(not valid for valid, _ in outcomes)
--- a/features/steps/wire_codec_steps.py
+++ b/features/steps/wire_codec_steps.py
@@ -11,7 +11,7 @@
 
 import crc32c
 from behave import then, when
-from features.support.wire import drawn
+from features.support.wire import derandomized
 from hypothesis import given, seed
 from hypothesis import strategies as st
 
@@ -62,7 +62,7 @@
     """Call ``check`` with drawn values of a record."""
 
     @seed(1)
-    @drawn(examples)
+    @derandomized(examples)
     @given(_values(cls))
     def run(value):
         check(value)
@@ -103,7 +103,7 @@
     prefixes = [b"", *(bytes(9) + _type_id(cls) for cls in _records())]
 
     @seed(2)
-    @drawn(examples)
+    @derandomized(examples)
     @given(st.sampled_from(prefixes), st.binary(max_size=200))
     def run(prefix, data):
         context.wire_outcomes.append(_outcome(decode_envelope, prefix + data))
@@ -117,7 +117,7 @@
     for cls in _records():
 
         @seed(3)
-        @drawn(examples)
+        @derandomized(examples)
         @given(_values(cls), st.integers(0), st.binary(min_size=1, max_size=9), st.booleans())
         def run(value, place, patch, cut):
             data = bytearray(encode(value))
--- a/features/steps/wire_links_steps.py
+++ b/features/steps/wire_links_steps.py
@@ -8,13 +8,13 @@
     Node,
     Probe,
     add_node,
-    drawn,
+    derandomized,
     framed,
     listen_raw,
     nodes_of,
     wait_until,
 )
-from hypothesis import given as drawn_from
+from hypothesis import given as for_each
 from hypothesis import seed
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
@@ -51,8 +51,8 @@
     frames = st.lists(st.binary(max_size=FRAME_BOUND_BYTES), max_size=8)
 
     @seed(1)
-    @drawn(examples)
-    @drawn_from(frames, st.lists(st.integers(0, 600), max_size=12))
+    @derandomized(examples)
+    @for_each(frames, st.lists(st.integers(0, 600), max_size=12))
     def run(sent, cuts):
         link = KeptFrames()
         data = b"".join(framed(frame) for frame in sent)
@@ -77,8 +77,8 @@
     context.wire_closed = []
 
     @seed(2)
-    @drawn(examples)
-    @drawn_from(st.lists(st.binary(min_size=1, max_size=120), max_size=5))
+    @derandomized(examples)
+    @for_each(st.lists(st.binary(min_size=1, max_size=120), max_size=5))
     def run(parts):
         link = KeptFrames()
         for part in parts:
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -187,8 +187,8 @@
     return node
 
 
-def drawn(examples: int) -> settings:
-    """Hypothesis settings of a step: the same draws each time, nothing written."""
+def derandomized(examples: int) -> settings:
+    """Hypothesis settings of a step: the same examples in every run, no database on disk."""
     return settings(
         max_examples=examples,
         derandomize=True,
--- a/src/rainsail/settings/load.py
+++ b/src/rainsail/settings/load.py
@@ -1,4 +1,4 @@
-"""Loading settings: one TOML file, then the environment, then ``--set`` flags."""
+"""Loads settings: a TOML file, overridden by the environment, overridden by ``--set`` flags."""
 
 import difflib
 from collections.abc import Iterable, Mapping
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
-    """One thing wrong: where it was read, the key path, and what was expected."""
+    """One invalid setting: the source it was read from, its key path, and what was expected."""
 
     source: str
     key_path: str
@@ -36,7 +36,7 @@
 
 
 def load_settings(path: Path, flags: Iterable[str] = ()) -> Result[ProcessSettings, Problems]:
-    """Read and validate; nothing is started or written. Flags are ``key.path=value``."""
+    """Read and validate settings, without side effects. Flags are ``key.path=value``."""
     file_tree = _read_toml(path)
     if file_tree.is_error():
         return Error(file_tree.error)
@@ -106,7 +106,7 @@
 
 
 def _flag_value(text: str) -> Any:
-    """Read a TOML value; anything else is a string."""
+    """Parse a TOML value; text that is not TOML is taken as a string."""
     try:
         return parse_toml(f"value = {text}")["value"]
     except ValueError:
@@ -136,7 +136,7 @@
 def _unknown_in(
     source: str, hint: Any, value: Any, location: tuple[Any, ...]
 ) -> list[SettingsProblem]:
-    """Find keys without a field, also in models that would ignore them."""
+    """Find keys that no field has, also in models that ignore extra keys."""
     if get_origin(hint) in (Union, UnionType):
         members = [member for member in get_args(hint) if member is not type(None)]
         return _unknown_in(source, members[0], value, location)
--- a/src/rainsail/settings/model.py
+++ b/src/rainsail/settings/model.py
@@ -1,4 +1,4 @@
-"""The whole settings of one process: own sections and one section per concern."""
+"""All settings of one process: its own sections, and one section per component."""
 
 from collections.abc import Iterable
 
@@ -41,7 +41,7 @@
 
 
 class ProcessSettings(BaseSettings):
-    """Everything that one process is told. Built by ``rainsail.settings.load``."""
+    """All settings of one process. Built by ``rainsail.settings.load``."""
 
     model_config = SettingsConfigDict(
         frozen=True,
@@ -50,9 +50,9 @@
         env_nested_delimiter=NESTED_DELIMITER,
     )
 
-    process: ProcessSection = Field(description="Who this process is")
+    process: ProcessSection = Field(description="Identity of this process")
     addresses: AddressSection = Field(
-        default=AddressSection(), description="Where this process listens"
+        default=AddressSection(), description="Addresses that this process listens on"
     )
     peers: dict[Name, PeerEntry] = Field(
         default={}, description="Peers besides the replicas, by process name"
@@ -68,10 +68,10 @@
         default=None, description="Files for mutual TLS; without them only loopback is allowed"
     )
     platform: PlatformSection = Field(
-        default=PlatformSection(), description="What the platform offers beside the engines"
+        default=PlatformSection(), description="Services of the platform besides the engines"
     )
-    logs: LogSection = Field(default=LogSection(), description="The ring of log records")
-    wire: WireSettings = Field(default=WireSettings(), description="Links between processes")
+    logs: LogSection = Field(default=LogSection(), description="The ring buffer of log records")
+    wire: WireSettings = Field(default=WireSettings(), description="Connections between processes")
     consensus: ConsensusSettings = Field(
         default=ConsensusSettings.model_validate({}), description="Replicated groups"
     )
@@ -118,7 +118,7 @@
         dotenv_settings: PydanticBaseSettingsSource,
         file_secret_settings: PydanticBaseSettingsSource,
     ) -> tuple[PydanticBaseSettingsSource, ...]:
-        """Take arguments only: the loader merges file, environment and flags, in this order."""
+        """Use arguments only: ``settings.load`` has merged file, environment and flags already."""
         return (init_settings,)
 
     @model_validator(mode="after")
@@ -132,7 +132,7 @@
         return self
 
     def engine_settings(self, entry: EngineEntry) -> EngineSettings:
-        """Return the rates of one emulated engine."""
+        """Return the settings of one emulated engine, by its preset."""
         if entry.preset == EnginePreset.POSITION:
             return EngineSettings.position()
         return self.engine
@@ -168,5 +168,5 @@
     seen: dict[str, None] = {}
     for value in values:
         if value in seen:
-            raise ValueError(f"{what}: expected distinct values, {value!r} stands twice")
+            raise ValueError(f"{what}: expected distinct values, {value!r} appears twice")
         seen[value] = None
--- a/src/rainsail/settings/node.py
+++ b/src/rainsail/settings/node.py
@@ -1,4 +1,4 @@
-"""The settings file of a node of a fleet that relays: one TOML file for each process."""
+"""Settings of a node of a relaying fleet: one TOML file per process."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class NodeKind(StrEnum):
-    """Which role a process has."""
+    """The role of a node."""
 
     GATEWAY = "gateway"
     CONTROLLER = "controller"
@@ -25,7 +25,7 @@
 
 
 PORT_OFFSETS = {NodeKind.CONTROLLER: 0, NodeKind.STORAGE: 1, NodeKind.GATEWAY: 2}
-"""Which of the peers' ports a role listens on: the same on every machine."""
+"""Offset of each role's port from ``peers.first_port``; the same on every machine."""
 
 
 class _Section(BaseModel):
@@ -33,19 +33,20 @@
 
 
 class NodeSection(_Section):
-    """Who the node is."""
+    """Identity of the node."""
 
-    name: str = Field(min_length=1, description="Name of the machine, as operators call it")
+    name: str = Field(min_length=1, description="Name of the machine, for operators")
     role: NodeKind = Field(description="gateway, controller or storage")
     zone: str = Field(default="", description="Zone of the machine")
     region: str = Field(default="", description="Region of the machine's zone")
-    ip: str = Field(description="IP number that the other nodes reach it by")
-    data_folder: str = Field(default="", description="Folder of its durable state")
+    ip: str = Field(description="IP address at which the other nodes reach it")
+    data_folder: str = Field(default="", description="Folder of the node's durable state")
     founding: bool = Field(
-        default=False, description="The whole fleet starts for the first time, on empty disks"
+        default=False,
+        description="Bootstrap: the whole fleet starts for the first time, with empty disks",
     )
     losses: int = Field(
-        default=1, ge=0, description="Machines with a disk that may be lost at one time"
+        default=1, ge=0, description="Machines with a disk that may be lost at the same time"
     )
     zones: dict[str, str] = Field(
         default={}, description="The region of each zone of the fleet, by the zone's name"
@@ -53,7 +54,7 @@
 
 
 class PeersSection(_Section):
-    """How the node finds the others."""
+    """How the node finds the other nodes."""
 
     first_port: int = Field(gt=0, lt=65536, description="First of the ports between nodes")
     last_port: int = Field(gt=0, lt=65536, description="Last of the ports between nodes")
@@ -61,7 +62,7 @@
 
 
 class ListenSection(_Section):
-    """Where the node serves others than nodes."""
+    """Addresses on which the node serves clients, runners, operators and probes."""
 
     clients: str = Field(default="", description="IP:PORT for clients (gateway)")
     readiness: str = Field(default="", description="IP:PORT for readiness checks (gateway)")
@@ -70,81 +71,87 @@
 
 
 class LimitsSection(_Section):
-    """What the machine has."""
+    """Resources of the machine."""
 
     disk_mb: int = Field(default=0, ge=0, description="Disk of the machine in MB")
     memory_mb: int = Field(
-        default=0, ge=0, description="Memory that the process may use in MB; 0: no limit is known"
+        default=0, ge=0, description="Memory that the process may use in MB; 0: no known limit"
     )
 
 
 class BoundsSection(_Section):
-    """Times that the operator promises to others, in seconds."""
+    """Time limits that the operator sets; each key names its unit."""
 
-    grace_s: float = Field(default=8.0, gt=0, description="From SIGTERM until SIGKILL")
+    grace_s: float = Field(default=8.0, gt=0, description="Time between SIGTERM and SIGKILL")
     keys_trusted_ms: float | None = Field(
         default=None,
         gt=0,
-        description="How long keys are taken while too few controllers answer (none: always)",
+        description="How long keys stay valid while too few controllers answer (none: always)",
     )
     results_kept_s: float = Field(
-        default=600.0, gt=0, description="Results of a job that is over stay for this long"
+        default=600.0, gt=0, description="How long the results of a finished job are kept"
     )
 
 
 class QuotaSection(_Section):
-    """How closely tenants' rates are kept over all gateways together."""
+    """How closely tenants' request rates are enforced across all gateways."""
 
     window_s: float = Field(
-        default=5.0, gt=0, description="Length of the windows in which admitted requests count"
+        default=5.0,
+        gt=0,
+        description="Length of the windows that admitted requests are counted in",
     )
     overshoot: float = Field(
-        default=0.1, ge=0, description="Share by which a window may pass rate x window + burst"
+        default=0.1, ge=0, description="Fraction by which a window may exceed rate x window + burst"
     )
     slack: float = Field(
-        default=20.0, ge=0, description="Requests by which a window may pass it besides"
+        default=20.0,
+        ge=0,
+        description="Requests by which a window may further exceed that limit",
     )
 
     def terms(self) -> QuotaTerms:
-        """Return what the quotas' decisions need."""
+        """Return the terms for the allocation of quotas."""
         return QuotaTerms(self.window_s, self.overshoot, self.slack)
 
 
 class WarmUpSection(_Section):
-    """How closely the rate of runners that warm up is kept over the fleet.
+    """How closely the request rate of warming runners is enforced across the fleet.
 
-    In any second such a runner gets at most rate x overshoot + slack requests.
+    In any second a warming runner gets at most rate x overshoot + slack requests.
     """
 
     overshoot: float = Field(
         default=1.0, ge=1, description="Multiple of its rate that a runner may get in a second"
     )
     slack: float = Field(
-        default=0.0, ge=0, description="Requests that it may get in a second besides"
+        default=0.0, ge=0, description="Requests that it may get in a second in addition"
     )
 
     def bound(self) -> WarmUpBound:
-        """Return what the decisions on warm-ups need."""
+        """Return the bound for the warm-up limiter."""
         return WarmUpBound(self.overshoot, self.slack)
 
 
 class NodeSettings(_Section):
-    """The whole file."""
+    """All settings of one node."""
 
-    node: NodeSection = Field(description="Who the node is")
-    peers: PeersSection = Field(description="How the node finds the others")
+    node: NodeSection = Field(description="Identity of the node")
+    peers: PeersSection = Field(description="How the node finds the other nodes")
     listen: ListenSection = Field(
-        default=ListenSection(), description="Where the node serves others than nodes"
+        default=ListenSection(),
+        description="Addresses on which the node serves clients, runners, operators and probes",
     )
-    limits: LimitsSection = Field(default=LimitsSection(), description="What the machine has")
+    limits: LimitsSection = Field(default=LimitsSection(), description="Resources of the machine")
     bounds: BoundsSection = Field(
-        default=BoundsSection(), description="Times that the operator promises to others"
+        default=BoundsSection(), description="Time limits that the operator sets"
     )
     quota: QuotaSection = Field(
-        default=QuotaSection(), description="How closely tenants' rates are kept"
+        default=QuotaSection(), description="How closely tenants' request rates are enforced"
     )
     warm_up: WarmUpSection = Field(
-        default=WarmUpSection(), description="How closely the rate of warming runners is kept"
+        default=WarmUpSection(),
+        description="How closely the request rate of warming runners is enforced",
     )
     mechanisms: Mechanisms = Field(
         default=DEFAULTS, description="Policies that can be turned off to measure them"
@@ -159,7 +166,7 @@
         if self.node.role == NodeKind.CONTROLLER and not self.listen.control:
             raise ValueError("listen.control: a controller needs it")
         if self.peers.last_port - self.peers.first_port < max(PORT_OFFSETS.values()):
-            raise ValueError("peers: too few ports")
+            raise ValueError("peers: too few ports from first_port to last_port")
         for seed in self.peers.seeds:
             _check_seed(seed)
         return self
@@ -169,7 +176,7 @@
         return self.peers.first_port + PORT_OFFSETS[self.node.role]
 
     def process_name(self) -> str:
-        """Return the name of the process: where its transport listens."""
+        """Return the name of the process: the IP:PORT that its transport listens on."""
         return f"{self.node.ip}:{self.transport_port()}"
 
     def seed_controllers(self) -> tuple[str, ...]:
@@ -186,7 +193,7 @@
 
 
 def load_node_settings(path: Path) -> Result[NodeSettings, Fault]:
-    """Read and check a settings file; an INVALID fault names the place and what is wrong."""
+    """Read and validate a settings file; an INVALID fault names the file, key and problem."""
     try:
         values = parse_toml(path.read_text(encoding="utf-8"))
         return Ok(NodeSettings.model_validate(values))
--- a/src/rainsail/settings/process.py
+++ b/src/rainsail/settings/process.py
@@ -1,4 +1,4 @@
-"""Sections of the settings that no single concern owns: the process, its addresses, its fleet."""
+"""Settings sections that no single component owns: the process, its addresses, its fleet."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -12,7 +12,7 @@
 NAME_PATTERN = r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$"
 
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
-"""Lower-case letters, digits, dots and dashes, 63 at most."""
+"""Lower-case letters, digits, dots and dashes, at most 63 characters."""
 
 
 def _check_address(text: str) -> str:
@@ -21,11 +21,11 @@
 
 
 Address = Annotated[str, AfterValidator(_check_address)]
-"""``IP:PORT`` with an IP number, never a host name."""
+"""``IP:PORT`` with an IP address, never a host name."""
 
 
 class RoleName(StrEnum):
-    """What a process does."""
+    """The roles that a process can run."""
 
     REPLICA = "replica"
     GATEWAY = "gateway"
@@ -33,14 +33,14 @@
 
 
 class ProcessSection(BaseModel):
-    """Who this process is."""
+    """Identity of this process."""
 
     model_config = FROZEN
 
     name: Name = Field(description="Name of the process, unique in the fleet")
     fleet: Name = Field(description="Name of the fleet; processes of other fleets are refused")
-    region: Name = Field(default="local", description="Region that the process stands in")
-    zone: Name = Field(description="Zone that the process stands in")
+    region: Name = Field(default="local", description="Region of the process")
+    zone: Name = Field(description="Zone of the process")
     roles: tuple[RoleName, ...] = Field(
         default=(RoleName.REPLICA, RoleName.GATEWAY, RoleName.EMULATOR),
         min_length=1,
@@ -52,7 +52,7 @@
 
 
 class AddressSection(BaseModel):
-    """Where this process listens."""
+    """Addresses that this process listens on."""
 
     model_config = FROZEN
 
@@ -66,7 +66,7 @@
         default="127.0.0.1:7302", description="IP:PORT of the caller API (gateway role)"
     )
     status: Address | None = Field(
-        default=None, description="IP:PORT of /healthz, /readyz and /metrics; none when left out"
+        default=None, description="IP:PORT of /healthz, /readyz and /metrics; not served by default"
     )
     machine_list: Address | None = Field(
         default=None, description="IP:PORT of the emulated machine list (emulator role)"
@@ -74,13 +74,13 @@
 
 
 class PlatformSection(BaseModel):
-    """What the platform offers beside the engines."""
+    """Services of the platform besides the engines."""
 
     model_config = FROZEN
 
     machine_list: Address | None = Field(
         default=None,
-        description="IP:PORT of the list of live and leaving machines, which replicas follow",
+        description="IP:PORT of the list of live and leaving machines, which replicas poll",
     )
 
 
@@ -122,7 +122,7 @@
 
 
 class EnginePreset(StrEnum):
-    """The rates that an emulated engine runs at."""
+    """Presets of the rates at which an emulated engine runs."""
 
     LANGUAGE_MODEL = "language_model"
     POSITION = "position"
@@ -149,7 +149,7 @@
 
 
 class EmulatorSection(BaseModel):
-    """What the emulator role keeps for checkers."""
+    """What the emulator role records for tests that check executions."""
 
     model_config = FROZEN
 
@@ -158,12 +158,12 @@
         description="Write each attempt that an engine runs to executions.jsonl of the data folder",
     )
     record_limit_bytes: int = Field(
-        default=64 * 1024 * 1024, gt=0, description="Bound of executions.jsonl"
+        default=64 * 1024 * 1024, gt=0, description="Largest size of executions.jsonl"
     )
 
 
 class LogSection(BaseModel):
-    """The ring of log records in memory."""
+    """The ring buffer of log records in memory."""
 
     model_config = FROZEN
 
