--- a/features/steps/wire_admission_steps.py
+++ b/features/steps/wire_admission_steps.py
@@ -48,7 +48,7 @@
     add_node(context, Node(name, fleet=fleet)).listen()
 
 
-@given('a wire node of fleet "{fleet}" named "{name}" that takes "{other}" for "{peer}"')
+@given('a wire node of fleet "{fleet}" named "{name}" that dials "{other}" as "{peer}"')
 def step_fleet_knows(context, name, fleet, peer, other):
     node = Node(name, {peer: _address(context, other)}, fleet=fleet)
     if name in nodes_of(context):
@@ -95,10 +95,10 @@
     add_node(context, Node(name, {peer: _address(context, peer)}, tls))
 
 
-@given('a TLS wire node named "{name}" that carries the certificate of "{owner}" to "{peer}"')
+@given('a TLS wire node named "{name}" that uses the certificate of "{owner}" to "{peer}"')
 def step_tls_other_name(context, name, owner, peer):
     node = Node(owner, {peer: _address(context, peer)}, tls_settings(context.wire_keys, owner))
-    # The transport refuses to start so: only a process that lies gets this far.
+    # The transport refuses to start with this certificate, so the name is changed afterwards.
     node.transport._hello = dataclasses.replace(node.transport._hello, process=name)
     node.name = name
     add_node(context, node)
@@ -117,7 +117,7 @@
     context.wire_raw.transport.write(RAW_BYTES[what])
 
 
-@when('a raw wire peer greets "{name}" and goes on with garbage')
+@when('a raw wire peer greets "{name}" and then sends garbage')
 def step_raw_garbage(context, name):
     context.wire_raw = connect_raw(_address(context, name))
     context.wire_raw.transport.write(framed(encode(GOOD_HELLO)))
@@ -125,7 +125,7 @@
     context.wire_raw.transport.write(framed(b"\x00garbage that is no envelope"))
 
 
-@when('a raw wire peer greets "{name}" and goes on with an envelope')
+@when('a raw wire peer greets "{name}" and then sends an envelope')
 def step_raw_envelope(context, name):
     context.wire_raw = connect_raw(_address(context, name))
     context.wire_raw.transport.write(framed(encode(GOOD_HELLO)) + PROBE_FRAME)
--- a/features/steps/wire_certificate_steps.py
+++ b/features/steps/wire_certificate_steps.py
@@ -1,4 +1,4 @@
-"""Steps of features/wire/admission.feature about what certificates say."""
+"""Steps of features/wire/admission.feature about names and roles in certificates."""
 
 from datetime import timedelta
 
@@ -51,19 +51,19 @@
     folder = _certificate(context, name, what)
     port = nodes_of(context)[peer].port
     peers = {peer: PeerAddress("127.0.0.1", port)}
-    # A process checks its own certificate's role at its start: only one that lies gets this far.
+    # Without role_of this node does not check its own certificate, so the peer has to refuse it.
     add_node(context, Node(name, peers, tls_settings(folder, name)))
 
 
 def _certificate(context, name, what):
-    """Return the folder of a certificate that is wrong in the way named, or right."""
+    """Return the folder of a certificate with the named defect, or of a valid one."""
     folder = context.wire_keys
     role = role_by_name(name)
     if what == "of the wrong role":
         keys.create_certificates(folder, [name], OTHER_ROLE[role])
     elif what == "without a role":
         keys.create_certificates(folder, [name], "")
-    elif what == "past its last day":
+    elif what == "expired":
         keys.create_certificates(folder, [name], role, AN_HOUR_AGO)
     elif what == "of another authority":
         folder = temporary_folder(context)
@@ -74,7 +74,7 @@
 
 
 def _trust(folder, other):
-    """Let the process trust the fleet's authority, so that the refusal is the fleet's."""
+    """Make the process trust the fleet's authority, so that only the fleet refuses."""
     (folder / keys.AUTHORITY_FILE).write_bytes((other / keys.AUTHORITY_FILE).read_bytes())
 
 
--- a/features/steps/wire_codec_steps.py
+++ b/features/steps/wire_codec_steps.py
@@ -34,7 +34,7 @@
 
 
 def _records():
-    """Import every module of the product that registers records; return the records."""
+    """Import every module of rainsail that registers records; return the records."""
     root = Path(rainsail.__file__).parent
     for path in sorted(root.rglob("*.py")):
         if "@wire_record" in path.read_text():
@@ -51,7 +51,7 @@
 
 @cache
 def _register_types():
-    """Let drawn numbers be those that Avro's long and an equality check can bear."""
+    """Restrict generated values to what Avro encodes and an equality check can compare."""
     st.register_type_strategy(int, INT64)
     st.register_type_strategy(float, st.floats(allow_nan=False))
     st.register_type_strategy(str, st.text(max_size=6))
@@ -59,7 +59,7 @@
 
 
 def _each_value(cls, examples, check):
-    """Call ``check`` with drawn values of a record."""
+    """Call ``check`` with generated values of a record."""
 
     @seed(1)
     @derandomized(examples)
@@ -70,7 +70,7 @@
     run()
 
 
-@when("{examples:d} drawn values of each registered wire record are encoded and decoded")
+@when("{examples:d} random values of each registered wire record are encoded and decoded")
 def step_round_trip(context, examples):
     context.wire_unequal = []
     context.wire_seen = {}
@@ -85,7 +85,7 @@
         _each_value(cls, examples, check)
 
 
-@then("every wire value came back equal")
+@then("every wire value is equal after decoding")
 def step_all_equal(context):
     assert context.wire_seen
     assert context.wire_unequal == [], context.wire_unequal[:3]
@@ -97,7 +97,7 @@
         assert any(name.startswith(part) for name in context.wire_seen), (part, context.wire_seen)
 
 
-@when("{examples:d} drawn byte strings are decoded as wire envelopes")
+@when("{examples:d} random byte strings are decoded as wire envelopes")
 def step_bytes(context, examples):
     context.wire_outcomes = []
     prefixes = [b"", *(bytes(9) + _type_id(cls) for cls in _records())]
@@ -145,7 +145,7 @@
 @then("each gave a wire record or a codec error")
 def step_outcomes(context):
     outcomes = context.wire_outcomes
-    assert set(outcomes) == {"error", "value"}, "only one kind of outcome was met"
+    assert set(outcomes) == {"error", "value"}, "only one kind of outcome occurred"
 
 
 def _zigzag(number):
@@ -195,7 +195,7 @@
     assert context.wire_outcome == "error"
 
 
-@then("each item of each wire array and map takes a byte at least")
+@then("each item of each wire array and map takes at least one byte")
 def step_items_take_bytes(context):
     found = []
     for cls in _records():
--- a/features/steps/wire_keys_steps.py
+++ b/features/steps/wire_keys_steps.py
@@ -26,7 +26,7 @@
     assert (common_name(certificate), role_name(certificate)) == (wanted, role)
 
 
-@then("both are of the same created authority")
+@then("all are signed by the same created authority")
 def step_authority(context):
     authority = _certificate(context, "authority")
     for name in ("replica-1", "replica-2", "gateway-1"):
--- a/features/steps/wire_links_steps.py
+++ b/features/steps/wire_links_steps.py
@@ -31,8 +31,8 @@
 FRAME_BOUND_BYTES = 64
 
 
-class KeptFrames(FramedConnection):
-    """A framed link that keeps what arrives."""
+class RecordingLink(FramedConnection):
+    """A framed link that keeps the frames that arrive."""
 
     def __init__(self, max_frame_bytes=FRAME_BOUND_BYTES, buffer_bytes=1000):
         super().__init__(max_frame_bytes, buffer_bytes)
@@ -45,7 +45,7 @@
         self.frames.append(string)
 
 
-@when("{examples:d} drawn runs of frames reach a framed link cut at drawn places")
+@when("{examples:d} random sequences of frames reach a framed link, split at random places")
 def step_frames_cut(context, examples):
     context.wire_frame_runs = []
     frames = st.lists(st.binary(max_size=FRAME_BOUND_BYTES), max_size=8)
@@ -54,7 +54,7 @@
     @derandomized(examples)
     @for_each(frames, st.lists(st.integers(0, 600), max_size=12))
     def run(sent, cuts):
-        link = KeptFrames()
+        link = RecordingLink()
         data = b"".join(framed(frame) for frame in sent)
         places = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
         for start, end in itertools.pairwise(places):
@@ -64,14 +64,14 @@
     run()
 
 
-@then("each run of frames arrived whole and in order")
+@then("each sequence of frames arrived whole and in order")
 def step_frames_whole(context):
     assert any(len(sent) > 2 for sent, _ in context.wire_frame_runs)
     for sent, arrived in context.wire_frame_runs:
         assert sent == arrived, (sent, arrived)
 
 
-@when("{examples:d} drawn byte strings reach a framed link with frames of 64 bytes at most")
+@when("{examples:d} random byte strings reach a framed link with frames of 64 bytes at most")
 def step_garbage(context, examples):
     context.wire_held_bytes = []
     context.wire_closed = []
@@ -80,7 +80,7 @@
     @derandomized(examples)
     @for_each(st.lists(st.binary(min_size=1, max_size=120), max_size=5))
     def run(parts):
-        link = KeptFrames()
+        link = RecordingLink()
         for part in parts:
             link.dataReceived(part)
             if link.transport.disconnecting:
@@ -101,7 +101,7 @@
 
 @given("a framed link with a buffer of {size:d} bytes whose transport asks for a pause")
 def step_paused_link(context, size):
-    context.wire_link = KeptFrames(max_frame_bytes=500, buffer_bytes=size)
+    context.wire_link = RecordingLink(max_frame_bytes=500, buffer_bytes=size)
     context.wire_link.pauseProducing()
 
 
@@ -117,7 +117,7 @@
         assert len(context.wire_sent) < 1000
 
 
-@when("a frame over the bound is sent")
+@when("a frame over the size limit is sent")
 def step_over_bound(context):
     context.wire_refusal = context.wire_link.send_frame(bytes(501))
 
@@ -136,7 +136,7 @@
     assert context.wire_link.transport.value() == b""
 
 
-@when("the transport of the framed link takes more")
+@when("the transport of the framed link resumes")
 def step_resume(context):
     context.wire_link.resumeProducing()
 
@@ -178,7 +178,7 @@
 
 
 class LinkOwner:
-    """Keeps what a peer link tells its transport."""
+    """Records the fault with which a peer link was closed."""
 
     def __init__(self):
         self.fault = None
@@ -190,12 +190,12 @@
         """Nothing to do."""
 
     def connection_closed(self, connection, fault):
-        """Keep why."""
+        """Keep the fault."""
         self.fault = fault
 
 
 class LinkTransport(StringTransport):
-    """A string transport with the calls of a TCP one."""
+    """A string transport with the methods of a TCP transport."""
 
     aborted = False
 
@@ -206,7 +206,7 @@
         """Nothing to do."""
 
     def abortConnection(self):
-        """Note it."""
+        """Record the abort."""
         self.aborted = True
 
 
@@ -271,7 +271,7 @@
     _, context.wire_other_waits = _failing(2, failures)
 
 
-@then("each wait before the next dial lies between half and all of a doubling bound")
+@then("each wait before the next dial lies between half and all of a doubling limit")
 def step_waits(context):
     wire_settings = WireSettings()
     for failure, wait_s in enumerate(context.wire_waits):
@@ -279,7 +279,7 @@
         assert bound_s / 2 <= wait_s <= bound_s, (failure, wait_s, bound_s)
 
 
-@then("two dialling processes do not wait alike")
+@then("two dialling processes wait for different times")
 def step_jitter(context):
     assert context.wire_waits != context.wire_other_waits
 
@@ -290,7 +290,7 @@
     context.wire_dial.opened()
 
 
-@then("the next dial is not held back")
+@then("the next dial is allowed at once")
 def step_free(context):
     assert context.wire_dial.refusal(100.0) is None
 
--- a/features/support/wire.py
+++ b/features/support/wire.py
@@ -1,4 +1,4 @@
-"""Helpers of the wire features: real loopback sockets on a reactor that steps drive by hand."""
+"""Helpers of the wire features: real loopback sockets on a reactor that the steps iterate."""
 
 import tempfile
 import time
@@ -24,7 +24,7 @@
 
 _iterated = False
 LIMIT_S = 20.0
-"""A wait that takes this long has failed; nothing is asserted about shorter times."""
+"""Timeout of every wait; shorter times are not checked."""
 
 
 @wire_record("Probe")
@@ -37,7 +37,7 @@
 
 
 def start_reactor() -> None:
-    """Make the reactor ready for ``turn``; does nothing when it is."""
+    """Make the reactor ready for ``reactor.iterate``; does nothing if it is already."""
     global _iterated
     if not _iterated:
         assert not reactor.running, APART
@@ -46,7 +46,7 @@
 
 
 def wait_until(condition: Callable[[], Any], what: str = "condition") -> Any:
-    """Run the reactor until ``condition`` returns something true."""
+    """Iterate the reactor until ``condition`` returns a true value; return that value."""
     start_reactor()
     limit = time.monotonic() + LIMIT_S
     while True:
@@ -59,7 +59,7 @@
 
 
 def wait_for(deferred: Deferred) -> Any:
-    """Run the reactor until ``deferred`` has fired; return its result."""
+    """Iterate the reactor until ``deferred`` has fired; return its result."""
     results: list[Any] = []
     deferred.addBoth(results.append)
     wait_until(lambda: results, "a deferred result")
@@ -69,7 +69,7 @@
 
 
 class Node:
-    """A transport with a messenger that keeps every probe and echoes calls."""
+    """A transport and a messenger that records every probe and echoes calls."""
 
     def __init__(
         self,
@@ -111,30 +111,30 @@
 
 
 def temporary_folder(context: Any) -> Path:
-    """Return a folder that goes when the scenario ends."""
+    """Return a folder that is deleted when the scenario ends."""
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     return Path(folder.name)
 
 
 class RawPeer(Protocol):
-    """A connection that speaks no protocol: writes what a step gives it, keeps what comes."""
+    """A connection without a protocol: a step writes its bytes and reads what was received."""
 
     def __init__(self) -> None:
         self.closed = False
         self.received = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep what arrives."""
+        """Append the bytes that arrive."""
         self.received += data
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Note that the other side has closed."""
+        """Record that the connection was closed."""
         self.closed = True
 
 
 def connect_raw(address: PeerAddress) -> RawPeer:
-    """Connect without saying anything."""
+    """Connect without sending anything."""
     peer = RawPeer()
     endpoint = TCP4ClientEndpoint(reactor, address.host, address.port)
     return wait_for(endpoint.connect(Factory.forProtocol(lambda: peer)))
@@ -155,7 +155,7 @@
 
 
 def framed(data: bytes) -> bytes:
-    """Return a frame as it stands on the wire."""
+    """Return a frame as it is sent: length prefix, then data."""
     return len(data).to_bytes(4, "big") + data
 
 
@@ -169,12 +169,12 @@
 
 
 def role_by_name(name: str) -> ProcessRole:
-    """Return the role of a process of the wire features: replicas are called so."""
+    """Return the role of a process of the wire features, by the prefix of its name."""
     return ProcessRole.REPLICA if name.startswith("replica-") else ProcessRole.GATEWAY
 
 
 def nodes_of(context):
-    """Return the nodes of the scenario by name; they are stopped when it ends."""
+    """Return the nodes of the scenario by name; all are stopped when it ends."""
     if not hasattr(context, "wire_nodes"):
         context.wire_nodes = {}
         context.add_cleanup(lambda: [node.stop() for node in context.wire_nodes.values()])
@@ -182,7 +182,7 @@
 
 
 def add_node(context, node):
-    """Keep a node and stop it when the scenario ends."""
+    """Register a node, which is stopped when the scenario ends."""
     nodes_of(context)[node.name] = node
     return node
 
--- a/features/wire/admission.feature
+++ b/features/wire/admission.feature
@@ -1,8 +1,8 @@
-Feature: Who may speak on a connection between processes
+Feature: Admission of peers to connections between processes
 
-  Scenario Outline: A hello that does not fit is refused and nothing is delivered
+  Scenario Outline: A mismatched hello is refused and nothing is delivered
     Given a listening wire node of fleet "harbour" named "replica-1"
-    And a wire node of fleet "<fleet>" named "<name>" that takes "replica-1" for "<dialled>"
+    And a wire node of fleet "<fleet>" named "<name>" that dials "replica-1" as "<dialled>"
     When "<name>" calls "<dialled>" over the wire with "ping"
     Then the wire call ends with a fault "unavailable" whose outcome is "not_run"
     And the wire fault says "<reason>"
@@ -36,14 +36,14 @@
       | an empty frame                |
       | an HTTP request               |
 
-  Scenario: A connection that says nothing is closed in time
+  Scenario: A connection without a hello is closed after the hello timeout
     Given a listening wire node named "replica-1" with a hello timeout of 0.2 s
     When a raw wire peer sends nothing to "replica-1"
     Then the raw wire connection is closed by the other side
 
   Scenario: Garbage after the hello closes the connection
     Given a listening wire node of fleet "harbour" named "replica-1"
-    When a raw wire peer greets "replica-1" and goes on with garbage
+    When a raw wire peer greets "replica-1" and then sends garbage
     Then the raw wire connection is closed by the other side
     And "replica-1" got no wire probe
 
@@ -60,17 +60,17 @@
     Then the wire call ends with the reply "echo ping"
     And "replica-1" got the wire probe "ping" from "gateway-1"
 
-  Scenario: With TLS on no plain connection is accepted
+  Scenario: With TLS on, plaintext connections are refused
     Given a wire authority with certificates for "replica-1" and "gateway-1"
     And a listening TLS wire node named "replica-1"
-    When a raw wire peer greets "replica-1" and goes on with an envelope
+    When a raw wire peer greets "replica-1" and then sends an envelope
     Then the raw wire connection is closed by the other side
     And "replica-1" got no wire probe
 
   Scenario: A certificate of another name is refused
     Given a wire authority with certificates for "replica-1" and "gateway-1"
     And a listening TLS wire node named "replica-1"
-    And a TLS wire node named "gateway-2" that carries the certificate of "gateway-1" to "replica-1"
+    And a TLS wire node named "gateway-2" that uses the certificate of "gateway-1" to "replica-1"
     When "gateway-2" calls "replica-1" over the wire with "ping"
     Then the wire call ends with a fault "unavailable" whose outcome is "not_run"
     And the wire fault says "certificate is 'gateway-1''s"
@@ -99,10 +99,10 @@
       | wrong                | name      | step               | reason                      | listener_step      | listener_peer |
       | of the wrong role    | gateway-2 | wire.connection    | gateway-2' is a gateway     | wire.hello         | gateway-2     |
       | without a role       | gateway-2 | wire.connection    | gateway-2' is a gateway     | wire.hello         | gateway-2     |
-      | past its last day    | gateway-2 | wire.tls.handshake | expired                     | wire.tls.handshake | 127.0.0.1     |
+      | expired              | gateway-2 | wire.tls.handshake | expired                     | wire.tls.handshake | 127.0.0.1     |
       | of another authority | gateway-2 | wire.tls.handshake | alert decrypt error         | wire.tls.handshake | 127.0.0.1     |
 
-  Scenario: A replica takes no gateway for a replica
+  Scenario: A gateway certificate is refused from a process with a replica name
     Given a wire authority with certificates by role for "replica-1" and "gateway-1"
     And a listening wire node "replica-1" that checks roles
     And a wire node "replica-2" with a certificate that is of the wrong role and its peer "replica-1"
@@ -123,7 +123,7 @@
     When a wire node "replica-2" that checks roles is made with a certificate of the wrong role
     Then making the wire node fails naming "is of role 'gateway', 'replica-2' is a replica"
 
-  Scenario: Running without TLS is said in the log
+  Scenario: Running without TLS is logged
     When the log is read while a plain wire node "replica-1" is made
     Then the log has the line "TLS is off: only loopback addresses are used" of "replica-1"
 
--- a/features/wire/keys.feature
+++ b/features/wire/keys.feature
@@ -1,13 +1,13 @@
-Feature: Certificates made on the command line say name and role
+Feature: Certificates created on the command line name the process and its role
 
-  Scenario: A certificate for each name, under one authority
+  Scenario: One certificate per name, signed by one authority
     When certificates for "replica-1,replica-2" are created with the role "replica"
     And certificates for "gateway-1" are created with the role "gateway"
     Then the created certificate of "replica-2" names "replica-2" and the role "replica"
     And the created certificate of "gateway-1" names "gateway-1" and the role "gateway"
-    And both are of the same created authority
+    And all are signed by the same created authority
 
-  Scenario: A role that there is not is bad input
+  Scenario: An unknown role is refused as bad input
     When certificates for "replica-1" are created with the role "admiral"
     Then creating certificates ended with code 2 naming "replica or gateway"
     And no certificate was created
--- a/src/rainsail/wire/address.py
+++ b/src/rainsail/wire/address.py
@@ -1,4 +1,4 @@
-"""Where a peer listens: an IP number and a port."""
+"""Addresses of processes: an IP address and a TCP port."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """An IP number (no host name) and a TCP port."""
+    """An IP address (no host name) and a TCP port."""
 
     host: str
     port: int
 
     def is_loopback(self) -> bool:
-        """Tell whether the address never leaves this machine."""
+        """Tell whether the address is reachable from this machine only."""
         return ipaddress.ip_address(self.host).is_loopback
 
     def __str__(self) -> str:
--- a/src/rainsail/wire/codec.py
+++ b/src/rainsail/wire/codec.py
@@ -1,11 +1,10 @@
 """Avro codec for frozen dataclasses.
 
-The Avro schema of a record is derived from the dataclass's type hints and the names that
-``wire.names`` holds, so the dataclass is the only definition. Supported field types: ``int``
-(long), ``float`` (double), ``str``, ``bytes``, ``bool``, ``StrEnum`` (string), nested
-dataclasses, unions of those with ``None``,
-``tuple[T, ...]`` (array), ``dict[str, T]`` (map). Unions of several dataclasses become Avro
-unions of records. A record can't contain itself.
+The Avro schema of a record is derived from the dataclass's type hints and the names declared in
+``wire.names``, so the dataclass is the only definition. Supported field types: ``int`` (long),
+``float`` (double), ``str``, ``bytes``, ``bool``, ``StrEnum`` (string), nested dataclasses, unions
+of those with ``None``, ``tuple[T, ...]`` (array), ``dict[str, T]`` (map). Unions of several
+dataclasses become Avro unions of records. A record can't contain itself.
 
 ``encode(message)`` prefixes the body with the CRC-32C of the registered type name, so that
 ``decode`` finds the type without a schema exchange. Both ends run the same schemas: the
@@ -44,7 +43,7 @@
 
 @cache
 def _writer(hint: Any) -> Converter:
-    """Return a function from a typed value to fastavro's plain value."""
+    """Return the function that converts a typed value to the value that fastavro writes."""
     members = union_members(hint)
     if members is not None:
         return _union_writer(members)
@@ -63,7 +62,7 @@
 
 
 def _compiled(expression: str, names: dict[str, Any]) -> Converter:
-    """Return the function of a generated lambda; a loop over the fields takes twice as long."""
+    """Compile a generated lambda; a generic loop over the fields takes twice as long."""
     function: Converter = eval(expression, names)
     return function
 
@@ -73,18 +72,18 @@
 ) -> list[tuple[str, str]]:
     """Return each field's name on the wire and the expression of its converted value.
 
-    ``access`` is how a field is read, with its name in the code as ``{code}`` and its name on the
-    wire as ``{wire}``; the converters go into ``names``.
+    ``access`` is the expression that reads a field, with ``{code}`` for its name in the code and
+    ``{wire}`` for its name on the wire. The converters it needs are added to ``names``.
     """
     hints = typing.get_type_hints(cls)
     expressions = []
-    for place, field in enumerate(dataclasses.fields(cls)):
+    for index, field in enumerate(dataclasses.fields(cls)):
         name_on_wire = wire_field_name(cls, field.name)
         expression = access.format(code=field.name, wire=name_on_wire)
         convert = converter(hints[field.name])
         if convert is not _identity:
-            names[f"convert_{place}"] = convert
-            expression = f"convert_{place}({expression})"
+            names[f"convert_{index}"] = convert
+            expression = f"convert_{index}({expression})"
         expressions.append((name_on_wire, expression))
     return expressions
 
@@ -115,7 +114,7 @@
 
 @cache
 def _reader(hint: Any) -> Converter:
-    """Return a function from fastavro's plain value to the typed value."""
+    """Return the function that converts a value that fastavro read to the typed value."""
     members = union_members(hint)
     if members is not None:
         return _union_reader(members)
@@ -160,13 +159,13 @@
 
 
 def to_avro_value(message: Any) -> Any:
-    """Return a dataclass as fastavro's plain value, for Avro container files."""
+    """Convert a dataclass to the value that fastavro writes, for Avro container files."""
     record: Any = type(message)
     return _writer(record)(message)
 
 
 def from_avro_value(cls: Any, plain: Any) -> Any:
-    """Return the dataclass of fastavro's plain value (read with ``return_record_name``)."""
+    """Convert a value that fastavro read (with ``return_record_name``) to the dataclass."""
     return _reader(cls)(plain)
 
 
@@ -204,7 +203,7 @@
     ) as error:
         raise CodecError(f"not a {wire_name(cls)}: {error!r}") from error
     if buffer.tell() != len(data):
-        raise CodecError(f"{len(data) - buffer.tell()} bytes follow a {wire_name(cls)}")
+        raise CodecError(f"{len(data) - buffer.tell()} unexpected bytes after a {wire_name(cls)}")
     return value
 
 
@@ -212,7 +211,7 @@
 _TYPE_IDS: dict[Any, bytes] = {}
 
 
-def _place(cls: Any) -> str:
+def _qualified_name(cls: Any) -> str:
     return f"{cls.__module__}.{cls.__qualname__}"
 
 
@@ -228,8 +227,8 @@
         wire_type(name, renamed_fields or {})(cls)
         number = crc32c.crc32c(name.encode())
         known = _REGISTRY.get(number)
-        if known is not None and _place(known) != _place(cls):
-            raise TypeError(f"{_place(cls)} and {_place(known)} share a type id")
+        if known is not None and _qualified_name(known) != _qualified_name(cls):
+            raise TypeError(f"{_qualified_name(cls)} and {_qualified_name(known)} share a type id")
         _REGISTRY[number] = cls
         _TYPE_IDS[cls] = _TYPE_ID.pack(number)
         return cls
@@ -238,7 +237,7 @@
 
 
 def encode(message: Any, prefix: bytes = b"") -> bytes:
-    """Encode a registered record with its type id; ``prefix`` goes before it."""
+    """Encode a registered record with its type id, after ``prefix``."""
     return b"".join((prefix, _TYPE_IDS[type(message)], encode_body(message)))
 
 
@@ -261,7 +260,7 @@
 def protocol_fingerprint(modules: tuple[str, ...] | None = None) -> int:
     """Return the CRC-32C over the schemas of the registered records, in name order.
 
-    With ``modules`` only records that these modules define count.
+    With ``modules``, only records defined in these modules count.
     """
     total = 0
     for cls in registered_records():
--- a/src/rainsail/wire/connection.py
+++ b/src/rainsail/wire/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a peer: the hello first, then envelopes, with keepalive frames between."""
+"""A connection to a peer: first the hellos, then envelopes, and keepalive frames when idle."""
 
 from typing import Any, Protocol
 
@@ -9,7 +9,7 @@
 from rainsail.wire.codec import CodecError, decode, encode
 from rainsail.wire.envelope import decode_envelope
 from rainsail.wire.framing import FramedConnection
-from rainsail.wire.hello import Certified, LinkHello, LinkRefused, RoleOf, check_hello
+from rainsail.wire.hello import CertifiedIdentity, LinkHello, LinkRefused, RoleOf, check_hello
 from rainsail.wire.messenger import Envelope, ProcessName
 from rainsail.wire.names import wire_name
 from rainsail.wire.settings import WireSettings
@@ -17,11 +17,11 @@
 STEP = "wire.connection"
 KEEPALIVE_FRAME = b""
 REFUSAL_FLUSH_S = 1.0
-"""Time that a refusal has to leave before the connection is aborted."""
+"""Time for a refusal to be sent before the connection is aborted."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells the transport that it belongs to."""
+    """The events that a connection reports to the transport that owns it."""
 
     def connection_opened(self, connection: "PeerConnection") -> None:
         """The hellos have been exchanged; ``connection.peer`` names the other side."""
@@ -32,15 +32,15 @@
         ...
 
     def connection_closed(self, connection: "PeerConnection", fault: Fault) -> None:
-        """The connection is gone; called once, also when it never opened."""
+        """The connection has ended; called exactly once, even if it never opened."""
         ...
 
 
 class PeerConnection(FramedConnection):
     """Exchanges hellos, then carries envelopes.
 
-    ``expected`` names the dialled process; it is None on accepted connections, which say hello
-    only after they have accepted the other side's.
+    ``expected`` names the dialled process. It is None on accepted connections, which send their
+    hello only after they have accepted the peer's.
     """
 
     def __init__(
@@ -85,32 +85,32 @@
         self.transport.setTcpKeepAlive(True)
         set_user_timeout(self.transport, self._settings.user_timeout_s)
         self._sent_s = self._received_s = self._clock.seconds()
-        self._timer = self._clock.callLater(self._settings.hello_timeout_s, self._hello_late)
+        self._timer = self._clock.callLater(self._settings.hello_timeout_s, self._hello_timed_out)
         if self._expected is not None:
             self.send_frame(encode(self._hello))
 
     def dataReceived(self, data: bytes) -> None:
-        """Note that the peer lives and take the frames in ``data``."""
+        """Record that the peer is alive and process the frames in ``data``."""
         if self._ended:
             return
         self._received_s = self._clock.seconds()
         super().dataReceived(data)
 
     def stringReceived(self, string: bytes) -> None:
-        """Take one frame."""
+        """Handle one frame: a hello, a keepalive or an envelope."""
         if self._ended:
             return
         if not self.is_open:
-            self._take_hello(string)
+            self._handle_hello(string)
         elif string != KEEPALIVE_FRAME:
-            self._take_envelope(string)
+            self._handle_envelope(string)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Close: a frame longer than the bound is announced; none of it is gathered."""
+        """Close the connection at the length prefix of an oversized frame, without buffering it."""
         self.close(self._invalid(FaultCode.TOO_LARGE, f"frame of {length} bytes announced"))
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        """Tell the owner once."""
+        """Report the end of the connection to the owner."""
         self._ended = True
         self.is_open = False
         self._cancel_timer()
@@ -118,7 +118,7 @@
         self._owner.connection_closed(self, self._fault or self._loss(reason))
 
     def _loss(self, reason: Failure | None) -> Fault:
-        """Return why the connection was lost; an unnamed peer goes by its address."""
+        """Return why the connection was lost; a peer without a name is given by its address."""
         peer = self.peer or self._remote
         if reason is None:
             return Fault(FaultCode.UNAVAILABLE, STEP, "closed", peer)
@@ -136,7 +136,7 @@
         return None
 
     def close(self, fault: Fault) -> None:
-        """Close at once for ``fault``; what has not been written yet is dropped."""
+        """Close at once because of ``fault``; data that is not written yet is dropped."""
         if self._fault is None:
             self._fault = fault
         self._ended = True
@@ -145,7 +145,7 @@
 
     # --- the hello ----------------------------------------------------------------------------
 
-    def _take_hello(self, frame: bytes) -> None:
+    def _handle_hello(self, frame: bytes) -> None:
         try:
             message = decode(frame)
         except CodecError as error:
@@ -154,13 +154,13 @@
         if isinstance(message, LinkRefused):
             self.close(self._invalid(FaultCode.FORBIDDEN, f"refused by the peer: {message.reason}"))
         elif isinstance(message, LinkHello):
-            self._judge_hello(message)
+            self._validate_hello(message)
         else:
             name = wire_name(type(message))
             self.close(self._invalid(FaultCode.FORBIDDEN, f"{name} arrived before the hello"))
 
-    def _judge_hello(self, other: LinkHello) -> None:
-        proof = _certified(self.transport) if self._tls else None
+    def _validate_hello(self, other: LinkHello) -> None:
+        proof = _peer_identity(self.transport) if self._tls else None
         fault = check_hello(self._hello, other, self._expected, proof, self._role_of)
         if fault is not None:
             self._refuse(fault)
@@ -171,11 +171,11 @@
         self.is_open = True
         self.accept_large_frames()
         self._cancel_timer()
-        self._watch_link()
+        self._check_liveness()
         self._owner.connection_opened(self)
 
     def _refuse(self, fault: Fault) -> None:
-        """Tell the peer why, then close."""
+        """Send the peer the reason, then close."""
         self._fault = fault
         self._ended = True
         self._cancel_timer()
@@ -184,14 +184,14 @@
         self.transport.loseConnection()
         self._timer = self._clock.callLater(REFUSAL_FLUSH_S, self.transport.abortConnection)
 
-    def _hello_late(self) -> None:
+    def _hello_timed_out(self) -> None:
         self._timer = None
         detail = f"no hello within {self._settings.hello_timeout_s:g} s"
         self.close(self._invalid(FaultCode.TIMEOUT, detail))
 
     # --- envelopes and keepalive -------------------------------------------------------------
 
-    def _take_envelope(self, frame: bytes) -> None:
+    def _handle_envelope(self, frame: bytes) -> None:
         try:
             envelope = decode_envelope(frame)
         except CodecError as error:
@@ -199,8 +199,8 @@
             return
         self._owner.envelope_received(self.peer, envelope)
 
-    def _watch_link(self) -> None:
-        """Send a keepalive on a quiet link, close one whose peer is silent."""
+    def _check_liveness(self) -> None:
+        """Send a keepalive if the connection is idle, close it if the peer is silent."""
         now_s = self._clock.seconds()
         silent_s = now_s - self._received_s
         if silent_s >= self._settings.dead_peer_timeout_s:
@@ -210,7 +210,7 @@
             return
         if now_s - self._sent_s >= self._settings.keepalive_period_s:
             self.send_envelope(KEEPALIVE_FRAME)
-        self._timer = self._clock.callLater(self._settings.keepalive_period_s, self._watch_link)
+        self._timer = self._clock.callLater(self._settings.keepalive_period_s, self._check_liveness)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -222,13 +222,13 @@
 
 
 def _handshake_fault(reason: Failure, peer: str) -> Fault | None:
-    """Load TLS only where it is used: a node without it starts faster and smaller."""
+    """Import TLS only when it is used: a node without it starts faster and uses less memory."""
     from rainsail.wire.tls import handshake_fault
 
     return handshake_fault(reason, peer)
 
 
-def _certified(transport: Any) -> Certified:
-    from rainsail.wire.tls import certified
+def _peer_identity(transport: Any) -> CertifiedIdentity:
+    from rainsail.wire.tls import peer_identity
 
-    return certified(transport)
+    return peer_identity(transport)
--- a/src/rainsail/wire/envelope.py
+++ b/src/rainsail/wire/envelope.py
@@ -1,4 +1,4 @@
-"""Bytes of an envelope: kind, call id, then the encoded message."""
+"""Encoding of envelopes: kind, call id, then the encoded message."""
 
 import struct
 
--- a/src/rainsail/wire/framing.py
+++ b/src/rainsail/wire/framing.py
@@ -12,15 +12,15 @@
 STEP = "wire.framing"
 LENGTH_PREFIX_BYTES = Int32StringReceiver.prefixLength
 HELLO_FRAME_BYTES = 4096
-"""Largest frame that is taken before the hello has been accepted."""
+"""Largest frame accepted before the hello."""
 
 
 @implementer(IPushProducer)
 class FramedConnection(Int32StringReceiver):
     """Sends and receives frames.
 
-    The Twisted transport holds what the socket does not take at once; when it asks for a
-    pause, frames wait here, up to ``buffer_bytes``.
+    The Twisted transport buffers what the socket does not take at once. While it asks for a
+    pause, frames are queued here, up to ``buffer_bytes``.
     """
 
     MAX_LENGTH = HELLO_FRAME_BYTES
@@ -37,11 +37,11 @@
         self._missing_bytes = 0
 
     def connectionMade(self) -> None:
-        """Ask the transport to say when it holds too much."""
+        """Register as producer, so that the transport asks for a pause when its buffer is full."""
         self.transport.registerProducer(self, True)
 
     def dataReceived(self, data: bytes) -> None:
-        """Gather the parts of a large frame, so that each byte is copied once."""
+        """Parse frames; the parts of a large one are joined once it is complete, to copy less."""
         self._gathered.append(data)
         self._gathered_bytes += len(data)
         if self._gathered_bytes < self._missing_bytes:
@@ -53,38 +53,38 @@
         self._missing_bytes = self._missing()
 
     def _missing(self) -> int:
-        """Return how many bytes the frame begun still lacks (0 when its length isn't there)."""
-        begun = self._unprocessed
-        if len(begun) < LENGTH_PREFIX_BYTES:
+        """Return how many bytes the current frame still lacks (0 while its length is unknown)."""
+        partial = self._unprocessed
+        if len(partial) < LENGTH_PREFIX_BYTES:
             return 0
-        length = int.from_bytes(begun[:LENGTH_PREFIX_BYTES], "big")
-        return LENGTH_PREFIX_BYTES + length - len(begun)
+        length = int.from_bytes(partial[:LENGTH_PREFIX_BYTES], "big")
+        return LENGTH_PREFIX_BYTES + length - len(partial)
 
     def accept_large_frames(self) -> None:
-        """Raise the bound on arriving frames from that of a hello to the full one."""
+        """Raise the limit on incoming frames from that of a hello to the full one."""
         self.MAX_LENGTH = self._max_frame_bytes
 
     def send_frame(self, data: bytes) -> Fault | None:
-        """Send a frame or let it wait; a fault means that it was not and will not be sent."""
+        """Send or queue a frame; a fault means that it was not and will not be sent."""
         if len(data) > self._max_frame_bytes:
-            detail = f"{len(data)} bytes are over the frame bound of {self._max_frame_bytes}"
+            detail = f"{len(data)} bytes exceed the frame limit of {self._max_frame_bytes}"
             return Fault(FaultCode.TOO_LARGE, STEP, detail)
         if self._may_write:
             self.sendString(data)
             return None
         if self._waiting_bytes + len(data) > self._buffer_bytes:
-            detail = f"{self._waiting_bytes} bytes wait for the peer already"
+            detail = f"{self._waiting_bytes} bytes are already queued for the peer"
             return Fault(FaultCode.OVERLOADED, STEP, detail)
         self._waiting.append(data)
         self._waiting_bytes += len(data)
         return None
 
     def pauseProducing(self) -> None:
-        """Let frames wait: the transport holds enough."""
+        """Queue frames from now on: the transport's buffer is full."""
         self._may_write = False
 
     def resumeProducing(self) -> None:
-        """Write the waiting frames until the transport asks for a pause again."""
+        """Write the queued frames until the transport asks for a pause again."""
         self._may_write = True
         while self._may_write and self._waiting:
             data = self._waiting.popleft()
@@ -92,7 +92,7 @@
             self.sendString(data)
 
     def stopProducing(self) -> None:
-        """Drop the waiting frames: the connection is gone."""
+        """Drop the queued frames: the connection has ended."""
         self._may_write = False
         self._waiting.clear()
         self._waiting_bytes = 0
--- a/src/rainsail/wire/hello.py
+++ b/src/rainsail/wire/hello.py
@@ -1,4 +1,4 @@
-"""The hello: who speaks on a connection, checked before any other message is taken."""
+"""The hello, which identifies a peer and is checked before any other message is accepted."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,22 +12,22 @@
 
 
 class ProcessRole(StrEnum):
-    """What a certificate says that its process may be."""
+    """The role that a certificate grants its process."""
 
     REPLICA = "replica"
     GATEWAY = "gateway"
 
 
 @dataclass(frozen=True, slots=True)
-class Certified:
-    """What a peer's verified certificate says; ``role`` is empty when it names none."""
+class CertifiedIdentity:
+    """Process name and role in a verified certificate; ``role`` is empty if it names none."""
 
     name: ProcessName
     role: str
 
 
 RoleOf = Callable[[ProcessName], ProcessRole]
-"""Tells which role a process of that name has in this fleet."""
+"""Returns the role that the process of that name has in this fleet."""
 
 
 @wire_record("LinkHello")
@@ -52,14 +52,14 @@
     own: LinkHello,
     other: LinkHello,
     expected: ProcessName | None,
-    certified: Certified | None,
+    certified: CertifiedIdentity | None,
     role_of: RoleOf | None = None,
 ) -> Fault | None:
-    """Return why ``other`` is refused, or None when it is welcome.
+    """Return why ``other`` is refused, or None when it is accepted.
 
     ``expected`` is the process that was dialled (None on accepted connections), ``certified``
-    what the peer's certificate says (None without TLS). With ``role_of`` the certificate must
-    also name the role that the process has.
+    the identity in the peer's certificate (None without TLS). With ``role_of`` the certificate
+    must also name the role that the process has.
     """
     if other.fleet != own.fleet:
         return _refuse(other, f"fleet is {other.fleet!r}, expected {own.fleet!r}")
@@ -77,7 +77,7 @@
 
 
 def _certificate_fault(
-    other: LinkHello, certified: Certified, role_of: RoleOf | None
+    other: LinkHello, certified: CertifiedIdentity, role_of: RoleOf | None
 ) -> Fault | None:
     if other.process != certified.name:
         detail = f"process name is {other.process!r}, certificate is {certified.name!r}'s"
--- a/src/rainsail/wire/keys.py
+++ b/src/rainsail/wire/keys.py
@@ -1,6 +1,6 @@
 """Development authority, process certificates and API keys.
 
-The authority is meant for development and tests: its key lies unencrypted beside the
+The authority is meant for development and tests: its key is stored unencrypted next to the
 certificates, readable by the owner only.
 """
 
@@ -24,7 +24,7 @@
 AUTHORITY_KEY_FILE = "authority.key"
 VALIDITY = timedelta(days=3650)
 CLOCK_TOLERANCE = timedelta(days=1)
-"""Certificates are valid this long before they are made, for machines whose clock is behind."""
+"""Validity starts this long before creation, for machines whose clocks are behind."""
 API_KEY_BYTES = 32
 API_KEY_PREFIX = "rs-"
 _PROCESS_NAME = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
@@ -65,8 +65,8 @@
 ) -> list[Path]:
     """Write a key and certificate per name; return the new files.
 
-    Each certificate says what its process may be: a replica's is refused from a gateway and a
-    gateway's from a replica.
+    Each certificate names the role of its process. Peers that check roles refuse the certificate
+    of a gateway from a replica, and the reverse.
 
     The authority is made when the folder has none. Raises ``FileExistsError`` rather than
     overwrite, ``ValueError`` for a bad process name; in both cases nothing is written.
--- a/src/rainsail/wire/messenger.py
+++ b/src/rainsail/wire/messenger.py
@@ -1,11 +1,11 @@
 """Typed messages between processes: one-way sends and calls with a reply.
 
-``Transport`` is the network seam. ``rainsail.wire.tcp.TcpTransport`` carries envelopes over
-TCP (TLS when set); ``rainsail.simulation.network.SimulatedTransport`` over a virtual network.
-Everything above the seam uses ``Messenger``. A message may be lost, delayed, duplicated or
-reordered; a call whose reply does not come in time ends with a TIMEOUT fault whose outcome is
-UNKNOWN. A fault with NOT_RUN from ``call`` means that the message was certainly never sent, or
-that the peer itself said so.
+``Transport`` is the interface to the network. ``rainsail.wire.tcp.TcpTransport`` carries envelopes
+over TCP (with TLS if configured); ``rainsail.simulation.network.SimulatedTransport`` carries them
+over a virtual network. Everything above that interface uses ``Messenger``. A message may be lost,
+delayed, duplicated or reordered. A call without a reply in time ends with a TIMEOUT fault whose
+outcome is UNKNOWN. A fault with NOT_RUN from ``call`` means that the message was certainly never
+sent, or that the peer itself reported it as not run.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
 
 
 class EnvelopeKind(IntEnum):
-    """How an envelope is to be handled."""
+    """How the receiver handles an envelope."""
 
     ONE_WAY = 0
     CALL = 1
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """One message on its way; ``call_id`` ties a reply to its call (0 for one-way)."""
+    """One message in transit; ``call_id`` correlates a reply with its call (0 for one-way)."""
 
     kind: EnvelopeKind
     call_id: int
@@ -77,7 +77,7 @@
         transport.listen(self._deliver)
 
     def send_all(self, destinations: Iterable[ProcessName], message: Any) -> None:
-        """Send one message to many; a transport encodes it once. Faults are passed over."""
+        """Send one message to many; a transport encodes it once. Faults are ignored."""
         envelope = Envelope(EnvelopeKind.ONE_WAY, 0, message)
         for destination in destinations:
             self._transport.send(destination, envelope)
@@ -127,10 +127,10 @@
         answer.addCallback(lambda reply: self._reply(source, envelope.call_id, reply))
 
     def _unserved(self, message: Any) -> Fault:
-        """Say that this process does not serve a call, or not yet.
+        """Return the fault for a call that this process does not serve, or not yet.
 
-        It may still be opening its disk, and the message may be sound: this is never INVALID, so
-        that the caller tries elsewhere.
+        The process may still be opening its disk, and the message may be valid. The fault is
+        therefore not INVALID: the caller should try another process.
         """
         detail = f"{wire_name(type(message))} is not served here, or not yet"
         return Fault(FaultCode.UNAVAILABLE, "messenger.deliver", detail, self.name, Outcome.NOT_RUN)
--- a/src/rainsail/wire/names.py
+++ b/src/rainsail/wire/names.py
@@ -1,10 +1,10 @@
-"""The names that records and their fields bear on the wire and on disks.
+"""The names of records and their fields on the wire and on disk.
 
-They stand apart from the names in the code: a class or a field may be renamed for its readers as
-long as its name here stays. Other versions of the program and data folders know records by these
-names alone, since the Avro schemas, the type ids and the fingerprints are made of them.
+They are independent of the names in the code: a class or a field may be renamed in the code as
+long as its name here stays. Other versions of the program, and data folders, know records by these
+names only, since the Avro schemas, the type ids and the fingerprints are derived from them.
 
-Owns the table of declared names; ``wire.schema`` and ``wire.codec`` read it.
+This module owns the table of declared names; ``wire.schema`` and ``wire.codec`` read it.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WireNames:
-    """The name of one record on the wire, and of those of its fields that differ in the code."""
+    """A record's name on the wire, and the names of fields that are named differently there."""
 
     record: str
     fields: Mapping[str, str]
-    """By the field's name in the code: its name on the wire."""
+    """Names on the wire by names in the code."""
 
 
 _NAMES: dict[Any, WireNames] = {}
@@ -32,10 +32,10 @@
 def wire_type(
     name: str, renamed_fields: Mapping[str, str] = _NO_RENAMED_FIELDS
 ) -> Callable[[type[T]], type[T]]:
-    """Class decorator: declare what a dataclass is called on the wire and on disks.
+    """Class decorator: declare the name of a dataclass on the wire and on disk.
 
-    ``renamed_fields`` holds, by the name of a field in the code, its name on the wire; all other
-    fields have one name. It goes outside of ``@dataclass``.
+    ``renamed_fields`` maps the names of fields in the code to their names on the wire; all other
+    fields are named alike in both. Put it above ``@dataclass``.
     """
 
     def declare(cls: type[T]) -> type[T]:
@@ -61,5 +61,5 @@
 def _declared(cls: Any) -> WireNames:
     names = _NAMES.get(cls)
     if names is None:
-        raise TypeError(f"{cls.__qualname__} has no name on the wire: declare one by @wire_type")
+        raise TypeError(f"{cls.__qualname__} has no name on the wire: declare one with @wire_type")
     return names
--- a/src/rainsail/wire/protocol.py
+++ b/src/rainsail/wire/protocol.py
@@ -1,7 +1,7 @@
-"""Which modules define the messages between processes, and the fingerprint of their schemas.
+"""The modules that define the messages between processes, and the fingerprint of their schemas.
 
-Processes of different roles import different parts of the program, so the fingerprint covers
-exactly the modules of this table, in every process.
+Processes of different roles import different parts of the program. The fingerprint therefore
+covers exactly the modules listed here, in every process.
 """
 
 import importlib
@@ -29,7 +29,7 @@
     "rainsail.tenancy.messages",
     "rainsail.wire.hello",
 )
-"""What every node of a relaying fleet speaks; members of a group check their records apart."""
+"""Messages of every node of a relaying fleet; group members check their own records separately."""
 
 
 @cache
--- a/src/rainsail/wire/settings.py
+++ b/src/rainsail/wire/settings.py
@@ -13,9 +13,11 @@
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
-    authority_file: Path = Field(description="PEM certificate of the authority that all trust")
+    authority_file: Path = Field(
+        description="PEM certificate of the authority that every process trusts"
+    )
     certificate_file: Path = Field(
-        description="PEM certificate: common name the process, organizational unit its role"
+        description="PEM certificate; common name: the process, organizational unit: its role"
     )
     private_key_file: Path = Field(description="PEM private key that belongs to the certificate")
 
@@ -31,21 +33,21 @@
     outgoing_buffer_bytes: int = Field(
         default=16 * MEBIBYTE,
         gt=0,
-        description="Bytes that may wait for one slow peer; beyond it, sends are refused",
+        description="Bytes that may be queued for one slow peer; beyond that, sends are refused",
     )
     connect_queue_bytes: int = Field(
         default=4 * MEBIBYTE,
         gt=0,
-        description="Bytes that may wait while a connection is being opened",
+        description="Bytes that may be queued while a connection is being opened",
     )
     connect_timeout_s: float = Field(
         default=2.0, gt=0, description="Time to open a connection, without the hello"
     )
     patient_connect_timeout_s: float = Field(
-        default=2.0, gt=0, description="The same for every fifth attempt, for peers far away"
+        default=2.0, gt=0, description="The same for every fifth attempt, for distant peers"
     )
     hello_timeout_s: float = Field(
-        default=2.0, gt=0, description="Time that an accepted connection has to say hello"
+        default=2.0, gt=0, description="Time within which the hello of the peer must arrive"
     )
     backoff_initial_s: float = Field(
         default=0.05, gt=0, description="Longest wait before the second attempt to connect"
@@ -54,10 +56,10 @@
         default=0.5, gt=0, description="Longest wait between two attempts to connect"
     )
     keepalive_period_s: float = Field(
-        default=5.0, gt=0, description="A link that sent nothing for this long sends an empty frame"
+        default=5.0, gt=0, description="A connection idle for this long sends an empty frame"
     )
     dead_peer_timeout_s: float = Field(
-        default=15.0, gt=0, description="A link that received nothing for this long is closed"
+        default=15.0, gt=0, description="A connection that received nothing for this long is closed"
     )
     user_timeout_s: float = Field(
         default=0.0,
@@ -67,14 +69,16 @@
     )
     plaintext_off_loopback: bool = Field(
         default=False,
-        description="Speak without TLS to other machines, on a network that is trusted as a whole",
+        description="Connect to other machines without TLS, on a fully trusted network",
     )
     names_are_addresses: bool = Field(
         default=False,
         description="A process is named by the IP:PORT it listens on, so no address list is needed",
     )
     max_accepted_connections: int = Field(
-        default=4096, gt=0, description="Connections accepted at one time; more are closed at once"
+        default=4096,
+        gt=0,
+        description="Open connections beyond which arriving ones are closed at once",
     )
 
     @model_validator(mode="after")
--- a/src/rainsail/wire/sockets.py
+++ b/src/rainsail/wire/sockets.py
@@ -1,7 +1,7 @@
 """Dialling and listening on TCP, with TLS where options are given.
 
-Straight on the reactor: ``twisted.internet.endpoints`` brings resolvers, processes and standard
-streams along, which costs every daemon's start as much as its own modules.
+Uses the reactor directly. Importing ``twisted.internet.endpoints`` also imports resolvers,
+processes and standard streams, which takes every daemon as long as importing its own modules.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 from rainsail.wire.address import PeerAddress
 
 BACKLOG = 512
-"""Connections that may wait to be accepted: a whole fleet comes at once after a loss of power."""
+"""Connections that may wait to be accepted: after a power loss a whole fleet connects at once."""
 
 
 class Dial(ClientFactory):
-    """One attempt to connect; tells ``failed`` when no connection came up."""
+    """One attempt to connect; calls ``failed`` when no connection is made."""
 
     noisy = False
 
@@ -32,14 +32,14 @@
         return self._make_protocol()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Nobody answered in time, or the other side refused."""
+        """Report that the attempt timed out or was refused."""
         self._failed(reason)
 
 
 def dial(
     reactor: Any, address: PeerAddress, attempt: Dial, timeout_s: float, tls_options: Any
 ) -> None:
-    """Begin to connect."""
+    """Start an attempt to connect."""
     if tls_options is None:
         reactor.connectTCP(address.host, address.port, attempt, timeout_s)
     else:
@@ -47,7 +47,7 @@
 
 
 def listen(reactor: Any, address: PeerAddress, factory: Factory, tls_options: Any) -> Any:
-    """Return the listening port; raises what the reactor raises when it can't be had."""
+    """Return the listening port; raises the reactor's error when it can't be bound."""
     if tls_options is None:
         return reactor.listenTCP(address.port, factory, BACKLOG, address.host)
     return reactor.listenSSL(address.port, factory, tls_options, BACKLOG, address.host)
--- a/src/rainsail/wire/tcp.py
+++ b/src/rainsail/wire/tcp.py
@@ -1,8 +1,8 @@
 """The transport of daemons: envelopes over TCP, with mutual TLS when settings name the files.
 
-A process dials the peers whose addresses it knows, when it first sends to them, and answers
-every other peer over the connection that this peer opened. A link that is lost ends the calls
-sent on it at once: NOT_RUN when they never left, UNKNOWN otherwise.
+A process dials the peers whose addresses it knows when it first sends to them, and sends to every
+other peer over the connection that this peer opened. The loss of a connection ends the calls on it
+at once: NOT_RUN when they were never sent, UNKNOWN otherwise.
 """
 
 from collections.abc import Callable
@@ -45,10 +45,10 @@
         role_of: RoleOf | None = None,
         protocol_modules: tuple[str, ...] = PROTOCOL_MODULES,
     ) -> None:
-        """``role_of`` has every peer's certificate name its role; peers must run the same schemas
-        of ``protocol_modules``.
+        """With ``role_of`` every peer's certificate must name its role; peers must have the same
+        schemas of ``protocol_modules``.
 
-        Raise ``RainsailError`` for unusable TLS files, or without TLS off loopback."""
+        Raises ``RainsailError`` for unusable TLS files, or for a peer off loopback without TLS."""
         self.name = name
         self._peers = dict(peers)
         self._reactor = reactor
@@ -68,7 +68,7 @@
         self._last_envelope: Envelope | None = None
         self._last_data = b""
         for address in self._peers.values():
-            self._check_exposure(address)
+            self._require_tls_off_loopback(address)
         if tls is None and not settings.plaintext_off_loopback:
             logger.bind(process=name).info("TLS is off: only loopback addresses are used")
 
@@ -83,7 +83,7 @@
         if self._stopped:
             return self._fault(FaultCode.UNAVAILABLE, "the transport has been stopped", destination)
         if destination == self.name:
-            self._reactor.callLater(0, self._hand_up, destination, envelope)
+            self._reactor.callLater(0, self._pass_to_messenger, destination, envelope)
             return None
         data = self._encoded(envelope)
         connection = self._dialled.get(destination) or self._accepted.get(destination)
@@ -93,7 +93,7 @@
         return self._queue_for(destination, QueuedEnvelope(data, call_id))
 
     def _encoded(self, envelope: Envelope) -> bytes:
-        """Encode an envelope, or take the bytes of the last one if it goes to many."""
+        """Encode an envelope; one that is sent to many peers in a row is encoded only once."""
         if envelope is not self._last_envelope:
             self._last_envelope = envelope
             self._last_data = encode_envelope(envelope)
@@ -102,12 +102,12 @@
     # --- lifecycle -------------------------------------------------------------------------------
 
     def listen_on(self, host: str, port: int) -> "Deferred[Result[int, Fault]]":
-        """Accept peers; fires with the port in use (port 0 picks a free one)."""
+        """Listen for peers; fires with the port in use (port 0 picks a free one)."""
         return Deferred.fromCoroutine(self._listen_on(PeerAddress(host, port)))
 
     async def _listen_on(self, address: PeerAddress) -> Result[int, Fault]:
         try:
-            self._check_exposure(address)
+            self._require_tls_off_loopback(address)
             port = listen(self._reactor, address, _AcceptingFactory(self), self._tls_options)
         except RainsailError as error:
             return Error(error.fault)
@@ -117,8 +117,8 @@
         return Ok(port.getHost().port)
 
     def set_peer(self, name: ProcessName, address: PeerAddress) -> None:
-        """Learn or change where a peer listens; an open connection is kept."""
-        self._check_exposure(address)
+        """Set the address of a peer; an open connection is kept."""
+        self._require_tls_off_loopback(address)
         self._peers[name] = address
 
     async def stop(self) -> None:
@@ -143,16 +143,18 @@
         former = self._accepted.get(peer)
         self._accepted[peer] = connection
         if former is not None:
-            former.close(self._fault(FaultCode.UNAVAILABLE, "the peer connected anew", peer))
+            former.close(
+                self._fault(FaultCode.UNAVAILABLE, "the peer opened a new connection", peer)
+            )
 
     def envelope_received(self, peer: ProcessName, envelope: Envelope) -> None:
-        """Hand an envelope up."""
+        """Pass an envelope to the messenger."""
         if envelope.kind == EnvelopeKind.REPLY:
             self._calls.answered(peer, envelope.call_id)
-        self._hand_up(peer, envelope)
+        self._pass_to_messenger(peer, envelope)
 
     def connection_closed(self, connection: PeerConnection, fault: Fault) -> None:
-        """Forget a connection and end the calls that were sent on it."""
+        """Remove a connection and end the calls that were sent on it."""
         self._connections.pop(connection, None)
         peer = connection.peer
         for links in (self._dialled, self._accepted):
@@ -160,7 +162,7 @@
                 del links[peer]
         if connection.was_dialled and self._dial_state(peer).dialling:
             self._dial_failed(peer, fault)
-        for call_id in self._calls.take_lost(peer, connection):
+        for call_id in self._calls.pop_lost(peer, connection):
             self._end_call(peer, call_id, fault, Outcome.UNKNOWN)
         log = logger.bind(process=self.name, peer=peer)
         refused = fault.code == FaultCode.FORBIDDEN
@@ -184,7 +186,7 @@
         if address is None:
             return self._fault(FaultCode.UNAVAILABLE, "not connected", destination)
         if len(queued.data) > self._settings.max_frame_bytes:
-            detail = f"{len(queued.data)} bytes are over the frame bound"
+            detail = f"{len(queued.data)} bytes exceed the frame limit"
             return self._fault(FaultCode.TOO_LARGE, detail, destination)
         state = self._dial_state(destination)
         fault = state.refusal(self._reactor.seconds()) or state.enqueue(queued)
@@ -228,11 +230,11 @@
                 self._end_call(peer, queued.call_id, fault, Outcome.NOT_RUN)
 
     def _end_call(self, peer: ProcessName, call_id: int, fault: Fault, outcome: Outcome) -> None:
-        """Give the messenger the fault as the reply."""
+        """Pass the fault to the messenger as the reply."""
         ended = Fault(FaultCode.UNAVAILABLE, fault.step, fault.detail, peer, outcome)
-        self._hand_up(peer, Envelope(EnvelopeKind.REPLY, call_id, ended))
+        self._pass_to_messenger(peer, Envelope(EnvelopeKind.REPLY, call_id, ended))
 
-    def _hand_up(self, peer: ProcessName, envelope: Envelope) -> None:
+    def _pass_to_messenger(self, peer: ProcessName, envelope: Envelope) -> None:
         if self._deliver is not None and not self._stopped:
             self._deliver(peer, envelope)
 
@@ -252,7 +254,7 @@
         self._connections[connection] = None
         return connection
 
-    def _check_exposure(self, address: PeerAddress) -> None:
+    def _require_tls_off_loopback(self, address: PeerAddress) -> None:
         trusted = self._settings.plaintext_off_loopback or address.is_loopback()
         if self._tls_options is None and not trusted:
             detail = f"{address} is not a loopback address, so TLS must be on"
@@ -278,10 +280,10 @@
 def _tls_options(name: ProcessName, tls: TlsSettings | None, role_of: RoleOf | None) -> Any:
     if tls is None:
         return None
-    # Loaded only where it is used: a node without TLS starts faster and smaller.
-    from rainsail.wire.tls import certificate_options, own_certified
+    # Imported only when used: a node without TLS starts faster and uses less memory.
+    from rainsail.wire.tls import certificate_options, own_identity
 
-    own = own_certified(tls)
+    own = own_identity(tls)
     if own.name != name:
         detail = f"{tls.certificate_file} certifies {own.name!r}, this process is {name!r}"
         raise RainsailError(Fault(FaultCode.INVALID, STEP, detail))
--- a/src/rainsail/wire/tls.py
+++ b/src/rainsail/wire/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between processes: contexts from files, and the certified process name."""
+"""Mutual TLS between processes: contexts from files, and the identity in certificates."""
 
 from typing import Any
 
@@ -9,14 +9,14 @@
 from twisted.python.failure import Failure
 
 from rainsail.errors import Fault, FaultCode, RainsailError
-from rainsail.wire.hello import Certified
+from rainsail.wire.hello import CertifiedIdentity
 from rainsail.wire.settings import TlsSettings
 
 STEP = "wire.tls"
 
 
 def certificate_options(settings: TlsSettings) -> ssl.CertificateOptions:
-    """Read the files and return options that demand a peer certificate of the authority.
+    """Read the files and return options that require a peer certificate of the authority.
 
     Raises ``RainsailError`` naming the file that can't be read or is not a certificate or key.
     """
@@ -42,15 +42,15 @@
     return str(names[0].value) if len(names) == 1 else ""
 
 
-def certified(transport: Any) -> Certified:
-    """Return what the peer's verified certificate says; empty names when there is none."""
+def peer_identity(transport: Any) -> CertifiedIdentity:
+    """Return the identity in the peer's verified certificate; empty when there is none."""
     certificate = transport.getPeerCertificate()
-    return Certified("", "") if certificate is None else _certified(certificate)
+    return CertifiedIdentity("", "") if certificate is None else _identity_in(certificate)
 
 
-def own_certified(settings: TlsSettings) -> Certified:
-    """Return what this process's own certificate file says."""
-    return _certified(_load_own(settings).original)
+def own_identity(settings: TlsSettings) -> CertifiedIdentity:
+    """Return the identity in this process's own certificate file."""
+    return _identity_in(_load_own(settings).original)
 
 
 def handshake_fault(reason: Failure, peer: str) -> Fault | None:
@@ -58,13 +58,13 @@
     if not isinstance(reason.value, SSL.Error):
         return None
     causes = reason.value.args[0] if reason.value.args else ()
-    words = "; ".join(str(cause[-1]) for cause in causes) or "the connection broke off"
-    return Fault(FaultCode.FORBIDDEN, f"{STEP}.handshake", words, peer)
+    reasons = "; ".join(str(cause[-1]) for cause in causes) or "the connection was closed"
+    return Fault(FaultCode.FORBIDDEN, f"{STEP}.handshake", reasons, peer)
 
 
-def _certified(certificate: Any) -> Certified:
+def _identity_in(certificate: Any) -> CertifiedIdentity:
     read = certificate.to_cryptography()
-    return Certified(common_name(read), role_name(read))
+    return CertifiedIdentity(common_name(read), role_name(read))
 
 
 def _load_own(settings: TlsSettings) -> ssl.PrivateCertificate:
