--- a/features/fuzz/files.feature
+++ b/features/fuzz/files.feature
@@ -1,10 +1,10 @@
-Feature: Whatever bytes stand in a file that an operator names
-  Reading ends with a value or with a typed error that names the file, and takes bounded memory.
+Feature: Fuzzing of files that an operator names
+  Reading ends with a value or with a typed error that names the file, and uses bounded memory.
 
-  Scenario Outline: Arbitrary, altered and nearly sound files
-    When <count> fuzzed contents stand in for a <kind> file
-    Then each fuzzed file was read or refused by name
-    And reading a fuzzed file took at most <bytes> bytes at once
+  Scenario Outline: Arbitrary, altered and nearly valid files
+    When <count> fuzzed contents replace a <kind> file
+    Then each fuzzed file was read, or refused with its name
+    And reading a fuzzed file used at most <bytes> bytes at once
 
     Examples:
       | kind         | count | bytes    |
@@ -17,10 +17,10 @@
       | job          | 150   | 8000000  |
       | resources    | 120   | 8000000  |
 
-  Scenario Outline: Container files made to take memory
-    When a <kind> file is made of <bomb>
-    Then reading the made file is refused by name
-    And reading a fuzzed file took at most 8000000 bytes at once
+  Scenario Outline: Container files crafted to exhaust memory
+    When a <kind> file is crafted from <bomb>
+    Then reading the crafted file is refused, naming the file
+    And reading a fuzzed file used at most 8000000 bytes at once
 
     Examples:
       | kind    | bomb                                       |
@@ -33,7 +33,7 @@
       | trace   | a schema nested 100000 deep                |
       | history | a schema nested 100000 deep                |
 
-  Scenario: A key of thousands of parts is refused before it takes memory
-    When a job file is made of a dotted key of 2000 parts
-    Then reading the made file is refused by name
-    And reading a fuzzed file took at most 2000000 bytes at once
+  Scenario: A key of thousands of parts is refused before it uses memory
+    When a job file is crafted from a dotted key of 2000 parts
+    Then reading the crafted file is refused, naming the file
+    And reading a fuzzed file used at most 2000000 bytes at once
--- a/features/steps/fuzz_caller_steps.py
+++ b/features/steps/fuzz_caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send arbitrary bytes to the caller API, and to our clients of engines and of it."""
+"""Steps that fuzz the caller API, the client of engines and the client of a replay."""
 
 import http.client
 import itertools
@@ -53,19 +53,19 @@
     "usage": {"prompt_tokens": 3, "completion_tokens": 2, "total_tokens": 5},
     "end": {"reason": "stop", "chunk_count": 2, "detail": "", "retry_after_s": 0.0},
 }
-FOUND_BODIES = ({"model": "\x00", "stream": True}, {"model": "\x00"})
-"""What longer runs have found; every run begins with them."""
-FOUND_FRAMES = tuple(
+REGRESSION_BODIES = ({"model": "\x00", "stream": True}, {"model": "\x00"})
+"""Inputs that failed in longer fuzzing runs; every run starts with them."""
+REGRESSION_FRAMES = tuple(
     dumped({**END, "end": {**END["end"], "chunk_count": count}}) for count in (float("inf"), "x")
 )
-FOUND_HOSTS = ("a..b", ".", "x" * 64)
-BODY_BOUND_BYTES = 20_000
-PARSER_BOUND_BYTES = 2_000
+REGRESSION_HOSTS = ("a..b", ".", "x" * 64)
+BODY_LIMIT_BYTES = 20_000
+PARSER_LIMIT_BYTES = 2_000
 TIMEOUT_S = 20
 BOUNDARY = "edge"
 
 
-@given("a caller API that is fuzzed, whose bodies are bounded at {count:d} bytes")
+@given("a caller API for fuzzing that limits bodies to {count:d} bytes")
 def step_api(context, count):
     context.api = ServedApi(
         max_request_bytes=count, max_file_bytes=count, max_stored_file_bytes=10 * count
@@ -80,28 +80,28 @@
 
 
 def connect(context):
-    """Return a kept connection to the API."""
+    """Return a persistent connection to the API."""
     connection = http.client.HTTPConnection("127.0.0.1", context.api.port, timeout=TIMEOUT_S)
     context.add_cleanup(connection.close)
     return connection
 
 
 def call(context, method, path, body=b"", headers=None):
-    """Call the API and judge its answer; return status and body."""
+    """Call the API and check its answer; return status and body."""
     sent = {"Authorization": f"Bearer {API_KEY}", "Content-Type": "application/json"}
     try:
         context.fuzz_connection.request(method, path, body, {**sent, **(headers or {})})
     except ValueError:
-        return None, b""  # not a header or path that HTTP can carry
+        return None, b""  # not a header or path that HTTP allows
     response = context.fuzz_connection.getresponse()
     content = response.read()
-    judge(response, content)
+    check_answer(response, content)
     context.fuzz_calls.append(response.status)
     return response.status, content
 
 
-def judge(response, content):
-    """Hold an answer against what every answer has to be."""
+def check_answer(response, content):
+    """Check what must hold for every answer."""
     if response.status == 200:
         assert content or response.getheader("content-type") is not None
         return
@@ -118,21 +118,21 @@
     if path == "/v1/batches":
         uploaded = upload(context, dumped(LINE))
         BODIES[path]["input_file_id"] = json.loads(uploaded[1])["id"]
-    for found in FOUND_BODIES:
+    for found in REGRESSION_BODIES:
         call(context, "POST", path, dumped({**BODIES[path], **found}))
     documents = json_documents(BODIES[path])
     fuzz(count, lambda body: call(context, "POST", path, body), documents)
 
 
-@then("each fuzzed call was answered whole, or refused with a step and an outcome")
+@then("each fuzzed call was answered completely, or refused with a step and an outcome")
 def step_answered(context):
     refused = [status for status in context.fuzz_calls if status != 200]
     assert len(refused) > 20, len(refused)
-    assert len(refused) < len(context.fuzz_calls), "nothing was taken"
+    assert len(refused) < len(context.fuzz_calls), "no call was accepted"
     for run in context.api.gateway.runs:
         request = run.request
         assert 0.0 <= request.deadline_s <= MAX_DEADLINE_S, request
-        assert 0 < request.max_tokens <= 8192 and len(request.prompt) <= BODY_BOUND_BYTES
+        assert 0 < request.max_tokens <= 8192 and len(request.prompt) <= BODY_LIMIT_BYTES
         assert len(request.request_id + request.session + request.adapter) <= 3 * 253, request
 
 
@@ -172,7 +172,7 @@
 def step_headers(context, count):
     sets = strategies.dictionaries(strategies.sampled_from(HEADER_NAMES), HEADER_VALUES, max_size=3)
     body = dumped(COMPLETION)
-    for host in FOUND_HOSTS:
+    for host in REGRESSION_HOSTS:
         call(context, "POST", "/v1/completions", body, {"Host": host})
     fuzz(count, lambda headers: call(context, "POST", "/v1/completions", body, headers), sets)
 
@@ -213,13 +213,13 @@
             )
         ),
     )
-    sound = form(dumped(LINE))
+    valid = form(dumped(LINE))
     many = form(b"").replace(b"--\r\n", b"\r\n") * 50
     forms = strategies.one_of(
-        strategies.just(sound),
-        altered(sound),
+        strategies.just(valid),
+        altered(valid),
         strategies.binary(max_size=100),
-        strategies.sampled_from((b"", many, form(b"x" * (BODY_BOUND_BYTES + 5)), sound[:-4])),
+        strategies.sampled_from((b"", many, form(b"x" * (BODY_LIMIT_BYTES + 5)), valid[:-4])),
     )
 
     def check(body, content_type):
@@ -295,18 +295,18 @@
         context.long_status = -1
 
 
-@then("the fuzzed caller API refused it, or closed the connection, without gathering it")
+@then("the fuzzed caller API refused it, or closed the connection, without buffering it")
 def step_refused_long(context):
     assert context.long_status in (413, 400, -1), context.long_status
 
 
-# --- what engines and gateways send to our clients ------------------------------------------------
+# --- answers that the clients of engines and gateways read ----------------------------------------
 
-SOUND_STREAM = chunk_frame(Chunk("a", 0, 0, "ab", 1)) + end_frame(
+VALID_STREAM = chunk_frame(Chunk("a", 0, 0, "ab", 1)) + end_frame(
     EngineAttemptEnd("a", EndReason.STOP, 1, 1, 1)
 )
 STREAMS = strategies.one_of(
-    altered(SOUND_STREAM),
+    altered(VALID_STREAM),
     strategies.lists(
         strategies.sampled_from(
             (
@@ -331,7 +331,7 @@
 
 
 def events_of(parser, pieces):
-    """Return the events that pieces of a stream give, with the error that ended it."""
+    """Return the events parsed from pieces of a stream, or "too long" for a parser error."""
     found = []
     try:
         for piece in pieces:
@@ -344,31 +344,31 @@
 @when("{count:d} fuzzed streams of events are parsed whole and in pieces")
 def step_sse(context, count):
     context.sse = []
-    context.sse_held = 0
+    context.sse_buffered = 0
 
     def check(data, cuts):
         places = sorted({0, len(data), *[cut for cut in cuts if cut < len(data)]})
         pieces = [data[a:b] for a, b in itertools.pairwise(places)]
-        parser = SseParser(PARSER_BOUND_BYTES)
+        parser = SseParser(PARSER_LIMIT_BYTES)
         in_pieces = events_of(parser, pieces)
-        context.sse_held = max(
-            context.sse_held, parser.pending_bytes if in_pieces != "too long" else 0
+        context.sse_buffered = max(
+            context.sse_buffered, parser.pending_bytes if in_pieces != "too long" else 0
         )
-        context.sse.append((events_of(SseParser(PARSER_BOUND_BYTES), [data]), in_pieces))
+        context.sse.append((events_of(SseParser(PARSER_LIMIT_BYTES), [data]), in_pieces))
 
     fuzz(count, check, STREAMS, strategies.lists(strategies.integers(0, 120), max_size=5))
 
 
-@then("each fuzzed stream gave the same events, or the same error, either way")
+@then("each fuzzed stream gave the same events, or the same error, both ways")
 def step_same_events(context):
     assert sum(1 for whole, _ in context.sse if whole and whole != "too long") > 50
     for whole, in_pieces in context.sse:
         assert whole == in_pieces, (whole, in_pieces)
 
 
-@then("no fuzzed parser held more than its bound")
+@then("no fuzzed parser buffered more than its limit")
 def step_sse_bound(context):
-    assert 0 < context.sse_held <= PARSER_BOUND_BYTES + 1, context.sse_held
+    assert 0 < context.sse_buffered <= PARSER_LIMIT_BYTES + 1, context.sse_buffered
 
 
 @when("{count:d} fuzzed frames of an engine's stream are decoded")
@@ -381,7 +381,7 @@
         except ValueError:
             context.frames.append("error")
 
-    for data in FOUND_FRAMES:
+    for data in REGRESSION_FRAMES:
         check(data)
     fuzz(count, check, strategies.one_of(json_documents(FRAME), json_documents(END)))
 
@@ -418,7 +418,7 @@
         stream = AnswerStream(StreamEnd(), lambda: 1.0)
         try:
             stream.feed(b"data: " + data + b"\n\n")
-            context.answers.append("taken")
+            context.answers.append("accepted")
         except ValueError:
             context.answers.append("refused")
 
@@ -428,6 +428,6 @@
     fuzz(count, check, events)
 
 
-@then("each fuzzed answer was taken or refused with a value error")
+@then("each fuzzed answer was accepted or refused with a value error")
 def step_taken(context):
-    assert set(context.answers) == {"taken", "refused"}, set(context.answers)
+    assert set(context.answers) == {"accepted", "refused"}, set(context.answers)
--- a/features/steps/fuzz_files_steps.py
+++ b/features/steps/fuzz_files_steps.py
@@ -1,4 +1,4 @@
-"""Steps that put arbitrary bytes in the place of files that operators name."""
+"""Steps that fuzz the files that operators name."""
 
 import dataclasses
 import io
@@ -37,21 +37,21 @@
 )
 
 
-def sound_bytes(kind):
-    """Return a sound file of a kind."""
+def valid_bytes(kind):
+    """Return the bytes of a valid file of a kind."""
     with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "sound"
+        path = Path(folder) / "valid"
         if kind == "trace":
             write_trace(path, trace())
         elif kind == "history":
             write_history(path, histories.build("a result that changed"))
         else:
-            path.write_bytes(sound_text(kind))
+            path.write_bytes(valid_text(kind))
         return path.read_bytes()
 
 
-def sound_text(kind):
-    """Return a sound text file of a kind."""
+def valid_text(kind):
+    """Return the bytes of a valid text file of a kind."""
     names = {
         "outcomes": "outcomes.toml",
         "settings": "fleet.toml",
@@ -65,7 +65,7 @@
 
 
 def toml_of(value, top=True):
-    """Return a value as TOML as far as TOML has it, inline below the top."""
+    """Return a value as TOML where TOML can express it, with inline tables below the top."""
     if isinstance(value, dict) and top:
         return "\n".join(
             f"{json.dumps(key)} = {toml_of(each, False)}" for key, each in value.items()
@@ -84,26 +84,26 @@
 
 def contents(kind):
     """Return the strategy of a file's bytes."""
-    sound = sound_bytes(kind)
-    options = [altered(sound), strategies.binary(max_size=300)]
+    valid = valid_bytes(kind)
+    options = [altered(valid), strategies.binary(max_size=300)]
     if kind == "fault plan":
-        options += [changed_tree(json.loads(sound)).map(lambda tree: json.dumps(tree).encode())]
+        options += [changed_tree(json.loads(valid)).map(lambda tree: json.dumps(tree).encode())]
         options += [strategies.sampled_from([b"[" * 100_000, b'{"actions":' * 50_000])]
     elif kind not in ("trace", "history"):
-        tree = tomllib.loads(sound.decode())
-        changed = changed_tree(tree).map(lambda each: as_bytes(toml_of(each)))
+        tree = tomllib.loads(valid.decode())
+        changed = changed_tree(tree).map(lambda each: encoded(toml_of(each)))
         deep = strategies.sampled_from([b"a = " + b"[" * 20_000, b"a." * 2_000 + b"b = 1"])
         options += [changed, changed, deep]
     return strategies.one_of(options)
 
 
-def as_bytes(text):
-    """Encode text, lone surrogates too."""
+def encoded(text):
+    """Encode text, including lone surrogates."""
     return text.encode("utf-8", "surrogatepass")
 
 
 def read(kind, path):
-    """Read a file as the commands do; return "read", or what its refusal says."""
+    """Read a file as the commands do; return "read", or the text of the error."""
     result = readers()[kind](path)
     if result is None or isinstance(result, str):
         return result or "read"
@@ -114,21 +114,21 @@
 
 
 def readers():
-    """Return how files are read, by kind."""
+    """Return the readers of files by kind."""
     return {
         "trace": lambda path: read_trace(path).map(summarise),
-        "history": judged_history,
+        "history": read_checked_history,
         "outcomes": read_outcomes,
         "settings": load_settings,
         "fault plan": read_plan,
         "tenant keys": read_tenant_keys,
-        "job": lambda path: ended(lambda: read_job(path)),
-        "resources": lambda path: ended(lambda: read_resources(path)),
+        "job": lambda path: error_text_of(lambda: read_job(path)),
+        "resources": lambda path: error_text_of(lambda: read_resources(path)),
     }
 
 
-def judged_history(path):
-    """Read a history and run the checkers over it; return what is wrong with the file."""
+def read_checked_history(path):
+    """Read a history and run the checkers on it; return the problem with the file, if any."""
     try:
         history = read_history(path)
     except CodecError as error:
@@ -140,8 +140,8 @@
     return None
 
 
-def ended(call):
-    """Run a reader that ends the command for bad input; return what it says."""
+def error_text_of(call):
+    """Run a reader that ends the command on bad input; return its error text, if any."""
     try:
         call()
     except CommandEnd as end:
@@ -150,7 +150,7 @@
     return None
 
 
-@when("{count:d} fuzzed contents stand in for a {kind} file")
+@when("{count:d} fuzzed contents replace a {kind} file")
 def step_fuzz_files(context, count, kind):
     context.fuzz_results = []
     context.fuzz_peak = 0
@@ -168,45 +168,45 @@
     fuzz(count, check, contents(kind))
 
 
-@then("each fuzzed file was read or refused by name")
+@then("each fuzzed file was read, or refused with its name")
 def step_read_or_refused(context):
-    refused = [said for said in context.fuzz_results if said != "read"]
+    refused = [outcome for outcome in context.fuzz_results if outcome != "read"]
     assert len(refused) >= 30, len(refused)
-    for said in refused:
-        assert str(context.fuzz_path) in said, said
+    for outcome in refused:
+        assert str(context.fuzz_path) in outcome, outcome
 
 
-@then("reading a fuzzed file took at most {count:d} bytes at once")
+@then("reading a fuzzed file used at most {count:d} bytes at once")
 def step_file_peak(context, count):
     assert 0 < context.fuzz_peak <= count, context.fuzz_peak
 
 
-@when("a {kind} file is made of {bomb}")
+@when("a {kind} file is crafted from {bomb}")
 def step_bomb(context, kind, bomb):
     holder = tempfile.TemporaryDirectory()
     context.add_cleanup(holder.cleanup)
     context.fuzz_path = Path(holder.name) / "file"
-    context.fuzz_path.write_bytes(bombs(kind)[bomb]())
-    said = []
-    context.fuzz_peak = peak_bytes(lambda: said.append(read(kind, context.fuzz_path)))
-    context.made_file_says = said[0]
+    context.fuzz_path.write_bytes(crafted_files(kind)[bomb]())
+    outcomes = []
+    context.fuzz_peak = peak_bytes(lambda: outcomes.append(read(kind, context.fuzz_path)))
+    context.crafted_file_error = outcomes[0]
 
 
-def bombs(kind):
-    """Return the makers of files that would take memory."""
-    sound = sound_bytes(kind)
+def crafted_files(kind):
+    """Return functions that craft files meant to exhaust memory, by description."""
+    valid = valid_bytes(kind)
     record = TraceRecord if kind == "trace" else HistoryRecord
     return {
         "a foreign schema with eight million nulls": lambda: nulls(record),
         "a compressed text of 50 million characters": lambda: compressed(record),
-        "a block that announces 2 to the power 60": lambda: header_of(sound) + b"\x02" + LARGE,
+        "a block that announces 2 to the power 60": lambda: header_of(valid) + b"\x02" + LARGE,
         "a dotted key of 2000 parts": lambda: b"a." * 2_000 + b"b = 1",
         "a schema nested 100000 deep": lambda: header(b'{"type":"array","items":' * 100_000),
     }
 
 
 LARGE = b"\x80\x80\x80\x80\x80\x80\x80\x80\x20"
-"""2 to the power 60 as Avro writes a long."""
+"""2 to the power 60, in the Avro encoding of a long."""
 MARKER = bytes(range(16))
 NULLS = 8_000_000
 LONG_TEXT = "0" * 50_000_000
@@ -223,7 +223,7 @@
 
 
 def compressed(record):
-    """Return a compressed file of one sound record with a very long text."""
+    """Return a compressed file of one valid record with a very long text."""
     if record is TraceRecord:
         long = replace(request(1), prompt=PromptShape("t", 0, 0, LONG_TEXT))
         plain = to_avro_value(TraceRecord(long))
@@ -234,9 +234,9 @@
     return file.getvalue()
 
 
-def header_of(sound):
+def header_of(valid):
     """Return a file's bytes up to its first block."""
-    return sound[: sound.index(MARKER) + len(MARKER)]
+    return valid[: valid.index(MARKER) + len(MARKER)]
 
 
 def header(schema):
@@ -244,6 +244,6 @@
     return b"Obj\x01\x02\x16avro.schema" + zigzag(len(schema)) + schema + b"\x00" + MARKER
 
 
-@then("reading the made file is refused by name")
-def step_made_refused(context):
-    assert str(context.fuzz_path) in context.made_file_says, context.made_file_says
+@then("reading the crafted file is refused, naming the file")
+def step_crafted_refused(context):
+    assert str(context.fuzz_path) in context.crafted_file_error, context.crafted_file_error
--- a/features/steps/fuzz_operator_steps.py
+++ b/features/steps/fuzz_operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send arbitrary bytes to the operator API."""
+"""Steps that fuzz the operator API."""
 
 import json
 
@@ -36,12 +36,12 @@
     "adapter": "",
     "items": [{"custom_id": f"i{n}", "prompt": "p", "max_tokens": 5} for n in range(2)],
 }
-FOUND_HOSTS = (b"a..b", b".", b"x" * 64)
-"""What longer runs have found; every run begins with them."""
+REGRESSION_HOSTS = (b"a..b", b".", b"x" * 64)
+"""Inputs that failed in longer fuzzing runs; every run starts with them."""
 MAX_BODY_BYTES = 20_000
 
 
-@given("an operator API that is fuzzed, over a control fleet")
+@given("an operator API for fuzzing, over a control fleet")
 def step_operator_api(context):
     context.fleet = ControlFleet()
     update = {"max_body_bytes": MAX_BODY_BYTES}
@@ -52,12 +52,12 @@
 
 
 def dumped_spec(kind):
-    """Return a sound body of a put."""
+    """Return a valid body of a PUT."""
     return json.dumps({"spec": SPECS[kind]}).encode()
 
 
 def call_operator(context, method, path, body=b"", header=b""):
-    """Call the operator API over a connection of its own and judge the answer."""
+    """Call the operator API over a new connection and check the answer."""
     connection = HttpConnection(context.fleet, "r1", "key")
     lines = [
         f"{method} {path} HTTP/1.1".encode("utf-8", "surrogateescape"),
@@ -66,33 +66,33 @@
         b"Content-Length: %d" % len(body),
     ]
     connection.channel.dataReceived(b"\r\n".join([*lines, b"", b""]) + body)
-    if "/v1/watch" in path and watches(connection):
+    if "/v1/watch" in path and watch_started(connection):
         connection.transport.loseConnection()
         context.operator_calls.append(200)
         return
-    context.fleet.wait_until(lambda: answered(connection))
+    context.fleet.wait_until(lambda: has_answered(connection))
     head, _, content = connection.transport.value().partition(b"\r\n\r\n")
     if b"chunked" in head.lower():
         content = b"".join(chunks(content))
     connection.transport.loseConnection()
     status = int(head.split()[1])
-    judge_operator(status, head, content)
+    check_operator_answer(status, head, content)
     context.operator_calls.append(status)
 
 
-def watches(connection):
-    """Tell whether a watch was begun: nothing to tell yet, or the first lines."""
-    told = connection.transport.value()
-    return not told or told.startswith(b"HTTP/1.1 200")
+def watch_started(connection):
+    """Tell whether a watch has started: no answer yet, or a successful one."""
+    received = connection.transport.value()
+    return not received or received.startswith(b"HTTP/1.1 200")
 
 
-def answered(connection):
-    """Tell whether a whole answer, or the end of the connection, has come."""
+def has_answered(connection):
+    """Tell whether a complete answer has arrived or the connection has ended."""
     return connection._answered() or connection.transport.disconnected
 
 
-def judge_operator(status, head, content):
-    """Hold an answer against what every answer of the operator API has to be."""
+def check_operator_answer(status, head, content):
+    """Check what must hold for every answer of the operator API."""
     if status in (200, 201):
         return
     assert 400 <= status < 500 or status == 503, (status, head, content[:500])
@@ -107,11 +107,11 @@
     tree = {"change_id": "c1", "expected_revision": 1, "spec": spec}
     if method == "DELETE":
         del tree["spec"]
-    sound = {"spec": spec} if method != "DELETE" else {}
+    valid = {"spec": spec} if method != "DELETE" else {}
     path = f"/v1/resources/{kind}/north"
-    # What is drawn follows the constants of all loaded modules, so that any change of the product
-    # draws other bodies: sound ones are among what is drawn, so that some reach the state.
-    unaltered = {**sound, "change_id": ""}
+    # Hypothesis also draws constants of the loaded modules, so any change of the sources changes
+    # the bodies. Valid bodies are always among them, so that some reach the state.
+    unaltered = {**valid, "change_id": ""}
     documents = strategies.one_of(
         strategies.just(json.dumps(unaltered).encode()),
         json_documents(tree),
@@ -130,10 +130,10 @@
 def step_operator_answers(context):
     refused = [status for status in context.operator_calls if status >= 400]
     assert len(refused) > 20, context.operator_calls
-    assert len(refused) < len(context.operator_calls) - 1, "nothing was taken"
+    assert len(refused) < len(context.operator_calls) - 1, "no call was accepted"
 
 
-@then("the fuzzed state can be listed, and went to every replica alike")
+@then("the fuzzed state can be listed, and is the same on every replica")
 def step_operator_alive(context):
     call_operator(context, "GET", "/v1/resources")
     call_operator(context, "GET", "/v1/jobs")
@@ -215,6 +215,6 @@
     def check(header):
         call_operator(context, "GET", f"/v1/resources/{Kind.TENANT.value}", b"", header)
 
-    for host in FOUND_HOSTS:
+    for host in REGRESSION_HOSTS:
         check(b"Host: " + host)
     fuzz(count, check, headers)
--- a/features/steps/fuzz_protocol_steps.py
+++ b/features/steps/fuzz_protocol_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send arbitrary bytes and senseless messages between processes."""
+"""Steps that fuzz the protocol between processes."""
 
 import importlib
 
@@ -36,7 +36,7 @@
 
 
 def try_decode(context, data, decoder=decode):
-    """Decode; note whether it gave a record, and let any other error through."""
+    """Decode and record whether it gave a record or a codec error; other errors propagate."""
     try:
         decoder(data)
         context.fuzz_results.append("record")
@@ -56,7 +56,7 @@
         context.fuzz_calls += fuzz(count, check, records_of(cls))
 
 
-@then("each fuzzed record came back the same")
+@then("each fuzzed record is equal after decoding")
 def step_same(context):
     assert context.fuzz_calls >= 3 * len(protocol_records()), context.fuzz_calls
 
@@ -93,7 +93,7 @@
     assert context.fuzz_results.count("error") >= 100, len(context.fuzz_results)
 
 
-@when("fuzzed lengths of 2 to the power {first:d}, {second:d} and {third:d} stand in each type")
+@when("fuzzed lengths of 2 to the power {first:d}, {second:d} and {third:d} are put into each type")
 def step_counts(context, first, second, third):
     context.fuzz_results = []
     context.fuzz_peak = 0
@@ -106,7 +106,7 @@
                 context.fuzz_peak = max(context.fuzz_peak, peak)
 
 
-@then("decoding took at most {count:d} bytes at once")
+@then("decoding used at most {count:d} bytes at once")
 def step_peak(context, count):
     assert context.fuzz_peak <= count, context.fuzz_peak
 
@@ -114,8 +114,8 @@
 # --- connections ------------------------------------------------------------------------------
 
 
-class Owner:
-    """Notes what a connection tells its transport."""
+class RecordingOwner:
+    """Records the events that a connection reports to its transport."""
 
     def __init__(self):
         self.opened = False
@@ -123,30 +123,30 @@
         self.envelopes = []
 
     def connection_opened(self, connection):
-        """Note the opening."""
+        """Record the opening."""
         self.opened = True
 
     def envelope_received(self, peer, envelope):
-        """Note an envelope."""
+        """Record an envelope."""
         self.envelopes.append(envelope)
 
     def connection_closed(self, connection, fault):
-        """Note the end."""
+        """Record the fault."""
         self.faults.append(fault)
 
 
-class Wire(StringTransport):
-    """A transport in memory that can be told TCP options."""
+class TcpStringTransport(StringTransport):
+    """A transport in memory that accepts TCP options."""
 
     def setTcpNoDelay(self, on):
-        """Take the option."""
+        """Accept the option."""
 
     def setTcpKeepAlive(self, on):
-        """Take the option."""
+        """Accept the option."""
 
 
 def frames():
-    """Return lists of frames, sound and senseless, behind a hello or without."""
+    """Return streams of valid and invalid frames, with or without a hello before them."""
     hello = encode(LinkHello("b", "north", 7))
     reply = encode_envelope(Envelope(EnvelopeKind.REPLY, 3, LinkHello("b", "north", 7)))
     framed = strategies.one_of(
@@ -155,9 +155,9 @@
         altered(reply),
         strategies.binary(max_size=80),
     ).map(lambda data: len(data).to_bytes(4, "big") + data)
-    wild = strategies.binary(min_size=1, max_size=30)
+    unframed = strategies.binary(min_size=1, max_size=30)
     huge = strategies.sampled_from([b"\xff\xff\xff\xff", b"\x00\x01\x86\xa0" + bytes(50_000)])
-    rest = strategies.lists(strategies.one_of(framed, framed, wild, huge), max_size=5)
+    rest = strategies.lists(strategies.one_of(framed, framed, unframed, huge), max_size=5)
     start = strategies.sampled_from([b"", len(hello).to_bytes(4, "big") + hello])
     return strategies.builds(lambda first, more: first + b"".join(more), start, rest)
 
@@ -165,24 +165,24 @@
 @when("{count:d} fuzzed streams of frames reach a connection in arbitrary pieces")
 def step_streams(context, count):
     context.owners = []
-    context.most_held = 0
-    context.most_held_before = 0
+    context.most_buffered = 0
+    context.most_buffered_before_open = 0
 
     def check(data, pieces):
-        owner, clock = Owner(), VirtualClock()
+        owner, clock = RecordingOwner(), VirtualClock()
         settings = WireSettings(max_frame_bytes=MAX_FRAME_BYTES)
         connection = PeerConnection(owner, clock, LinkHello("a", "north", 7), settings, None, False)
-        transport = Wire()
+        transport = TcpStringTransport()
         connection.makeConnection(transport)
         start = 0
         for end in sorted({*pieces, *range(PIECE_BYTES, len(data), PIECE_BYTES), len(data)}):
             if not transport.disconnecting and not connection._ended:
                 connection.dataReceived(data[start:end])
             start = max(start, end)
-            held = connection._gathered_bytes + len(connection._unprocessed)
-            context.most_held = max(context.most_held, held)
+            buffered = connection._gathered_bytes + len(connection._unprocessed)
+            context.most_buffered = max(context.most_buffered, buffered)
             if not owner.opened:
-                context.most_held_before = max(context.most_held_before, held)
+                context.most_buffered_before_open = max(context.most_buffered_before_open, buffered)
         clock.advance(120.0)
         connection.connectionLost(None)
         context.owners.append(owner)
@@ -199,12 +199,12 @@
         assert owner.faults[0].step, owner.faults
 
 
-@then("no fuzzed connection held more than a frame and a piece")
+@then("no fuzzed connection buffered more than a frame and a piece")
 def step_held(context):
     most = MAX_FRAME_BYTES + 4 + PIECE_BYTES
-    assert PIECE_BYTES < context.most_held <= most, context.most_held
+    assert PIECE_BYTES < context.most_buffered <= most, context.most_buffered
     before = HELLO_FRAME_BYTES + 4 + PIECE_BYTES
-    assert context.most_held_before <= before, context.most_held_before
+    assert context.most_buffered_before_open <= before, context.most_buffered_before_open
 
 
 # --- requests ---------------------------------------------------------------------------------
@@ -229,11 +229,11 @@
     fuzz(count, check, requests)
 
 
-@then("each fuzzed request was answered by a reply or a typed fault, or left out as no request")
+@then("each fuzzed request was answered by a reply or a typed fault")
 def step_answers(context):
     faults = [answer.error for answer in context.fuzz_answers if answer.is_error()]
     assert len(context.fuzz_answers) >= 300
-    assert len(faults) < len(context.fuzz_answers), "no request was taken"
+    assert len(faults) < len(context.fuzz_answers), "no request was accepted"
     for fault in faults:
         assert isinstance(fault, Fault) and fault.step, fault
         assert fault.code not in ("internal", "timeout"), fault
--- a/features/support/fuzz.py
+++ b/features/support/fuzz.py
@@ -1,6 +1,6 @@
-"""Hypothesis in steps: fixed examples in CI, more and other ones by the environment.
+"""Fuzzing with Hypothesis: fixed examples by default, more and others through the environment.
 
-``RAINSAIL_FUZZ_EXAMPLES`` multiplies the number of examples, ``RAINSAIL_FUZZ_SEED`` draws other
+``RAINSAIL_FUZZ_EXAMPLES`` multiplies the number of examples, ``RAINSAIL_FUZZ_SEED`` seeds other
 ones (``tools/fuzz.py`` sets both).
 """
 
@@ -19,14 +19,14 @@
 EXAMPLES_VARIABLE = "RAINSAIL_FUZZ_EXAMPLES"
 SEED_VARIABLE = "RAINSAIL_FUZZ_SEED"
 MIN_LONG, MAX_LONG = -(2**63), 2**63 - 1
-DEEP = 100_000
+NESTING_DEPTH = 100_000
 HUGE_NUMBERS = (2**31, 2**63, 2**64, 10**30, -1, -(10**30), 1e308, float("nan"), float("inf"))
 
 Strategy = strategies.SearchStrategy[Any]
 
 
 def fuzz(examples: int, check: Callable[..., None], *values: Strategy) -> int:
-    """Call ``check`` with drawn values; return how many draws were made."""
+    """Call ``check`` with generated values; return the number of calls."""
     calls = 0
 
     def counted(drawn: tuple[Any, ...]) -> None:
@@ -52,7 +52,7 @@
 
 
 def peak_bytes(call: Callable[[], Any]) -> int:
-    """Return the most memory in bytes that a call took at once."""
+    """Return the peak memory in bytes that a call allocated."""
     tracemalloc.start()
     try:
         call()
@@ -83,12 +83,12 @@
 
 
 def dumped(value: Any) -> bytes:
-    """Return JSON with NaN and lone surrogates as Python writes them."""
+    """Return JSON as Python writes it, including NaN and lone surrogates."""
     return json.dumps(value).encode()
 
 
 def changed_tree(tree: Any) -> Strategy:
-    """Return sound trees with one value replaced, one key dropped or one key added."""
+    """Return copies of a valid tree with one value replaced, dropped, added or repeated."""
     places = list(_places(tree))
     return strategies.builds(
         _changed,
@@ -127,21 +127,29 @@
 
 
 def json_documents(tree: Any) -> Strategy:
-    """Return bytes: altered sound trees, any JSON, altered bytes, depth without end."""
-    sound = dumped(tree)
+    """Return bytes: altered valid trees, any JSON, altered bytes, very deep nesting."""
+    valid = dumped(tree)
     return strategies.one_of(
         changed_tree(tree).map(dumped),
         JSON.map(dumped),
-        altered(sound),
+        altered(valid),
         strategies.binary(max_size=60),
         strategies.sampled_from(
-            (b"", b"null", b"[" * DEEP, b'{"a":' * DEEP, b"9" * 5000, b'"\\ud800"', b"\xff\xfe{}")
+            (
+                b"",
+                b"null",
+                b"[" * NESTING_DEPTH,
+                b'{"a":' * NESTING_DEPTH,
+                b"9" * 5000,
+                b'"\\ud800"',
+                b"\xff\xfe{}",
+            )
         ),
     )
 
 
 def altered(data: bytes) -> Strategy:
-    """Return copies of ``data`` that are cut, changed in a byte, doubled or lack a piece."""
+    """Return copies of ``data``: cut, overwritten, or with a piece doubled, lost or added."""
     place = strategies.integers(0, max(0, len(data) - 1))
     return strategies.builds(
         _alter,
@@ -176,7 +184,7 @@
 
 
 def values_of(hint: Any) -> Strategy:
-    """Return the values of a field type that the codec supports."""
+    """Return generated values of a field type that the codec supports."""
     simple: dict[Any, Strategy] = {
         int: EXTREME_LONGS,
         float: EXTREME_FLOATS,
@@ -202,14 +210,14 @@
 
 
 def records_of(cls: Any) -> Strategy:
-    """Return records of a dataclass with any values of its fields."""
+    """Return generated records of a dataclass."""
     hints = typing.get_type_hints(cls)
     fields = [field.name for field in dataclasses.fields(cls)]
     return strategies.builds(cls, *[values_of(hints[name]) for name in fields])
 
 
 def zigzag(number: int) -> bytes:
-    """Return a non-negative long as Avro writes it."""
+    """Return a non-negative long in the Avro encoding."""
     number *= 2
     parts = []
     while number > 0x7F:
