--- a/src/rainsail/assembly/seams.py
+++ b/src/rainsail/assembly/dependencies.py
@@ -1,4 +1,4 @@
-"""The seams that a node is built over."""
+"""The dependencies that are injected into a node."""
 
 import random
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSeams:
-    """What every node needs from outside.
+class NodeDependencies:
+    """The dependencies of every node.
 
-    ``wall_clock`` returns Unix seconds; it serves only deadlines that callers state.
+    ``wall_clock`` returns Unix seconds; it is used only for deadlines that callers state.
     """
 
     clock: Clock
@@ -25,17 +25,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaSeams:
-    """A replica's seams: a node's, its data folder and the platform's machine list."""
+class ReplicaDependencies:
+    """Those of a node, with the replica's data folder and the platform's machine list."""
 
-    node: NodeSeams
+    node: NodeDependencies
     files: FileSystem
     machine_list: MachineListClient | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class GatewaySeams:
-    """A gateway's seams: a node's and the client of the engines."""
+class GatewayDependencies:
+    """Those of a node, with the client of the engines."""
 
-    node: NodeSeams
+    node: NodeDependencies
     engine: EngineClient
--- a/src/rainsail/assembly/gateway.py
+++ b/src/rainsail/assembly/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway: caller requests, owned runners and the dispatcher of batch items."""
+"""A gateway node: online requests, the runners it owns, and dispatch of batch items."""
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from rainsail.assembly.seams import GatewaySeams
+from rainsail.assembly.dependencies import GatewayDependencies
 from rainsail.batch.dispatcher import BatchDispatcher
 from rainsail.batch.intake import JobIntake
 from rainsail.batch.policies import make_policy
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """What a gateway is told: its name, its place and the replicas of the root group."""
+    """A gateway's name, region, zone and settings, and the names of all replicas."""
 
     name: str
     region: str
@@ -37,10 +37,10 @@
 
 
 class NativeGatewayNode:
-    """Assembles a gateway; a restarted gateway is a new node with a new incarnation."""
+    """Assembles a gateway. Each start of a gateway is a new node with a new incarnation id."""
 
-    def __init__(self, config: GatewayConfig, seams: GatewaySeams) -> None:
-        node = seams.node
+    def __init__(self, config: GatewayConfig, dependencies: GatewayDependencies) -> None:
+        node = dependencies.node
         self.config = config
         self.incarnation = f"{node.random.getrandbits(64):016x}"
         self.messenger = Messenger(node.transport, node.clock)
@@ -61,12 +61,12 @@
             config.name,
             config.zone,
             self.view,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.gateway,
         )
-        prefill = OnlinePrefillMeter(seams.engine, self.fleet.cached_tokens)
+        prefill = OnlinePrefillMeter(dependencies.engine, self.fleet.cached_tokens)
         self.core = GatewayCore(
             config.name,
             self.incarnation,
@@ -79,11 +79,11 @@
             node.random,
             config.gateway,
         )
-        self.keeper = RunnerReconciler(
+        self.runner_reconciler = RunnerReconciler(
             self.fleet,
             self.view,
             self.client,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.gateway,
@@ -96,7 +96,7 @@
             self.fleet,
             self.view,
             self.client,
-            seams.engine,
+            dependencies.engine,
             node.clock,
             node.random,
             config.batch,
@@ -105,16 +105,16 @@
         )
 
     def start(self) -> None:
-        """Start following the configuration; work is taken once the first lease holds."""
+        """Start watching the configuration; work is accepted once the first lease is held."""
         self.view.start()
         self.fleet.start()
         self.core.start()
-        self.keeper.start()
+        self.runner_reconciler.start()
         self.dispatcher.start()
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Give batch items back, finish what callers wait for, then stop."""
+        """Return the leased batch items, finish the online requests in progress, then stop."""
         batch_returned = self.dispatcher.stop()
         yield self.core.drain()
         yield batch_returned
@@ -122,7 +122,7 @@
 
     def stop(self) -> None:
         """Stop every timer and subscription."""
-        self.keeper.stop()
+        self.runner_reconciler.stop()
         self.core.stop()
         self.fleet.stop()
         self.view.stop()
--- a/src/rainsail/assembly/hosted_group.py
+++ b/src/rainsail/assembly/hosted_group.py
@@ -1,4 +1,4 @@
-"""One replicated group on a replica: its durable log, its state and its driver."""
+"""A replica's member of one replicated group: its durable log, state machine and driver."""
 
 from collections.abc import Generator
 from dataclasses import dataclass
@@ -7,8 +7,8 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 
+from rainsail.assembly.dependencies import ReplicaDependencies
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.group_placement import members_of_group
 from rainsail.consensus.member_dependencies import GroupMember, MemberDependencies
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HostedGroup:
-    """A group that this replica keeps a member of."""
+    """A group that this replica hosts a member of."""
 
     driver: GroupDriver
     state: ReplicatedState
 
 
 def group_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
-    """Return every group of the fleet in order: the root group and those of the batch ledger."""
+    """Return every group of the fleet, sorted: the root group and the batch ledger's groups."""
     return tuple(sorted({ROOT_GROUP, *config.batch.groups}))
 
 
 def hosted_ids(config: ReplicaConfig) -> tuple[GroupId, ...]:
-    """Return the groups that this replica keeps a member of."""
+    """Return the groups that this replica hosts a member of."""
     count = config.control.replicas_per_group
     return tuple(
         group
@@ -48,18 +48,18 @@
 def open_group(
     group: GroupId,
     config: ReplicaConfig,
-    seams: ReplicaSeams,
+    dependencies: ReplicaDependencies,
     identity: ReplicaIdentity,
     state: ReplicatedState,
     router: GroupRouter,
 ) -> Generator[Deferred[Any], Any, Result[HostedGroup, Fault]]:
-    """Open a group's log and make its driver; the driver is not started yet."""
-    storage = yield open_group_storage(seams.files, group, config.storage)
+    """Open a group's log and make its driver, without starting it."""
+    storage = yield open_group_storage(dependencies.files, group, config.storage)
     if storage.is_error():
         return Error(storage.error)
     names = members_of_group(group, config.replicas, config.control.replicas_per_group)
     member = GroupMember(group, config.name, identity, tuple(names))
-    node = seams.node
+    node = dependencies.node
     given = MemberDependencies(storage.ok, state, router, node.clock, node.random, encode_command)
     try:
         driver = GroupDriver(member, given, config.consensus)
--- a/src/rainsail/assembly/recording.py
+++ b/src/rainsail/assembly/recording.py
@@ -1,8 +1,8 @@
-"""Opening a gateway's recording when its settings ask for one."""
+"""Opens the trace file in which a gateway records its traffic."""
 
 from pathlib import Path
 
-from rainsail.assembly.seams import NodeSeams
+from rainsail.assembly.dependencies import NodeDependencies
 from rainsail.control.interface import ConfigReader
 from rainsail.experiment.trace.recorder import TraceRecorder
 from rainsail.experiment.trace.settings import RecordingSettings
@@ -16,10 +16,10 @@
     data_folder: Path,
     entry: GatewayEntry,
     config: ConfigReader,
-    seams: NodeSeams,
+    dependencies: NodeDependencies,
     settings: RecordingSettings,
 ) -> TraceRecorder:
-    """Open ``recordings/GATEWAY-SECONDS.avro`` and follow the configuration's changes."""
+    """Open ``recordings/GATEWAY-SECONDS.avro`` and record the configuration's changes in it."""
 
     def default_class(service: str) -> RequestClass:
         found = config.get(ResourceKey(Kind.SERVICE, service))
@@ -30,14 +30,14 @@
         if config.ready():
             recorder.configuration(event)
 
-    name = f"{entry.name}-{int(seams.wall_clock())}.avro"
+    name = f"{entry.name}-{int(dependencies.wall_clock())}.avro"
     recorder = TraceRecorder(
         data_folder / RECORDINGS_FOLDER / name,
         entry.zone,
         default_class,
-        seams.clock,
-        seams.random,
-        seams.wall_clock,
+        dependencies.clock,
+        dependencies.random,
+        dependencies.wall_clock,
         settings,
     )
     config.on_event(changed)
--- a/src/rainsail/assembly/replica.py
+++ b/src/rainsail/assembly/replica.py
@@ -1,4 +1,4 @@
-"""A replica: a member of the groups placed on it, with its control service and controllers."""
+"""A replica node: members of the groups placed on it, control service and controllers."""
 
 from collections.abc import Callable, Generator
 from typing import Any
@@ -6,10 +6,10 @@
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 
+from rainsail.assembly.dependencies import ReplicaDependencies
 from rainsail.assembly.hosted_group import HostedGroup, hosted_ids, open_group
 from rainsail.assembly.machine_watch import MachineWatch
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import ReplicaSeams
 from rainsail.consensus.driver import GroupDriver
 from rainsail.consensus.router import GroupRouter
 from rainsail.control.controllers.manager import ControllerManager
@@ -25,19 +25,19 @@
 
 
 class ReplicaNode:
-    """Opens the data folder, joins its groups and serves control messages.
+    """Opens the data folder, joins the replica's groups and serves control messages.
 
-    ``group`` and ``state`` are those of the root group when this replica keeps it, which the
-    operator API is served from.
+    ``group`` and ``state`` belong to the root group. The operator API is served from them, on the
+    replicas that host a member of the root group.
     """
 
-    def __init__(self, config: ReplicaConfig, seams: ReplicaSeams) -> None:
+    def __init__(self, config: ReplicaConfig, dependencies: ReplicaDependencies) -> None:
         self.config = config
-        self._seams = seams
+        self._dependencies = dependencies
         self._on_fatal: Callable[[Fault], None] = lambda fault: None
         self.state = ReplicatedState(config.state)
         self.hosted: dict[GroupId, HostedGroup] = {}
-        self.messenger = Messenger(seams.node.transport, seams.node.clock)
+        self.messenger = Messenger(dependencies.node.transport, dependencies.node.clock)
         self.service: ControlService | None = None
         self.controllers: list[ControllerManager] = []
         self.operator_api: OperatorApi | None = None
@@ -45,35 +45,35 @@
         self.client = LeaderClient(
             self.messenger,
             config.replicas,
-            seams.node.clock,
-            seams.node.random,
+            dependencies.node.clock,
+            dependencies.node.random,
             config.control,
         )
 
     @property
     def group(self) -> GroupDriver | None:
-        """The root group, when this replica keeps a member of it and has opened it."""
+        """The root group's driver; None unless this replica hosts a member and has opened it."""
         root = self.hosted.get(ROOT_GROUP)
         return None if root is None else root.driver
 
     def on_fatal(self, listener: Callable[[Fault], None]) -> None:
-        """Call ``listener`` when the replica can't go on (a failed sync, a damaged log)."""
+        """Call ``listener`` on a fatal fault, such as a failed disk sync or a damaged log."""
         self._on_fatal = listener
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Start everything; a fault names the file or step that stands in the way."""
-        node = self._seams.node
+        """Open every group and start all services; a fault names the file or step that failed."""
+        node = self._dependencies.node
         config = self.config
         identity = yield load_or_create_identity(
-            self._seams.files, config.fleet, config.name, durable_fingerprint(), node.random
+            self._dependencies.files, config.fleet, config.name, durable_fingerprint(), node.random
         )
         if identity.is_error():
             return Error(identity.error)
         router = GroupRouter(self.messenger, node.clock)
         for group in hosted_ids(config):
             state = self.state if group == ROOT_GROUP else ReplicatedState(config.state)
-            opened = yield open_group(group, config, self._seams, identity.ok, state, router)
+            opened = yield open_group(group, config, self._dependencies, identity.ok, state, router)
             if opened.is_error():
                 return Error(opened.error)
             self.hosted[group] = opened.ok
@@ -84,9 +84,9 @@
         return Ok(None)
 
     def _start_control(self) -> None:
-        node = self._seams.node
-        if self._seams.machine_list is not None:
-            self._machines = MachineWatch(self._seams.machine_list, node.clock)
+        node = self._dependencies.node
+        if self._dependencies.machine_list is not None:
+            self._machines = MachineWatch(self._dependencies.machine_list, node.clock)
             self._machines.start()
         self.service = ControlService(
             {number: hosted.driver for number, hosted in self.hosted.items()},
@@ -103,7 +103,7 @@
             self._make_operator_api(root)
 
     def _start_controllers(self, hosted: HostedGroup) -> None:
-        node = self._seams.node
+        node = self._dependencies.node
         manager = ControllerManager(
             hosted.driver,
             hosted.state,
@@ -117,7 +117,7 @@
         self.controllers.append(manager)
 
     def _make_operator_api(self, root: HostedGroup) -> None:
-        node = self._seams.node
+        node = self._dependencies.node
         others = [hosted.driver for hosted in self.hosted.values() if hosted is not root]
         self.operator_api = OperatorApi(
             root.driver,
@@ -136,7 +136,7 @@
         self._on_fatal(fault)
 
     def stop(self) -> None:
-        """Stop at once; durable state stays as synced."""
+        """Stop at once; the durable state stays as last synced."""
         if self._machines is not None:
             self._machines.stop()
         for manager in self.controllers:
@@ -148,7 +148,7 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Hand the leadership of every group over, then stop."""
+        """Transfer the leadership of every group that this replica leads, then stop."""
         led = [hosted.driver for hosted in self.hosted.values() if hosted.driver.is_leader()]
         yield gatherResults([driver.transfer_leadership() for driver in led])
         self.stop()
--- a/src/rainsail/assembly/roles.py
+++ b/src/rainsail/assembly/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a process over the real seams: sockets, files, the monotonic clock."""
+"""The roles of a process, built over real sockets, files and the monotonic clock."""
 
 import time
 from collections.abc import Generator
@@ -10,13 +10,17 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.web.client import Agent
 
+from rainsail.assembly.dependencies import (
+    GatewayDependencies,
+    NodeDependencies,
+    ReplicaDependencies,
+)
 from rainsail.assembly.folder_lock import FolderLock
 from rainsail.assembly.gateway import GatewayConfig, NativeGatewayNode
 from rainsail.assembly.listening import HTTP_IDLE_TIMEOUT_S, listen_site
 from rainsail.assembly.recording import open_recorder
 from rainsail.assembly.replica import ReplicaNode
 from rainsail.assembly.replica_config import ReplicaConfig
-from rainsail.assembly.seams import GatewaySeams, NodeSeams, ReplicaSeams
 from rainsail.assembly.served_connections import ServedConnections
 from rainsail.control.operator_site import make_operator_site
 from rainsail.engine.http_client import HttpEngineClient
@@ -37,8 +41,8 @@
 from rainsail.wire.tcp import TcpTransport
 
 MACHINE_LIST_CONNECT_TIMEOUT_S = 2.0
-LAST_ANSWERS_LIMIT_S = 10.0
-"""Time that answers get to leave at a planned stop, after the gateway's own grace time."""
+RESPONSE_FLUSH_LIMIT_S = 10.0
+"""Time for the last responses to be sent at a graceful stop, after the gateway's grace period."""
 
 
 class RunningRole(Protocol):
@@ -47,7 +51,7 @@
     name: str
 
     def start(self) -> "Deferred[Result[None, Fault]]":
-        """Start; a fault names what stands in the way."""
+        """Start; a fault names what failed."""
         ...
 
     def planned_stop(self) -> "Deferred[None]":
@@ -56,12 +60,12 @@
 
 
 def fresh_random() -> Random:
-    """Return a generator seeded once from the system."""
+    """Return a generator seeded from the operating system."""
     return Random(SystemRandom().getrandbits(64))
 
 
-def real_seams(settings: ProcessSettings, reactor: Any, name: str) -> NodeSeams:
-    """Return the seams of a daemon named ``name`` in this process."""
+def make_node_dependencies(settings: ProcessSettings, reactor: Any, name: str) -> NodeDependencies:
+    """Return the dependencies of the node named ``name`` in this process."""
     peers = {entry.name: parse_address(entry.address) for entry in settings.replicas}
     peers.update({each: parse_address(entry.address) for each, entry in settings.peers.items()})
     peers.pop(name, None)
@@ -76,17 +80,17 @@
         draw,
         role_in_fleet(settings),
     )
-    return NodeSeams(MonotonicClock(reactor), transport, draw, time.time)
+    return NodeDependencies(MonotonicClock(reactor), transport, draw, time.time)
 
 
 def role_in_fleet(settings: ProcessSettings) -> RoleOf:
-    """Return what tells a peer's role by its name: the replicas of the settings, else gateways."""
+    """Return the lookup of roles by name: replicas of the settings; any other is a gateway."""
     replicas = frozenset(entry.name for entry in settings.replicas)
     return lambda name: ProcessRole.REPLICA if name in replicas else ProcessRole.GATEWAY
 
 
 def machine_list_client(settings: ProcessSettings, reactor: Any) -> MachineListClient | None:
-    """Return the client of the platform's machine list; None when no list is named."""
+    """Return the client of the platform's machine list; None when none is configured."""
     if settings.platform.machine_list is None:
         return None
     agent = Agent(reactor, connectTimeout=MACHINE_LIST_CONNECT_TIMEOUT_S)
@@ -94,7 +98,7 @@
 
 
 class ReplicaRole:
-    """A replica with its data folder, its internal port and its operator API."""
+    """A replica node with its data folder, internal port and operator API."""
 
     def __init__(
         self,
@@ -108,7 +112,7 @@
         self._reactor = reactor
         self._address = parse_address(entry.address)
         self._operator_address = operator_address
-        self._seams = real_seams(settings, reactor, entry.name)
+        self._dependencies = make_node_dependencies(settings, reactor, entry.name)
         self._ports: list[Any] = []
         self._served: ServedConnections | None = None
         config = ReplicaConfig(
@@ -125,24 +129,26 @@
         self._lock = FolderLock(data_folder)
         files = LocalFileSystem(data_folder, reactor)
         machine_list = machine_list_client(settings, reactor)
-        self.node = ReplicaNode(config, ReplicaSeams(self._seams, files, machine_list))
+        self.node = ReplicaNode(
+            config, ReplicaDependencies(self._dependencies, files, machine_list)
+        )
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Open the data folder, join the group, listen."""
-        locked = self._lock.take()
+        """Lock the data folder, start the node and listen on the internal and operator ports."""
+        locked = self._lock.acquire()
         if locked.is_error():
             return Error(locked.error)
         started = yield self.node.start()
         if started.is_error():
             return Error(started.error)
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         listening = yield transport.listen_on(self._address.host, self._address.port)
         if listening.is_error():
             return Error(listening.error)
         assert self.node.operator_api is not None
         site = make_operator_site(self.node.operator_api.app.resource(), HTTP_IDLE_TIMEOUT_S)
-        self._served = ServedConnections(site, self._seams.clock)
+        self._served = ServedConnections(site, self._dependencies.clock)
         port = listen_site(self._reactor, site, self._operator_address)
         if port.is_error():
             return Error(port.error)
@@ -151,36 +157,36 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Hand leadership over, close the ports, stop."""
+        """Drain and close the operator port, transfer leadership, then stop."""
         if self._served is not None:
             for port in self._ports:
                 yield self._served.stop_accepting(port)
-            yield self._served.finish(LAST_ANSWERS_LIMIT_S)
+            yield self._served.finish(RESPONSE_FLUSH_LIMIT_S)
         yield self.node.planned_stop()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
         self._lock.release()
 
     @inlineCallbacks
     def abrupt_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Stop at once, as a killed process would, and close the ports."""
+        """Stop without draining, as a killed process would, and close the ports."""
         self.node.stop()
         for port in self._ports:
             yield port.stopListening()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
         self._lock.release()
 
 
 class GatewayRole:
-    """A gateway with its caller API."""
+    """A gateway node with its caller API."""
 
     def __init__(self, settings: ProcessSettings, entry: GatewayEntry, reactor: Any) -> None:
         self.name = entry.name
         self._reactor = reactor
         self._entry = entry
-        self._seams = real_seams(settings, reactor, entry.name)
-        self._engine = HttpEngineClient(self._seams.clock, reactor)
+        self._dependencies = make_node_dependencies(settings, reactor, entry.name)
+        self._engine = HttpEngineClient(self._dependencies.clock, reactor)
         config = GatewayConfig(
             entry.name,
             entry.region,
@@ -190,7 +196,7 @@
             settings.gateway,
             settings.batch,
         )
-        self.node = NativeGatewayNode(config, GatewaySeams(self._seams, self._engine))
+        self.node = NativeGatewayNode(config, GatewayDependencies(self._dependencies, self._engine))
         self._recorder = self._make_recorder(settings)
         self.caller_api = self._make_caller_api(settings)
         self._port: Any = None
@@ -203,14 +209,14 @@
             settings.process.data_folder,
             self._entry,
             self.node.view,
-            self._seams,
+            self._dependencies,
             settings.recording,
         )
 
     def _make_caller_api(self, settings: ProcessSettings) -> CallerApi:
         core: Gateway = self.node.core
         intake: Intake = self.node.intake
-        self.metered = MeteredGateway(core, self._seams.clock)
+        self.metered = MeteredGateway(core, self._dependencies.clock)
         core = self.metered
         if self._recorder is not None:
             core = RecordingGateway(core, self._recorder)
@@ -221,17 +227,17 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Deferred[Any], Any, Result[None, Fault]]:
-        """Listen for callers, follow the configuration."""
+        """Listen for callers and peers, then start the node."""
         address = parse_address(self._entry.caller_api)
         site = self.caller_api.site()
-        self._served = ServedConnections(site, self._seams.clock)
+        self._served = ServedConnections(site, self._dependencies.clock)
         port = listen_site(self._reactor, site, address)
         if port.is_error():
             return Error(port.error)
         self._port = port.ok
         if self._entry.address is not None:
             address = parse_address(self._entry.address)
-            transport: Any = self._seams.transport
+            transport: Any = self._dependencies.transport
             listening = yield transport.listen_on(address.host, address.port)
             if listening.is_error():
                 return Error(listening.error)
@@ -240,13 +246,13 @@
 
     @inlineCallbacks
     def planned_stop(self) -> Generator[Deferred[Any], Any, None]:
-        """Finish every request in progress, then stop."""
+        """Finish every request in progress, close the caller port, then stop."""
         yield self.node.planned_stop()
         if self._recorder is not None:
             self._recorder.close()
         if self._served is not None and self._port is not None:
             yield self._served.stop_accepting(self._port)
-            yield self._served.finish(LAST_ANSWERS_LIMIT_S)
+            yield self._served.finish(RESPONSE_FLUSH_LIMIT_S)
         yield self._engine.close()
-        transport: Any = self._seams.transport
+        transport: Any = self._dependencies.transport
         yield Deferred.fromCoroutine(transport.stop())
