--- a/features/steps/consensus_snapshot_reading_steps.py
+++ b/features/steps/consensus_snapshot_reading_steps.py
@@ -14,7 +14,7 @@
 from rainsail.logs import logger
 from rainsail.state.commands import NoOperation
 from rainsail.storage.interface import SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 from rainsail.wire.codec import CodecError
 
 ONCE = 1
@@ -341,7 +341,7 @@
 
 @then("the cut-off replica of the consensus group has got a snapshot")
 def got_snapshot(context):
-    assert any(chunk.whole == SnapshotSum() for chunk in context.consensus_taken)
+    assert any(chunk.whole == SnapshotChecksum() for chunk in context.consensus_taken)
 
 
 @when("the state of the cut-off replica of the consensus group can't be restored")
@@ -421,7 +421,7 @@
 @then("a replica's log isn't recovered from a snapshot whose reading ends without its sum")
 def not_without_sum(context):
     chunks = [b"1,2", b"3"]
-    whole = SnapshotSum().with_chunk(chunks[0]).with_chunk(chunks[1])
+    whole = SnapshotChecksum().with_chunk(chunks[0]).with_chunk(chunks[1])
     assert not _refuses([*chunks, whole]), "a whole one"
     assert _refuses(chunks)
     assert _refuses([])
@@ -431,7 +431,7 @@
 def not_with_other_sum(context):
     chunks = [b"1,2", b"3"]
     for other in ([b"1,2"], [b"1,2", b"4"], [b"3", b"1,2"], [b"1,23"]):
-        total = SnapshotSum()
+        total = SnapshotChecksum()
         for chunk in other:
             total = total.with_chunk(chunk)
         assert _refuses([*chunks, total]), other
--- a/features/steps/consensus_snapshot_steps.py
+++ b/features/steps/consensus_snapshot_steps.py
@@ -8,7 +8,7 @@
 from rainsail.consensus.messages import SnapshotChunk
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.errors import FaultCode
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 CRASH_MOMENTS = 40
 MOMENT_S = 0.0005
@@ -163,7 +163,7 @@
     state = group.driver(context.consensus_down).core.state
     context.consensus_base = state.log.base_index
     data = b"1,2,3"
-    whole = SnapshotSum().with_chunk(data)
+    whole = SnapshotChecksum().with_chunk(data)
     chunk = SnapshotChunk(
         0, leader.term, leader.identity, state.identity, 20, 1, b"", 0, data, None, 1
     )
--- a/features/steps/storage_local_steps.py
+++ b/features/steps/storage_local_steps.py
@@ -20,7 +20,7 @@
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.local_files import LocalFileSystem
 from rainsail.storage.settings import StorageSettings
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 SEGMENT = f"group-{GROUP}/0000000001.log"
 REAL_FILES = {
@@ -81,7 +81,7 @@
     storage = context.storage
     assert (storage.first_index, storage.last_index) == (21, 50), storage.first_index
     assert storage.entries(21, 50, 10**9) == make_entries(21, 30)
-    assert tuple(whole_chunks(storage.read_snapshot())) == snapshot_chunks(20)
+    assert tuple(verified_chunks(storage.read_snapshot())) == snapshot_chunks(20)
     storage.close()
 
 
--- a/features/steps/storage_snapshot_steps.py
+++ b/features/steps/storage_snapshot_steps.py
@@ -6,7 +6,7 @@
 from rainsail.errors import FaultCode
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.records import RecordKind, record_bytes, scan
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 MEMBERS = b"members"
 MOMENTS_S = {
@@ -50,7 +50,7 @@
     storage = context.rig.storage
     assert storage.snapshot_meta.last_index == index, storage.snapshot_meta
     assert storage.snapshot_meta.membership == MEMBERS
-    assert tuple(whole_chunks(storage.read_snapshot())) == snapshot_chunks(index)
+    assert tuple(verified_chunks(storage.read_snapshot())) == snapshot_chunks(index)
 
 
 @then("the storage is empty after entry {index:d}")
--- a/features/support/compatibility_folders.py
+++ b/features/support/compatibility_folders.py
@@ -52,7 +52,7 @@
 from rainsail.storage.interface import FileSystem, HardState, LogEntry, SnapshotMeta
 from rainsail.storage.local_files import LocalFileSystem
 from rainsail.storage.settings import StorageSettings
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 from rainsail.wire.codec import decode, encode
 
 FOLDERS = Path("features/compatibility/data/folders")
@@ -299,7 +299,7 @@
         self.hard_state = storage.hard_state
         assert storage.snapshot_meta is not None, "the folder has no snapshot"
         self.snapshot_meta = storage.snapshot_meta
-        self.snapshot_chunks = tuple(whole_chunks(storage.read_snapshot()))
+        self.snapshot_chunks = tuple(verified_chunks(storage.read_snapshot()))
         first = self.snapshot_meta.last_index + 1
         self.entries = storage.entries(first, storage.last_index, READ_BYTES)
         assert len(self.entries) == storage.last_index - first + 1
--- a/features/support/storage.py
+++ b/features/support/storage.py
@@ -17,7 +17,7 @@
 from rainsail.storage.group_storage import DurableGroupStorage, open_group_storage
 from rainsail.storage.interface import HardState, LogEntry, SnapshotMeta
 from rainsail.storage.settings import StorageSettings
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 GROUP = 3
 FOLDER = "group-3"
@@ -252,7 +252,9 @@
         meta = storage.snapshot_meta
         assert meta in (self.snapshot, self.offered), (meta, self.snapshot, self.offered)
         if meta is not None:
-            assert tuple(whole_chunks(storage.read_snapshot())) == snapshot_chunks(meta.last_index)
+            assert tuple(verified_chunks(storage.read_snapshot())) == snapshot_chunks(
+                meta.last_index
+            )
         covered = meta.last_index if meta else 0
         found = LogState(storage.hard_state, covered, self._entries_after(covered))
         assert any(self._matches(state, found) for state in self._candidates(meta)), found
--- a/src/rainsail/consensus/core_state.py
+++ b/src/rainsail/consensus/core_state.py
@@ -12,7 +12,7 @@
 from rainsail.consensus.settings import ConsensusSettings
 from rainsail.state.command_basics import GroupId
 from rainsail.storage.interface import HardState, LogEntry
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 
 class Role(StrEnum):
@@ -144,7 +144,7 @@
     last_index: int
     last_term: int
     chunks: list[bytes] = field(default_factory=list)
-    received: SnapshotSum = field(default_factory=SnapshotSum)
+    received: SnapshotChecksum = field(default_factory=SnapshotChecksum)
 
     def take(self, chunk: bytes) -> None:
         """Add the next chunk."""
--- a/src/rainsail/consensus/effects.py
+++ b/src/rainsail/consensus/effects.py
@@ -4,7 +4,7 @@
 
 from rainsail.consensus.messages import GroupMessage
 from rainsail.storage.interface import HardState, LogEntry, SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,8 +56,8 @@
 
     replica: str
     last_index: int
-    received: SnapshotSum
-    told: SnapshotSum
+    received: SnapshotChecksum
+    told: SnapshotChecksum
 
 
 @dataclass(slots=True)
--- a/src/rainsail/consensus/messages.py
+++ b/src/rainsail/consensus/messages.py
@@ -8,7 +8,7 @@
 
 from rainsail.state.command_basics import GroupId
 from rainsail.storage.interface import LogEntry
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 from rainsail.wire.codec import wire_record
 
 
@@ -164,7 +164,7 @@
     membership: bytes
     offset: int
     data: bytes | None
-    whole: SnapshotSum | None
+    whole: SnapshotChecksum | None
     round: int
 
 
--- a/src/rainsail/consensus/model_world.py
+++ b/src/rainsail/consensus/model_world.py
@@ -17,7 +17,7 @@
 from rainsail.consensus.model_member import GROUP, ModelMember
 from rainsail.consensus.model_properties import SafetyProperties
 from rainsail.storage.interface import SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum, SnapshotPiece
 
 SNAPSHOT_CHUNKS = 2
 UNREAD_SHARE = 0.1
@@ -31,9 +31,9 @@
     return tuple(b"%d/%d" % (last_index, number) for number in range(SNAPSHOT_CHUNKS))
 
 
-def snapshot_sum(last_index: int) -> SnapshotSum:
+def snapshot_sum(last_index: int) -> SnapshotChecksum:
     """Return the sum of the snapshot at an index."""
-    total = SnapshotSum()
+    total = SnapshotChecksum()
     for chunk in snapshot_chunks(last_index):
         total = total.with_chunk(chunk)
     return total
@@ -153,7 +153,7 @@
             meta.membership,
             offset,
             piece if isinstance(piece, bytes) else None,
-            piece if isinstance(piece, SnapshotSum) else None,
+            piece if isinstance(piece, SnapshotChecksum) else None,
             round,
         )
         self.post(member, [Outgoing(replica, chunk)])
--- a/src/rainsail/consensus/recovery.py
+++ b/src/rainsail/consensus/recovery.py
@@ -4,7 +4,7 @@
 from rainsail.consensus.membership import EMPTY_MEMBERSHIP, membership_of_payload
 from rainsail.state.state_machine import StateMachine
 from rainsail.storage.interface import GroupStorage
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 READ_BYTES = 4 * 1024 * 1024
 
@@ -17,7 +17,7 @@
     log = LogWindow()
     meta = storage.snapshot_meta
     if meta is not None:
-        state_machine.restore(whole_chunks(storage.read_snapshot()))
+        state_machine.restore(verified_chunks(storage.read_snapshot()))
         membership = membership_of_payload(meta.membership)
         log = LogWindow(meta.last_index, meta.last_term, membership or EMPTY_MEMBERSHIP)
     index = log.last_index + 1
--- a/src/rainsail/consensus/snapshot_source.py
+++ b/src/rainsail/consensus/snapshot_source.py
@@ -7,7 +7,7 @@
 
 from rainsail.errors import Fault, RainsailError
 from rainsail.storage.interface import GroupStorage
-from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum, not_whole
+from rainsail.storage.snapshot_checksum import SnapshotChecksum, SnapshotPiece, incomplete_snapshot
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
         if reading is None or reading.snapshot_index != snapshot_index or offset < reading.offset:
             reading = self._open(snapshot_index)
             self._readings[identity] = reading
-        while reading.offset < offset and not isinstance(reading.piece, SnapshotSum):
+        while reading.offset < offset and not isinstance(reading.piece, SnapshotChecksum):
             reading.piece = _next_piece(reading.pieces)
             reading.offset += 1
         return PieceRead(reading.offset, reading.piece)
@@ -69,5 +69,5 @@
     """Return the next piece; a reading that ends before the sum has failed."""
     piece = next(pieces, None)
     if piece is None:
-        raise not_whole("the reading ended before the snapshot did")
+        raise incomplete_snapshot("the reading ended before the snapshot did")
     return piece
--- a/src/rainsail/consensus/snapshot_worker.py
+++ b/src/rainsail/consensus/snapshot_worker.py
@@ -17,7 +17,7 @@
 from rainsail.runtime.clock import Clock
 from rainsail.state.state_machine import StateMachine
 from rainsail.storage.interface import GroupStorage, SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum, SnapshotPiece
 from rainsail.wire.codec import CodecError
 
 FEEDING_S = 1.0
@@ -193,7 +193,7 @@
             meta.membership,
             offset,
             piece if isinstance(piece, bytes) else None,
-            piece if isinstance(piece, SnapshotSum) else None,
+            piece if isinstance(piece, SnapshotChecksum) else None,
             order.round,
         )
         self._send([Outgoing(order.replica, message)])
--- a/src/rainsail/consensus/snapshots.py
+++ b/src/rainsail/consensus/snapshots.py
@@ -6,7 +6,7 @@
 from rainsail.consensus.membership import EMPTY_MEMBERSHIP, membership_of_payload
 from rainsail.consensus.messages import AppendReply, SnapshotChunk, SnapshotReply
 from rainsail.storage.interface import SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 
 def handle_chunk(state: CoreState, source: str, message: SnapshotChunk, now: float) -> None:
@@ -40,7 +40,9 @@
     return known
 
 
-def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotSum) -> None:
+def finish(
+    state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotChecksum
+) -> None:
     """Install what was gathered when it is the whole snapshot; otherwise begin anew.
 
     What is refused is not answered, so that the leader tries again with its next heartbeat.
@@ -56,7 +58,7 @@
     )
 
 
-def is_whole(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
+def is_whole(incoming: IncomingSnapshot, expected: SnapshotChecksum) -> bool:
     """Tell whether what was gathered is what the leader's snapshot holds on its disk."""
     return incoming.received == expected
 
--- a/src/rainsail/simulation/consensus_defects.py
+++ b/src/rainsail/simulation/consensus_defects.py
@@ -10,7 +10,7 @@
 from rainsail.consensus import append_receiving, append_replies, core, election, snapshots
 from rainsail.consensus.core_state import CoreState, IncomingSnapshot
 from rainsail.consensus.messages import AppendRequest, GroupMessage
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 
 def _acknowledge_at_once(state: CoreState, message: AppendRequest) -> bool:
@@ -43,7 +43,7 @@
     return True
 
 
-def _take_any_snapshot(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
+def _take_any_snapshot(incoming: IncomingSnapshot, expected: SnapshotChecksum) -> bool:
     return True
 
 
--- a/src/rainsail/storage/group_storage.py
+++ b/src/rainsail/storage/group_storage.py
@@ -14,8 +14,8 @@
 from rainsail.storage.recovery import RecoveredGroup, group_folder, recover_group
 from rainsail.storage.segment_log import PendingRecord, SegmentLog
 from rainsail.storage.settings import StorageSettings
+from rainsail.storage.snapshot_checksum import SnapshotPiece
 from rainsail.storage.snapshot_store import SnapshotStore, TemporarySnapshot
-from rainsail.storage.snapshot_sum import SnapshotPiece
 from rainsail.storage.write_queue import SyncResult, WriteQueue
 from rainsail.wire.codec import encode_body
 
--- a/src/rainsail/storage/interface.py
+++ b/src/rainsail/storage/interface.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from rainsail.errors import Fault
-from rainsail.storage.snapshot_sum import SnapshotPiece
+from rainsail.storage.snapshot_checksum import SnapshotPiece
 from rainsail.wire.names import wire_type
 
 
--- a/src/rainsail/storage/snapshot_store.py
+++ b/src/rainsail/storage/snapshot_store.py
@@ -16,7 +16,7 @@
 from rainsail.storage.log_records import FORMAT_VERSION, SnapshotEnd, SnapshotHeader
 from rainsail.storage.record_file import RecordFileReader
 from rainsail.storage.records import Record, RecordKind, encode_record
-from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum, SnapshotPiece
 from rainsail.wire.codec import CodecError, decode_body, encode_body
 
 SNAPSHOT_SUFFIX = ".snapshot"
@@ -65,7 +65,7 @@
 
         Call ``header`` first.
         """
-        read = SnapshotSum()
+        read = SnapshotChecksum()
         record = self._records.read()
         while record.kind == RecordKind.SNAPSHOT_CHUNK:
             read = read.with_chunk(record.body)
