--- a/features/steps/storage_fuzz_steps.py
+++ b/features/steps/storage_fuzz_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 from features.support.storage import FIRST_SEGMENT, GROUP, SCHEMAS, StorageRig
-from features.support.storage_bytes import altered, sound_files
+from features.support.storage_bytes import altered, valid_files
 from hypothesis import HealthCheck, Phase, given, settings, strategies
 
 from rainsail.errors import FaultCode
@@ -38,8 +38,8 @@
     group = IDENTITY_GROUP if name == "identity" else GROUP
     if content == "arbitrary records":
         return record_lists(group).map(lambda records: frame(records, group))
-    if content == "altered sound bytes":
-        return altered(sound_files()[PATHS[name]])
+    if content == "altered valid bytes":
+        return altered(valid_files()[PATHS[name]])
     sizes = strategies.integers(0, MAX_FILE_BYTES)
     return sizes.flatmap(lambda size: strategies.binary(min_size=size, max_size=size))
 
@@ -60,7 +60,7 @@
     """Open a storage, or load an identity, over a disk that holds ``data``; return the result."""
     rig = StorageRig()
     if name == "snapshot":
-        rig.disk.replace(FIRST_SEGMENT, sound_files()[FIRST_SEGMENT])
+        rig.disk.replace(FIRST_SEGMENT, valid_files()[FIRST_SEGMENT])
     rig.disk.replace(PATHS[name], data)
     if name == "identity":
         loading = load_or_create_identity(rig.disk, "north", "a1", SCHEMAS, random.Random(1))
--- a/features/storage/fuzz.feature
+++ b/features/storage/fuzz.feature
@@ -9,10 +9,10 @@
       | file     | content             |
       | segment  | arbitrary bytes     |
       | segment  | arbitrary records   |
-      | segment  | altered sound bytes |
+      | segment  | altered valid bytes |
       | snapshot | arbitrary bytes     |
       | snapshot | arbitrary records   |
-      | snapshot | altered sound bytes |
+      | snapshot | altered valid bytes |
       | identity | arbitrary bytes     |
       | identity | arbitrary records   |
 
--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -123,7 +123,7 @@
             *[self.accept] * 2,
             *[self.lease] * 5,
             *[self.commit] * 6,
-            *[self.give_back] * 3,
+            *[self.return_item] * 3,
             self.lease_again,
             self.revoke,
             self.cancel,
@@ -179,7 +179,7 @@
         for verdict in outcome.verdicts:
             self.model.committed(holder, result, verdict)
 
-    def give_back(self) -> None:
+    def return_item(self) -> None:
         """Return an item, preempted or failed."""
         if not self.refs:
             return
--- a/features/support/local_storage.py
+++ b/features/support/local_storage.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.threadpool import ThreadPool
 
-PATIENCE_S = 30
+WAIT_TIMEOUT_S = 30
 
 
 class ThreadReactor:
@@ -33,7 +33,7 @@
         fired: list[Any] = []
         deferred.addCallback(fired.append)
         while not fired:
-            self._calls.get(timeout=PATIENCE_S)()
+            self._calls.get(timeout=WAIT_TIMEOUT_S)()
         return fired[0]
 
     def stop(self) -> None:
--- a/features/support/storage.py
+++ b/features/support/storage.py
@@ -22,9 +22,9 @@
 GROUP = 3
 FOLDER = "group-3"
 FIRST_SEGMENT = f"{FOLDER}/0000000001.log"
-PATIENCE_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 SYNC_LATENCY_S = 0.002
-KEEP_NOTHING = SimulatedDiskSettings(partial_write_share=0.0)
+LOSE_UNSYNCED_WRITES = SimulatedDiskSettings(partial_write_share=0.0)
 
 SCHEMAS = "test-schemas"
 """Fingerprint that the data folders of the features carry."""
@@ -34,7 +34,7 @@
 class StorageRig:
     """A disk, its clock and the storage that is open on it."""
 
-    disk_settings: SimulatedDiskSettings = KEEP_NOTHING
+    disk_settings: SimulatedDiskSettings = LOSE_UNSYNCED_WRITES
     settings: StorageSettings = field(default_factory=StorageSettings)
     seed: int = 1
     storage: Any = None
@@ -45,7 +45,7 @@
 
     def wait(self, deferred: "Deferred[Any]") -> Any:
         """Run the clock until a Deferred fires and return its value."""
-        return result_of(self.clock, deferred, PATIENCE_S)
+        return result_of(self.clock, deferred, WAIT_TIMEOUT_S)
 
     def try_open(self) -> Result[Any, Any]:
         """Open the storage and return the result."""
--- a/features/support/storage_bytes.py
+++ b/features/support/storage_bytes.py
@@ -11,7 +11,7 @@
 
 
 @cache
-def sound_files() -> dict[str, bytes]:
+def valid_files() -> dict[str, bytes]:
     """Return a segment of 9 entries and the snapshot of the fourth, by path."""
     rig = StorageRig()
     rig.open()
--- a/src/rainsail/state/claims.py
+++ b/src/rainsail/state/claims.py
@@ -48,7 +48,7 @@
         key = (command.tenant, command.request_id)
         known = self._open.get(key) or self._finished.get(key)
         if known is None:
-            self._hold(Claim(*key, command.content_digest, command.gateway))
+            self._add_open(Claim(*key, command.content_digest, command.gateway))
             return ClaimResult(True, command.gateway, Outcome.UNKNOWN)
         if known.content_digest != command.content_digest:
             return conflict("claim_request", f"{command.request_id!r} was another request")
@@ -70,7 +70,7 @@
             ended = replace(
                 known, finished=True, outcome=command.outcome, response=command.response
             )
-            self._keep(ended)
+            self._add_finished(ended)
         return Done()
 
     def _finish_unclaimed(self, command: FinishRequest) -> Done | Fault:
@@ -83,12 +83,12 @@
             return Done()
         return conflict("finish_request", f"{command.request_id!r} ended as {known.outcome}")
 
-    def _hold(self, claim: Claim) -> None:
+    def _add_open(self, claim: Claim) -> None:
         self._open[claim.tenant, claim.request_id] = claim
         if len(self._open) > self._settings.open_claim_window_count:
             self._open.popitem(last=False)
 
-    def _keep(self, claim: Claim) -> None:
+    def _add_finished(self, claim: Claim) -> None:
         self._finished[claim.tenant, claim.request_id] = claim
         if len(self._finished) > self._settings.finished_claim_window_count:
             self._finished.popitem(last=False)
@@ -101,6 +101,6 @@
     def restore(self, claim: Claim) -> None:
         """Take one record of a snapshot."""
         if claim.finished:
-            self._keep(claim)
+            self._add_finished(claim)
         else:
-            self._hold(claim)
+            self._add_open(claim)
--- a/src/rainsail/state/item_leases.py
+++ b/src/rainsail/state/item_leases.py
@@ -153,7 +153,7 @@
             return items
         tokens_left = command.max_tokens
         while len(items) < command.max_items:
-            job_id = queue.head()
+            job_id = queue.next_job_id()
             if job_id is None:
                 break
             job = self._jobs[job_id]
@@ -218,14 +218,14 @@
 
     # --- returns ---
 
-    def give_back(self, command: ReturnItems) -> Done:
+    def return_items(self, command: ReturnItems) -> Done:
         """Take items back; those that are no longer the holder's are left alone."""
         for item in command.items:
             if self.holds(command.holder, item.ref):
-                self._take_back(self._jobs[item.ref.job_id], item)
+                self._return_item(self._jobs[item.ref.job_id], item)
         return Done()
 
-    def _take_back(self, job: Job, item: ReturnedItem) -> None:
+    def _return_item(self, job: Job, item: ReturnedItem) -> None:
         index = item.ref.index
         note = replace(job.note(index), generated_prefix=item.generated_prefix)
         if item.failure:
@@ -233,7 +233,7 @@
         if note.attempts >= job.spec.max_attempts:
             self._set_aside(job, index, item.failure)
             return
-        job.keep_note(note)
+        job.store_note(note)
         self._requeue(job, job.leases[index], refund=not item.failure)
 
     def _set_aside(self, job: Job, index: int, failure: str) -> None:
--- a/src/rainsail/state/job.py
+++ b/src/rainsail/state/job.py
@@ -119,7 +119,7 @@
             self.note(lease.index).generated_prefix,
         )
 
-    def keep_note(self, note: UnfinishedItem) -> None:
+    def store_note(self, note: UnfinishedItem) -> None:
         """Keep a note of an item, or nothing when it says nothing."""
         if note.attempts or note.generated_prefix:
             self.notes[note.index] = note
--- a/src/rainsail/state/job_items.py
+++ b/src/rainsail/state/job_items.py
@@ -63,8 +63,8 @@
 
     def packed(self, index: int) -> bytes:
         """Return the encoded body of an item."""
-        place = index - self.first_index
-        return self.bodies[self.offsets[place] : self.offsets[place + 1]]
+        position = index - self.first_index
+        return self.bodies[self.offsets[position] : self.offsets[position + 1]]
 
 
 def pack_range(first_index: int, bodies: list[bytes]) -> ItemRange:
@@ -94,7 +94,7 @@
         Return None, with nothing added, when one that is there has another body.
         """
         packed = [encode_body(item) for item in items]
-        if not self._agrees(first_index, packed):
+        if not self._matches_existing(first_index, packed):
             return None
         added = 0
         for start, bodies in self._missing_runs(first_index, packed):
@@ -103,21 +103,22 @@
             added += len(bodies)
         return added
 
-    def _agrees(self, first_index: int, packed: list[bytes]) -> bool:
+    def _matches_existing(self, first_index: int, packed: list[bytes]) -> bool:
         return all(
-            self.phases[first_index + place] == ABSENT or self._packed(first_index + place) == body
-            for place, body in enumerate(packed)
+            self.phases[first_index + position] == ABSENT
+            or self._packed(first_index + position) == body
+            for position, body in enumerate(packed)
         )
 
     def _missing_runs(
         self, first_index: int, packed: list[bytes]
     ) -> Iterator[tuple[int, list[bytes]]]:
         run: list[bytes] = []
-        for place, body in enumerate(packed):
-            if self.phases[first_index + place] == ABSENT:
+        for position, body in enumerate(packed):
+            if self.phases[first_index + position] == ABSENT:
                 run.append(body)
             elif run:
-                yield first_index + place - len(run), run
+                yield first_index + position - len(run), run
                 run = []
         if run:
             yield first_index + len(packed) - len(run), run
@@ -151,9 +152,9 @@
         if phase == PENDING:
             self._cursor = min(self._cursor, index)
         elif phase in (COMPLETED, SET_ASIDE):
-            self._finish_one(self._range_of(index))
+            self._mark_finished(self._range_of(index))
 
-    def _finish_one(self, item_range: ItemRange) -> None:
+    def _mark_finished(self, item_range: ItemRange) -> None:
         item_range.unfinished -= 1
         if item_range.unfinished == 0:
             item_range.bodies = b""
--- a/src/rainsail/state/lease_queue.py
+++ b/src/rainsail/state/lease_queue.py
@@ -82,7 +82,7 @@
         """Add a job that has got pending items."""
         queue = self._tenant(tenant)
         if not queue.jobs:
-            queue.virtual_service = self._start_again(queue.virtual_service)
+            queue.virtual_service = self._resumed_virtual_service(queue.virtual_service)
             self._order.add((queue.virtual_service, tenant))
         queue.jobs.add(job)
 
@@ -93,7 +93,7 @@
         if not queue.jobs:
             self._order.remove((queue.virtual_service, tenant))
 
-    def head(self) -> str | None:
+    def next_job_id(self) -> str | None:
         """Return the id of the job to lease from next, or None when nothing is pending."""
         if not self._order:
             return None
@@ -111,7 +111,7 @@
         queue = self._tenant(tenant)
         self._move(tenant, queue, max(0, queue.virtual_service - virtual_cost(tokens, weight)))
 
-    def _start_again(self, ended_at: int) -> int:
+    def _resumed_virtual_service(self, ended_at: int) -> int:
         """Return the virtual service at which a tenant that ended at one has work again."""
         lag = self._virtual_time - ended_at
         if ended_at > 0 and lag <= BACK_SHIFT_TOKENS * VIRTUAL_UNITS_PER_TOKEN:
--- a/src/rainsail/state/ledger.py
+++ b/src/rainsail/state/ledger.py
@@ -72,12 +72,12 @@
             return refusal
         known_id = self._job_ids.get(_job_key(command.spec))
         if known_id is not None:
-            return self._known_job(self._jobs[known_id], command.spec)
+            return self._existing_job(self._jobs[known_id], command.spec)
         if command.job_id in self._jobs:
             return conflict("open_job", f"job id {command.job_id!r} is taken")
         job = Job(command.job_id, command.spec, self._next_sequence)
         self._next_sequence += 1
-        self._keep(job)
+        self._add(job)
         return job.view()
 
     def _check_spec(self, command: OpenJob) -> Fault | None:
@@ -94,13 +94,13 @@
             return Fault(FaultCode.TOO_LARGE, "state.open_job", detail)
         return None
 
-    def _known_job(self, job: Job, spec: JobSpec) -> JobView | Fault:
+    def _existing_job(self, job: Job, spec: JobSpec) -> JobView | Fault:
         known = (job.spec.content_digest, job.spec.item_count, job.spec.service)
         if known != (spec.content_digest, spec.item_count, spec.service):
             return conflict("open_job", f"job key {spec.job_key!r} has other content")
         return job.view()
 
-    def _keep(self, job: Job) -> None:
+    def _add(self, job: Job) -> None:
         self._jobs[job.job_id] = job
         self._job_ids[_job_key(job.spec)] = job.job_id
 
@@ -176,7 +176,7 @@
     def restore(self, record: JobRecord | LeaseRecord) -> None:
         """Take one record of a snapshot, in the order of ``records``."""
         if isinstance(record, StoredJob):
-            self._keep(Job.restored(record))
+            self._add(Job.restored(record))
         elif isinstance(record, StoredRange):
             self._jobs[record.job_id].items.restore(record)
         elif isinstance(record, StoredResults):
--- a/src/rainsail/state/machine.py
+++ b/src/rainsail/state/machine.py
@@ -73,18 +73,18 @@
         leases = self._ledger.leases
         return {
             NoOperation: lambda command: Done(),
-            PutResource: self._once(self._put),
-            DeleteResource: self._once(self._delete),
+            PutResource: self._idempotent(self._put),
+            DeleteResource: self._idempotent(self._delete),
             PutStatus: self._resources.put_status,
             MarkInForce: self._resources.mark_in_force,
             OpenJob: self._ledger.open,
             AddItems: self._ledger.add_items,
             SealJob: self._ledger.seal,
-            CancelJob: self._once(self._ledger.cancel),
+            CancelJob: self._idempotent(self._ledger.cancel),
             ForgetJob: self._ledger.forget,
             LeaseItems: leases.lease,
             CommitResults: leases.commit,
-            ReturnItems: leases.give_back,
+            ReturnItems: leases.return_items,
             RevokeLeases: leases.revoke,
             ClaimRequest: self._claims.claim,
             FinishRequest: self._claims.finish,
@@ -92,17 +92,17 @@
             AppendTurn: self._sessions.append_turn,
         }
 
-    def _once(self, apply: Apply) -> Apply:
+    def _idempotent(self, apply: Apply) -> Apply:
         """Return ``apply`` with the first answer given again to a re-sent change."""
 
-        def apply_once(command: IdentifiedChange) -> CommandOutcome:
+        def apply_idempotently(command: IdentifiedChange) -> CommandOutcome:
             answer = self._changes.first_answer(command)
             if answer is None:
                 answer = apply(command)
                 self._changes.remember(command, answer)
             return answer
 
-        return apply_once
+        return apply_idempotently
 
     def _put(self, command: PutResource) -> CommandOutcome:
         outcome = self._resources.put(command)
@@ -113,7 +113,7 @@
     def _attach(self, command: AttachSession) -> CommandOutcome:
         outcome = self._sessions.attach(command)
         if isinstance(outcome, SessionView):
-            self._resources.report_session(outcome)
+            self._resources.update_session_status(outcome)
         return outcome
 
     def _delete(self, command: DeleteResource) -> CommandOutcome:
--- a/src/rainsail/state/quarantine.py
+++ b/src/rainsail/state/quarantine.py
@@ -8,7 +8,7 @@
 
 from rainsail.state.cluster_commands import Quarantine, QuarantinedRequest
 
-MOST_KEPT = 64
+MAX_REMEMBERED_REQUESTS = 64
 """So many requests are remembered, held ones before others, newer ones before older ones."""
 
 
@@ -48,7 +48,7 @@
         self._requests[request.fingerprint] = request
 
     def _drop_beyond_limit(self) -> None:
-        while len(self._requests) > MOST_KEPT:
+        while len(self._requests) > MAX_REMEMBERED_REQUESTS:
             released = (name for name, each in self._requests.items() if not each.held)
             oldest = next(released, None) or next(iter(self._requests))
             del self._requests[oldest]
--- a/src/rainsail/state/resource_store.py
+++ b/src/rainsail/state/resource_store.py
@@ -91,7 +91,7 @@
                 "put_resource", f"{_name(key)} can't have a {type(command.spec).__name__}"
             )
         current = self.get(key)
-        refusal = self._check("put_resource", key, current, command.expected_revision)
+        refusal = self._check_revision("put_resource", key, current, command.expected_revision)
         if refusal is not None:
             return refusal
         revision = self.revision + 1
@@ -106,7 +106,9 @@
         current = self.get(command.key)
         if current is None:
             return not_found("delete_resource", f"there is no {_name(command.key)}")
-        refusal = self._check("delete_resource", command.key, current, command.expected_revision)
+        refusal = self._check_revision(
+            "delete_resource", command.key, current, command.expected_revision
+        )
         if refusal is not None:
             return refusal
         del self._by_kind[command.key.kind][command.key.name]
@@ -118,7 +120,9 @@
         current = self.get(command.key)
         if current is None:
             return not_found("put_status", f"there is no {_name(command.key)}")
-        refusal = self._check("put_status", command.key, current, command.expected_revision)
+        refusal = self._check_revision(
+            "put_status", command.key, current, command.expected_revision
+        )
         if refusal is not None:
             return refusal
         if (current.status, current.conditions) == (command.status, command.conditions):
@@ -131,7 +135,7 @@
         )
         return self._store(changed)
 
-    def report_session(self, view: SessionView) -> None:
+    def update_session_status(self, view: SessionView) -> None:
         """Show a session's place in its resource's status, when it has a resource."""
         current = self.get(ResourceKey(Kind.SESSION, view.session))
         if current is None:
@@ -146,7 +150,7 @@
         self.in_force_revision = max(self.in_force_revision, reached)
         return Done()
 
-    def _check(
+    def _check_revision(
         self, step: str, key: ResourceKey, current: Resource | None, expected: int
     ) -> Fault | None:
         found = 0 if current is None else current.revision
--- a/src/rainsail/state/result_log.py
+++ b/src/rainsail/state/result_log.py
@@ -41,11 +41,11 @@
 class ResultLog:
     """Results in segments and the place of each, as segment number and offset in one number."""
 
-    __slots__ = ("_item_count", "_places", "_segments")
+    __slots__ = ("_item_count", "_locations", "_segments")
 
     def __init__(self, item_count: int) -> None:
         self._item_count = item_count
-        self._places: array[int] = array("Q")
+        self._locations: array[int] = array("Q")
         self._segments: list[bytearray] = []
 
     def append(self, index: int, item: FinishedItem) -> None:
@@ -54,20 +54,20 @@
             self._segments.append(bytearray())
         payload = encode_body(item)
         segment = self._segments[-1]
-        self._set_place(index, len(self._segments) - 1, len(segment))
+        self._set_location(index, len(self._segments) - 1, len(segment))
         segment += _HEADER.pack(index, len(payload))
         segment += payload
 
-    def _set_place(self, index: int, segment: int, offset: int) -> None:
-        if not self._places:
-            self._places = array("Q", bytes(8 * self._item_count))
-        self._places[index] = segment << _SEGMENT_SHIFT | offset
+    def _set_location(self, index: int, segment: int, offset: int) -> None:
+        if not self._locations:
+            self._locations = array("Q", bytes(8 * self._item_count))
+        self._locations[index] = segment << _SEGMENT_SHIFT | offset
 
     def get(self, index: int) -> FinishedItem:
         """Return the result of an item that has one."""
-        place = self._places[index]
-        segment = self._segments[place >> _SEGMENT_SHIFT]
-        offset = place & _OFFSET_MASK
+        location = self._locations[index]
+        segment = self._segments[location >> _SEGMENT_SHIFT]
+        offset = location & _OFFSET_MASK
         _, size = _HEADER.unpack_from(segment, offset)
         start = offset + _HEADER.size
         return decode_body(FinishedItem, bytes(segment[start : start + size]))
@@ -84,5 +84,5 @@
         offset = 0
         while offset < len(segment):
             index, size = _HEADER.unpack_from(segment, offset)
-            self._set_place(index, len(self._segments) - 1, offset)
+            self._set_location(index, len(self._segments) - 1, offset)
             offset += _HEADER.size + size
--- a/src/rainsail/storage/group_storage.py
+++ b/src/rainsail/storage/group_storage.py
@@ -105,16 +105,16 @@
         state = self.hard_state
         return LogPosition(last, self._index.term_at(last) or 0, state.term, state.voted_for)
 
-    def batch_begins(self) -> None:
+    def batch_started(self) -> None:
         """Note what the batch being written covers."""
         self._batch_index = self._index.last_index
 
-    def record_placed(self, record: PendingRecord, sequence: int, offset: int) -> None:
+    def set_record_location(self, record: PendingRecord, sequence: int, offset: int) -> None:
         """Note where an entry lies on the disk."""
         if record.kind == RecordKind.ENTRY:
-            self._index.place(sequence, offset)
+            self._index.set_location(sequence, offset)
         elif record.kind == RecordKind.TRUNCATION:
-            self._index.forget_places(record.index)
+            self._index.drop_locations(record.index)
 
     def batch_durable(self) -> None:
         """Let the cache go of entries that can be read back."""
@@ -145,7 +145,7 @@
         if first < cache_first:
             reader = EntryReader(self._files, self._folder, self._group)
             for index in range(first, min(last, cache_first - 1) + 1):
-                yield reader.read(index, *self._index.place_of(index))
+                yield reader.read(index, *self._index.location_of(index))
         yield from self._index.cached(max(first, cache_first), last)
 
     # --- snapshots -----------------------------------------------------------------------
@@ -168,9 +168,9 @@
         return self._snapshot_lock.run(self._finish_snapshot, written.ok)
 
     def _finish_snapshot(self, written: TemporarySnapshot) -> "Deferred[SyncResult]":
-        return Deferred.fromCoroutine(self._publish(written)).addCallback(self._note_failure)
+        return Deferred.fromCoroutine(self._publish(written)).addCallback(self._record_failure)
 
-    def _note_failure(self, result: SyncResult) -> SyncResult:
+    def _record_failure(self, result: SyncResult) -> SyncResult:
         if result.is_error():
             self._queue.fail(result.error)
         return result
@@ -178,7 +178,7 @@
     async def _publish(self, written: TemporarySnapshot) -> SyncResult:
         current = self.snapshot_meta
         if current is not None and current.last_index >= written.meta.last_index:
-            self._snapshots.drop(written)
+            self._snapshots.discard(written)
             return Ok(None)
         published = await self._snapshots.publish(written)
         if published.is_error():
@@ -186,13 +186,13 @@
         flushed = await self._queue.sync()
         if flushed.is_error():
             return flushed
-        self._adopt_snapshot(written.meta)
+        self._install_snapshot(written.meta)
         reset = await self._queue.sync()
         if reset.is_error():
             return reset
         return await self._remove_old_files()
 
-    def _adopt_snapshot(self, meta: SnapshotMeta) -> None:
+    def _install_snapshot(self, meta: SnapshotMeta) -> None:
         self.snapshot_meta = meta
         if self._index.term_at(meta.last_index) == meta.last_term:
             self._index.retain_after(meta.last_index, self._settings.retained_entries)
@@ -215,7 +215,7 @@
             return Error(storage_fault("compact", self._folder, str(error)))
         return await self._files.sync_folder(self._folder)
 
-    async def tidy(self, needs_reset: bool) -> SyncResult:
+    async def clean_up(self, needs_reset: bool) -> SyncResult:
         """Finish or remove what a crash left half done; called once, while opening."""
         if needs_reset and self.snapshot_meta is not None:
             self._queue_reset(self.snapshot_meta)
@@ -224,7 +224,7 @@
                 return reset
         try:
             self._snapshots.remove_temporary()
-            self._log.remove_strays()
+            self._log.remove_stale_segments()
         except OSError as error:
             return Error(storage_fault("open", self._folder, str(error)))
         if self.snapshot_meta is None:
@@ -279,7 +279,7 @@
     if adopted.is_error():
         return Error(adopted.error)
     storage = DurableGroupStorage(files, group, settings, log, found)
-    cleaned = await storage.tidy(found.log.needs_reset)
+    cleaned = await storage.clean_up(found.log.needs_reset)
     if cleaned.is_error():
         return Error(cleaned.error)
     return Ok(storage)
--- a/src/rainsail/storage/identity.py
+++ b/src/rainsail/storage/identity.py
@@ -78,7 +78,7 @@
         if any(name.startswith(GROUP_PREFIX) for name in files.list("")):
             return Error(_fault("the folder holds groups but no identity"))
         return await _create(
-            files, DataFolderRecord(fleet, replica, _draw_identity(random), schemas)
+            files, DataFolderRecord(fleet, replica, _generate_identity(random), schemas)
         )
     except OSError as error:
         return Error(_fault(str(error)))
@@ -125,7 +125,7 @@
     return Ok(ReplicaIdentity(fleet, replica, found.identity, is_new=False))
 
 
-def _draw_identity(random: random.Random) -> str:
+def _generate_identity(random: random.Random) -> str:
     return f"{random.getrandbits(_IDENTITY_BITS):032x}"
 
 
--- a/src/rainsail/storage/inspection.py
+++ b/src/rainsail/storage/inspection.py
@@ -10,7 +10,7 @@
 from rainsail.storage.segment_scan import (
     ScannedSegment,
     list_segments,
-    newest_run,
+    newest_contiguous,
     scan_segment,
     segment_path,
 )
@@ -128,7 +128,7 @@
 
 
 def _segment_reports(files: FileSystem, folder: str, group: int) -> list[FileReport]:
-    sequences = newest_run(list_segments(files, folder))
+    sequences = newest_contiguous(list_segments(files, folder))
     return [
         _segment_report(files, folder, group, sequence, sequence == sequences[-1])
         for sequence in sequences
--- a/src/rainsail/storage/log_index.py
+++ b/src/rainsail/storage/log_index.py
@@ -30,8 +30,8 @@
         self._run_terms: list[int] = []
         self._cache: list[LogEntry] = []
         self._cached_bytes = 0
-        self._places_start = base_index + 1
-        self._places: array[int] = array("Q")
+        self._locations_start = base_index + 1
+        self._locations: array[int] = array("Q")
 
     def reset(self, index: int, term: int) -> None:
         """Drop every entry; the next one follows ``index``."""
@@ -48,17 +48,17 @@
         self._cached_bytes += len(entry.payload)
         self.last_index = entry.index
 
-    def place(self, segment: int, offset: int) -> None:
+    def set_location(self, segment: int, offset: int) -> None:
         """Note where the next entry without a place was written."""
-        self._places.append(segment << _OFFSET_BITS | offset)
+        self._locations.append(segment << _OFFSET_BITS | offset)
 
-    def place_of(self, index: int) -> tuple[int, int]:
+    def location_of(self, index: int) -> tuple[int, int]:
         """Return the segment and the offset of a written entry."""
-        packed = self._places[index - self._places_start]
+        packed = self._locations[index - self._locations_start]
         return packed >> _OFFSET_BITS, packed & _OFFSET_MASK
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on; their places stay until ``forget_places``."""
+        """Drop the entries from ``index`` on; their places stay until ``drop_locations``."""
         while self._run_starts and self._run_starts[-1] >= index:
             self._run_starts.pop()
             self._run_terms.pop()
@@ -67,9 +67,9 @@
         del self._cache[keep:]
         self.last_index = min(self.last_index, max(index - 1, self.base_index))
 
-    def forget_places(self, index: int) -> None:
+    def drop_locations(self, index: int) -> None:
         """Drop the places from ``index`` on, when the truncation is written."""
-        del self._places[max(0, index - self._places_start) :]
+        del self._locations[max(0, index - self._locations_start) :]
 
     def retain_after(self, snapshot_index: int, retained_entries: int) -> None:
         """Drop the entries up to a snapshot's last one, except for the newest of them."""
@@ -84,8 +84,8 @@
             self._run_starts[0] = max(self._run_starts[0], index + 1)
         cached = max(0, index + 1 - self.cache_first)
         self._evict(cached)
-        del self._places[: max(0, index + 1 - self._places_start)]
-        self._places_start = max(self._places_start, index + 1)
+        del self._locations[: max(0, index + 1 - self._locations_start)]
+        self._locations_start = max(self._locations_start, index + 1)
         self.base_index = index
         if index == self.last_index:
             self._run_starts.clear()
--- a/src/rainsail/storage/log_replay.py
+++ b/src/rainsail/storage/log_replay.py
@@ -60,7 +60,7 @@
             entry: LogEntry = decode_body(LogEntry, record.body)
             self.index.append(entry)
             self.highest_indexes[-1] = max(self.highest_indexes[-1], entry.index)
-            self.index.place(sequence, record.offset)
+            self.index.set_location(sequence, record.offset)
             self.index.shrink(entry.index)
         elif record.kind == RecordKind.HARD_STATE:
             self.hard_state = decode_body(HardState, record.body)
@@ -79,9 +79,9 @@
             self.index.reset(first_removed - 1, truncation.last_term)
             return
         self.index.truncate_from(first_removed)
-        self.index.forget_places(first_removed)
+        self.index.drop_locations(first_removed)
 
-    def fit_snapshot(self, meta: SnapshotMeta | None, retained_entries: int) -> bool:
+    def align_to_snapshot(self, meta: SnapshotMeta | None, retained_entries: int) -> bool:
         """Fit the log to the newest snapshot; False when entries between them are missing.
 
         A log that does not hold the snapshot's last entry with the same term is replaced by the
--- a/src/rainsail/storage/recovery.py
+++ b/src/rainsail/storage/recovery.py
@@ -46,7 +46,7 @@
     if replayed.is_error():
         return Error(replayed.error)
     written = replayed.ok.position()
-    if not replayed.ok.fit_snapshot(snapshot.ok, settings.retained_entries):
+    if not replayed.ok.align_to_snapshot(snapshot.ok, settings.retained_entries):
         return Error(_gap_fault(replayed.ok, scanned.ok, snapshot.ok, folder))
     return Ok(RecoveredGroup(scanned.ok, written, replayed.ok, snapshot.ok))
 
--- a/src/rainsail/storage/segment_log.py
+++ b/src/rainsail/storage/segment_log.py
@@ -79,18 +79,18 @@
         self,
         batch: list[PendingRecord],
         position: LogPosition,
-        placed: Callable[[PendingRecord, int, int], None],
+        set_location: Callable[[PendingRecord, int, int], None],
     ) -> Result[None, Fault]:
         """Write a batch and sync it; ``position`` is where the log stood before the batch.
 
-        ``placed(record, sequence, offset)`` is called for each record before the batch's sync.
+        ``set_location(record, sequence, offset)`` is called for each record before the batch's sync.
         """
         if self._file is None or self._written_bytes >= self._segment_bytes:
             begun = await self._begin_segment(position)
             if begun.is_error():
                 return begun
         try:
-            self._append_batch(batch, placed)
+            self._append_batch(batch, set_location)
         except OSError as error:
             return Error(self._write_fault(error))
         return await self._make_durable()
@@ -132,7 +132,7 @@
         self._written_bytes = len(record)
 
     def _append_batch(
-        self, batch: list[PendingRecord], placed: Callable[[PendingRecord, int, int], None]
+        self, batch: list[PendingRecord], set_location: Callable[[PendingRecord, int, int], None]
     ) -> None:
         assert self._file is not None
         segment = self._segments[-1]
@@ -140,7 +140,7 @@
         offset = self._written_bytes
         frames = []
         for record in batch:
-            placed(record, segment.sequence, offset)
+            set_location(record, segment.sequence, offset)
             segment.highest_index = max(segment.highest_index, record.index)
             frames.append(encode_record(self._group, record.kind, record.body, durable))
             offset += record_bytes(len(record.body))
@@ -168,11 +168,11 @@
         try:
             self._file.append(mark)
         except OSError:
-            return self._take_back_mark()
+            return self._truncate_mark()
         self._written_bytes = size
         return Ok(None)
 
-    def _take_back_mark(self) -> Result[None, Fault]:
+    def _truncate_mark(self) -> Result[None, Fault]:
         """Cut off a mark that did not fit on the disk; the log can do without it."""
         assert self._file is not None
         try:
@@ -190,7 +190,7 @@
             self._files.remove(self._segments[0].path)
             del self._segments[0]
 
-    def remove_strays(self) -> None:
+    def remove_stale_segments(self) -> None:
         """Remove segments from before a gap; raises ``OSError``. Only while opening."""
         for sequence in list_segments(self._files, self._folder):
             if self._segments and sequence < self._segments[0].sequence:
--- a/src/rainsail/storage/segment_scan.py
+++ b/src/rainsail/storage/segment_scan.py
@@ -41,7 +41,7 @@
     return sorted(int(stem) for stem in stems if stem.isascii() and stem.isdigit())
 
 
-def newest_run(sequences: list[int]) -> list[int]:
+def newest_contiguous(sequences: list[int]) -> list[int]:
     """Return the newest segments that follow each other without a gap."""
     start = len(sequences) - 1
     while start > 0 and sequences[start - 1] == sequences[start] - 1:
@@ -62,7 +62,7 @@
     except OSError as error:
         return Error(storage_fault("open", path, str(error)))
     scanned = scan(data, group)
-    damage = _real_damage(data, scanned, group, is_last)
+    damage = _fatal_damage(data, scanned, group, is_last)
     if damage is not None:
         return Error(storage_fault("open", path, damage.reason, damage.offset))
     if not scanned.records:
@@ -80,7 +80,7 @@
     A crash during compaction may bring back some of the segments that were being removed; they
     lie before a gap. Whether the run reaches back far enough is for the replay to tell.
     """
-    sequences = newest_run(list_segments(files, folder))
+    sequences = newest_contiguous(list_segments(files, folder))
     found: list[ScannedSegment] = []
     for sequence in sequences:
         segment = scan_segment(files, folder, group, sequence, sequence == sequences[-1])
@@ -91,7 +91,7 @@
     return Ok(found)
 
 
-def _real_damage(data: bytes, scanned: Scan, group: int, is_last: bool) -> Damage | None:
+def _fatal_damage(data: bytes, scanned: Scan, group: int, is_last: bool) -> Damage | None:
     if scanned.damage is None:
         return None
     if not is_last or not is_torn_tail(data, scanned.damage, group):
--- a/src/rainsail/storage/snapshot_store.py
+++ b/src/rainsail/storage/snapshot_store.py
@@ -141,7 +141,7 @@
             self._write(file, meta, chunks)
         except OSError as error:
             fault = storage_fault("snapshot", path, str(error), file.size())
-            self._drop(file, path)
+            self._discard(file, path)
             return Error(fault)
         return Ok(TemporarySnapshot(meta, path, file))
 
@@ -160,7 +160,7 @@
     def _append(self, file: File, kind: RecordKind, body: bytes) -> None:
         file.append(encode_record(self._group, kind, body))
 
-    def _drop(self, file: File, path: str) -> None:
+    def _discard(self, file: File, path: str) -> None:
         file.close()
         self._files.remove(path)
 
@@ -177,9 +177,9 @@
             return Error(storage_fault("snapshot", target, str(error)))
         return await self._files.sync_folder(self._folder)
 
-    def drop(self, temporary: TemporarySnapshot) -> None:
+    def discard(self, temporary: TemporarySnapshot) -> None:
         """Throw a temporary snapshot away; raises ``OSError``."""
-        self._drop(temporary.file, temporary.path)
+        self._discard(temporary.file, temporary.path)
 
     def remove_older(self, last_index: int) -> None:
         """Remove snapshots older than one; raises ``OSError``."""
--- a/src/rainsail/storage/write_queue.py
+++ b/src/rainsail/storage/write_queue.py
@@ -24,11 +24,11 @@
         """Return where the log stands with everything queued so far."""
         ...
 
-    def batch_begins(self) -> None:
+    def batch_started(self) -> None:
         """Everything queued so far is being written."""
         ...
 
-    def record_placed(self, record: PendingRecord, sequence: int, offset: int) -> None:
+    def set_record_location(self, record: PendingRecord, sequence: int, offset: int) -> None:
         """A record was put at an offset of a segment."""
         ...
 
@@ -49,7 +49,7 @@
         self._written = written
         self._pending: list[PendingRecord] = []
         self._waiters: list[Deferred[SyncResult]] = []
-        self._under_way: list[Deferred[SyncResult]] | None = None
+        self._in_flight: list[Deferred[SyncResult]] | None = None
         self._is_writing = False
         self.fault: Fault | None = None
 
@@ -73,8 +73,8 @@
         waiter: Deferred[SyncResult] = Deferred()
         if self._pending:
             self._waiters.append(waiter)
-        elif self._under_way is not None:
-            self._under_way.append(waiter)
+        elif self._in_flight is not None:
+            self._in_flight.append(waiter)
         else:
             return succeed(Ok(None))
         if not self._is_writing:
@@ -85,9 +85,9 @@
         self._is_writing = True
         while self._waiters:
             waiters, self._waiters = self._waiters, []
-            self._under_way = waiters
+            self._in_flight = waiters
             result = await self._write_batch()
-            self._under_way = None
+            self._in_flight = None
             if result.is_error():
                 self.fail(result.error)
                 waiters += self._waiters
@@ -102,8 +102,8 @@
         batch, self._pending = self._pending, []
         before = self._written
         self._written = self._observer.position()
-        self._observer.batch_begins()
-        result = await self._log.write(batch, before, self._observer.record_placed)
+        self._observer.batch_started()
+        result = await self._log.write(batch, before, self._observer.set_record_location)
         if result.is_error():
             return result
         self._observer.batch_durable()
