--- a/features/state/claims_and_sessions.feature
+++ b/features/state/claims_and_sessions.feature
@@ -3,11 +3,11 @@
   Scenario: A request is granted to one claimer only
     Given a claim store of the replicated state
     When gateways alpha and beta claim the same request of the replicated state
-    Then the replicated state granted it to alpha and told beta that its end is unknown
+    Then the replicated state granted it to alpha and answered beta that its outcome is unknown
     And the replicated state grants it to alpha again when the claim is sent again
     When alpha finishes the claimed request of the replicated state with "pong"
     Then the replicated state tells beta that it completed with "pong"
-    And it is so after the claims of the replicated state are restored
+    And the answer is the same after the claims of the replicated state are restored
     And the replicated state grants it to nobody any more
 
   Scenario: A request that was not run may be claimed again
@@ -24,16 +24,16 @@
     And gateway beta claims it from the replicated state with other content
     Then the replicated state answers the claim with fault "conflict"
 
-  Scenario: Claims are forgotten only beyond their window
+  Scenario: Claims are evicted only beyond their window
     Given a claim store of the replicated state that keeps 2 finished claims
     When 3 requests are claimed and finished in the replicated state
-    Then the replicated state still knows the last 2 requests and has forgotten the first
+    Then the replicated state still knows the last 2 requests and has evicted the first
 
   Scenario: Two gateways that attach a session at one fence
     Given a session declared to the replicated state
     When gateways alpha and beta attach the session of the replicated state at one fence
-    Then alpha holds the session of the replicated state and beta got a conflict
-    And the session's resource in the replicated state shows where it lives
+    Then alpha got the session of the replicated state and beta a conflict
+    And the session's resource in the replicated state names its gateway and runner
     And alpha's attachment sent again to the replicated state gets the same answer
 
   Scenario: A turn is appended once, in order, and only under the current fence
@@ -46,7 +46,7 @@
     Then the replicated state answers the turn with fault "fenced"
     And the session of the replicated state has 2 turns
 
-  Scenario: A session that was deleted and declared again begins above its old fences
+  Scenario: A session that was deleted and declared again starts above its old fences
     Given a session declared to the replicated state
     When gateways alpha and beta attach the session of the replicated state at one fence
     And the session of the replicated state is deleted and declared again
--- a/features/state/determinism.feature
+++ b/features/state/determinism.feature
@@ -1,9 +1,9 @@
-Feature: The replicated state is a function of the commands
+Feature: The replicated state is a deterministic function of the commands
 
-  Scenario: A restore at any point changes nothing that follows
+  Scenario: A restore at any point does not affect later commands
     Then random commands on a replicated state give the same answers and the same snapshot, restored or not
 
-  Scenario: A snapshot is of the moment of the call, whatever is applied while it is encoded
+  Scenario: A snapshot captures the state at the call, whatever is applied while it is encoded
     Then random commands between the chunks of a replicated state's snapshot don't show in it
 
   Scenario: Snapshots don't depend on the process's hash seed
--- a/features/state/ledger.feature
+++ b/features/state/ledger.feature
@@ -1,5 +1,5 @@
 Feature: The batch ledger
-  Accepted jobs complete exactly once; operators' cancels win over later results.
+  Accepted jobs complete exactly once. A cancel by an operator takes precedence over later results.
 
   Scenario: A job sent twice is one job, and other content under its key is a conflict
     Given a ledger with accepted job nightly of 3 items
@@ -8,7 +8,7 @@
     When the ledger gets job key nightly with other content
     Then the ledger answers with fault "conflict"
 
-  Scenario: A job is accepted only when every item is there
+  Scenario: A job is accepted only when it has all of its items
     Given a ledger with job nightly opened for 5 items
     When the ledger gets items 0 to 2 of job nightly
     And job nightly of the ledger is sealed
@@ -50,7 +50,7 @@
     And the ledger's result of item 0 is "right"
     And job nightly of the ledger is completed
 
-  Scenario: A cancel wins over later results and keeps earlier ones
+  Scenario: A cancel rejects later results and keeps earlier ones
     Given a ledger with accepted job nightly of 3 items
     When holder alpha leases 2 items of the ledger
     And holder alpha commits its result "early" to the ledger
@@ -72,7 +72,7 @@
     When holder alpha finishes every item of the ledger
     Then job nightly of the ledger is completed
 
-  Scenario: Preemption and revocation cost no attempt and keep what was generated
+  Scenario: Preemption and revocation use up no attempt and keep the generated text
     Given a ledger with accepted job nightly of 1 items and 1 attempts
     When holder alpha preempts item 0 of the ledger 5 times, having generated "The ship"
     And the ledger is restored from its snapshot
@@ -84,25 +84,25 @@
     Then each tenant of the ledger has 10 of them
     And the ledger leased only from the job with the earliest deadline
 
-  Scenario: A heavier tenant gets its share
+  Scenario: Tenants share in proportion to their weights
     Given a ledger in which tenant north weighs 3 and tenant south 1
     When holder alpha leases 40 items of the ledger
     Then the ledger leased 30 items of north and 10 of south
 
-  Scenario: A tenant that was idle saves nothing up
+  Scenario: An idle tenant builds up no credit
     Given a ledger in which only north had work for 20 items
     When tenant south brings 20 items to the ledger
     And holder alpha leases 10 items of the ledger
     Then each tenant of the ledger has 5 of them
 
-  Scenario: A lease keeps to its bound of tokens but always hands out one item
+  Scenario: A lease respects its token limit but contains at least one item
     Given a ledger with accepted job nightly of 9 items
     When holder alpha asks the ledger for items of at most 45 tokens
     Then the ledger leased 2 items
     When holder alpha asks the ledger for items of at most 1 tokens
     Then the ledger leased 1 items
 
-  Scenario: Results are read page by page and forgotten with their job
+  Scenario: Results are read page by page and deleted with their job
     Given a ledger with accepted job nightly of 9 items
     When holder alpha finishes every item of the ledger
     Then the ledger's results from item 3, two at a time, are items 3 and 4
@@ -110,15 +110,15 @@
     Then the ledger has no results of job nightly
     And the ledger takes a new job under the key nightly
 
-  Scenario: An accepted job is not forgotten
+  Scenario: An accepted, unfinished job is not deleted
     Given a ledger with accepted job nightly of 9 items
     When job nightly of the ledger is forgotten
     Then the ledger answers with fault "conflict"
 
-  Scenario: A job that is no job is refused
+  Scenario: An invalid job is refused
     Given an empty ledger
-    Then the ledger refuses jobs without end, without sense or beyond its limits
+    Then the ledger refuses jobs with an invalid deadline, key, item count or attempts
 
-  Scenario: Any order of commands leaves each accepted item with one end
+  Scenario: In any order of commands each accepted item finishes once
     Given an empty ledger
-    Then under random commands, re-sent ones and restores the ledger agrees with a plain model
+    Then under random commands, re-sent ones and restores the ledger agrees with a reference model
--- a/features/state/resources.feature
+++ b/features/state/resources.feature
@@ -20,17 +20,17 @@
     When a replicated state gets another change under the same change id
     Then the replicated state answers "conflict"
 
-  Scenario: Answers are forgotten only beyond the change window
+  Scenario: Answers are evicted only beyond the change window
     Given a replicated state that keeps 3 answered changes
     When 4 different changes are applied to the replicated state
     Then the last 3 changes get their first answers from the replicated state
     And the first change counts as new to the replicated state
 
-  Scenario: A watch behind the event window is told to list again
+  Scenario: A watch behind the event window has to list again
     Given a replicated state that keeps 3 events
     When 5 different changes are applied to the replicated state
     Then the replicated state has events since revision 2 but not since revision 1
-    And it is so after a restore of the replicated state
+    And the event window is the same after a restore of the replicated state
 
   Scenario: The revision in force never falls and never runs ahead
     Given a replicated state with tenant north at weight 1
--- a/features/steps/state_claims_steps.py
+++ b/features/steps/state_claims_steps.py
@@ -36,11 +36,11 @@
     context.answers = [claim(context, "alpha"), claim(context, "beta")]
 
 
-@then("the replicated state granted it to alpha and told beta that its end is unknown")
+@then("the replicated state granted it to alpha and answered beta that its outcome is unknown")
 def step_one_granted(context):
-    granted, told = context.answers
+    granted, refused = context.answers
     assert granted.granted, granted
-    assert told == ClaimResult(False, "alpha", Outcome.UNKNOWN), told
+    assert refused == ClaimResult(False, "alpha", Outcome.UNKNOWN), refused
 
 
 @then("the replicated state grants it to alpha again when the claim is sent again")
@@ -59,7 +59,7 @@
     assert claim(context, "beta") == context.expected
 
 
-@then("it is so after the claims of the replicated state are restored")
+@then("the answer is the same after the claims of the replicated state are restored")
 def step_restored(context):
     context.driver.restart()
     assert claim(context, "beta") == context.expected
@@ -99,7 +99,7 @@
         finish(context, "alpha", Outcome.COMPLETED, "pong", f"ping-{number}")
 
 
-@then("the replicated state still knows the last 2 requests and has forgotten the first")
+@then("the replicated state still knows the last 2 requests and has evicted the first")
 def step_window(context):
     granted = [claim(context, "beta", f"ping-{number}").granted for number in range(3)]
     assert granted == [True, False, False], granted
--- a/features/steps/state_ledger_steps.py
+++ b/features/steps/state_ledger_steps.py
@@ -27,7 +27,7 @@
 
 
 def new_ledger(context):
-    """Begin with an empty state."""
+    """Create an empty state."""
     context.driver = Driver()
     context.requests = 0
     context.leased = {}
@@ -306,7 +306,7 @@
     assert context.driver.accept("new-id", 1, job_key=key).pending == 1
 
 
-@then("the ledger refuses jobs without end, without sense or beyond its limits")
+@then("the ledger refuses jobs with an invalid deadline, key, item count or attempts")
 def step_refusals(context):
     wrong = [
         ({"deadline_unix_s": nan}, "invalid"),
@@ -323,6 +323,6 @@
     assert context.driver.state.jobs() == []
 
 
-@then("under random commands, re-sent ones and restores the ledger agrees with a plain model")
+@then("under random commands, re-sent ones and restores the ledger agrees with a reference model")
 def step_random(context):
     check_random_commands()
--- a/features/steps/state_resources_steps.py
+++ b/features/steps/state_resources_steps.py
@@ -121,7 +121,7 @@
     assert state.events_since(lost, 100) is None
 
 
-@then("it is so after a restore of the replicated state")
+@then("the event window is the same after a restore of the replicated state")
 def step_events_restored(context):
     context.driver.restart(context.settings)
     check_events(context.driver.state, context.kept, context.lost)
--- a/features/steps/state_sessions_steps.py
+++ b/features/steps/state_sessions_steps.py
@@ -39,7 +39,7 @@
     context.alpha_fence = fence(context)
 
 
-@then("alpha holds the session of the replicated state and beta got a conflict")
+@then("alpha got the session of the replicated state and beta a conflict")
 def step_one_holds(context):
     held, refused = context.answers
     assert held == SessionView("chat", "alpha", "engine-alpha", 1, ()), held
@@ -47,7 +47,7 @@
     assert (refused.code, refused.current_revision) == (FaultCode.CONFLICT, 1), refused
 
 
-@then("the session's resource in the replicated state shows where it lives")
+@then("the session's resource in the replicated state names its gateway and runner")
 def step_shown(context):
     status = context.driver.state.get(KEY).status
     assert status == SessionStatus("engine-alpha", "alpha", 1, 0), status
--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -1,4 +1,4 @@
-"""Random commands against the ledger and against a plain model of what it promises."""
+"""Random commands on the ledger, checked against a reference model of its guarantees."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -32,7 +32,7 @@
 
 @dataclass
 class ItemModel:
-    """What must be true of one item."""
+    """Expected state of one item."""
 
     end: ItemPhase | None = None
     text: str = ""
@@ -43,13 +43,13 @@
 
 @dataclass
 class LedgerModel:
-    """Every item of every job, and which jobs were accepted or cancelled."""
+    """Expected state of all items, and the cancelled jobs."""
 
     items: dict[tuple[str, int], ItemModel] = field(default_factory=dict)
     cancelled: list[str] = field(default_factory=list)
 
     def leased(self, holder: str, ref: ItemRef) -> None:
-        """Check and note a new lease."""
+        """Check and record a new lease."""
         item = self.items[ref.job_id, ref.index]
         assert item.end is None, f"{ref} was leased after its end"
         assert item.lease is None, f"{ref} was leased twice"
@@ -58,7 +58,7 @@
         item.last_fence = ref.fence
 
     def committed(self, holder: str, result: ItemResult, verdict: CommitVerdict) -> None:
-        """Check the verdict on a result and note its effect."""
+        """Check the verdict on a result and record its effect."""
         ref = result.ref
         item = self.items[ref.job_id, ref.index]
         if item.lease == (holder, ref.fence):
@@ -73,7 +73,7 @@
         assert verdict is expected, (ref, verdict, expected)
 
     def returned(self, holder: str, returned: ReturnedItem) -> None:
-        """Note an item given back."""
+        """Record the return of an item."""
         item = self.items[returned.ref.job_id, returned.ref.index]
         if item.lease != (holder, returned.ref.fence):
             return
@@ -83,13 +83,13 @@
             self._end(item, ItemPhase.SET_ASIDE, "")
 
     def revoked(self, holder: str) -> None:
-        """Note that a holder lost its leases."""
+        """Record that a holder lost its leases."""
         for item in self.items.values():
             if item.lease is not None and item.lease[0] == holder:
                 item.lease = None
 
     def cancel(self, job_id: str) -> None:
-        """Note a cancel of an accepted job that has not completed."""
+        """Record a cancel of an accepted job that has not completed."""
         own = [item for (job, _), item in self.items.items() if job == job_id]
         if all(item.end is not None for item in own):
             return
@@ -118,7 +118,7 @@
         self.jobs: list[str] = []
 
     def step(self) -> None:
-        """Do one random thing."""
+        """Run one random action and check the ledger."""
         actions = [
             *[self.accept] * 2,
             *[self.lease] * 5,
@@ -134,7 +134,7 @@
         self.check()
 
     def accept(self) -> None:
-        """Accept a job; sometimes one that is there already."""
+        """Accept a job; sometimes one that exists already."""
         job_id = f"job-{self.random.randrange(4)}"
         count = 1 + int(job_id[-1]) * 2
         spec = job_spec(job_id, count, tenant=f"tenant-{count % 2}", max_attempts=MAX_ATTEMPTS)
@@ -157,7 +157,7 @@
             self.refs.append((holder, item.ref))
 
     def lease_again(self) -> None:
-        """Send a lease request again: it leases nothing new."""
+        """Re-send a lease request, which must lease nothing new."""
         if not self.leases:
             return
         command = self.random.choice(self.leases)
@@ -167,7 +167,7 @@
             assert held == (command.holder, item.ref.fence), item
 
     def commit(self) -> None:
-        """Commit a result under a lease of now or of long ago, sometimes of another holder."""
+        """Commit a result twice under a current or an old lease, sometimes as another holder."""
         if not self.refs:
             return
         holder, ref = self.random.choice(self.refs[-8:])
@@ -203,14 +203,14 @@
         self.model.cancel(job_id)
 
     def resend(self) -> None:
-        """Send an old command again whose effect must not be had twice."""
+        """Re-send an old command, which must take effect only once."""
         once = (OpenJob, AddItems, SealJob, CancelJob)
         sent: list[Command] = [each for each in self.driver.commands if isinstance(each, once)]
         if sent:
             self.driver.apply(self.random.choice(sent))
 
     def check(self) -> None:
-        """Compare what the ledger shows with the model."""
+        """Compare the ledger with the model."""
         for job_id in self.jobs:
             self._check_job(job_id)
         holders = {item.lease[0]: None for item in self.model.items.values() if item.lease}
--- a/features/support/random_commands.py
+++ b/features/support/random_commands.py
@@ -1,4 +1,4 @@
-"""Random commands of every type, from a seed; many of them contradict or repeat each other."""
+"""Random commands of all types from a seed; many of them conflict with or repeat earlier ones."""
 
 import sys
 from random import Random
@@ -58,7 +58,7 @@
 
 
 class CommandSource:
-    """Draws commands; the same seed draws the same ones."""
+    """Generates commands; equal seeds give equal commands."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -66,7 +66,7 @@
         self._planned: list[Command] = []
 
     def observe(self, command: Command, outcome: CommandOutcome) -> None:
-        """Take note of what was leased, so that later commands can speak of it."""
+        """Record the leased items, so that later commands can refer to them."""
         if isinstance(command, LeaseItems) and isinstance(outcome, ItemsLeased):
             self._leased += [(command.holder, item.ref) for item in outcome.items]
 
--- a/features/support/state.py
+++ b/features/support/state.py
@@ -1,4 +1,4 @@
-"""Short forms for driving a replicated state in steps."""
+"""Helpers that apply commands to a replicated state in steps."""
 
 from dataclasses import dataclass, field
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class Driver:
-    """A state, the log index of the next command and every command so far."""
+    """A replicated state and all commands applied to it; their number is the log index."""
 
     state: ReplicatedState = field(default_factory=ReplicatedState)
     commands: list[Command] = field(default_factory=list)
@@ -95,6 +95,6 @@
 
 
 def put_tenant(change_id: str, weight: float, expected: int = ANY_REVISION) -> PutResource:
-    """Return a change of the tenant ``north``, told apart by its weight."""
+    """Return a change of the tenant ``north`` to a weight."""
     key = ResourceKey(Kind.TENANT, "north")
     return PutResource(change_id, key, TenantSpec(100.0, 200.0, weight), expected)
--- a/src/rainsail/state/change_window.py
+++ b/src/rainsail/state/change_window.py
@@ -1,4 +1,4 @@
-"""First answers of changes by change id, so that a re-sent change gets its first answer again."""
+"""Answers to recent changes by change id, which make changes idempotent."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -23,7 +23,7 @@
 @wire_record("AnsweredChange")
 @dataclass(frozen=True, slots=True)
 class AnsweredChange:
-    """A change id, the fingerprint of its command and the answer it got first."""
+    """A change id, the fingerprint of its command and the first answer to it."""
 
     change_id: str
     fingerprint: int
@@ -36,16 +36,16 @@
 
 
 class ChangeWindow:
-    """The last ``capacity`` answered changes, in the order in which they were answered."""
+    """The latest ``capacity`` answered changes, in the order of their answers."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
         self._answered: OrderedDict[str, AnsweredChange] = OrderedDict()
 
     def first_answer(self, command: IdentifiedChange) -> CommandOutcome | None:
-        """Return the first answer to this change, or None when it is new.
+        """Return the first answer to this change, or None when the change is new.
 
-        A change id that was used for another change is answered with a conflict.
+        Returns a conflict when the change id was used for a different command.
         """
         known = self._answered.get(command.change_id)
         if known is None:
@@ -55,7 +55,7 @@
         return known.outcome
 
     def remember(self, command: IdentifiedChange, outcome: CommandOutcome) -> None:
-        """Keep the first answer of a change; the oldest one falls out of the window."""
+        """Store the first answer to a change and evict the oldest one beyond the window."""
         if not command.change_id:
             return
         self._add(AnsweredChange(command.change_id, fingerprint(command), outcome))
@@ -70,5 +70,5 @@
         yield from self._answered.values()
 
     def restore(self, change: AnsweredChange) -> None:
-        """Take one record of a snapshot."""
+        """Restore one record of a snapshot."""
         self._add(change)
--- a/src/rainsail/state/claims.py
+++ b/src/rainsail/state/claims.py
@@ -1,8 +1,10 @@
-"""Claims on non-repeatable requests: one gateway may send each, and how it ended is kept.
+"""Claims on non-repeatable requests: only one gateway may send each request.
 
-The ``gateway`` of a claim must name one attempt to claim (for instance gateway incarnation and a
-counter): a claim re-sent under the same name is granted again, since it may be the same command
-after a lost answer. Retention is by count: at-most-once holds within the stated windows.
+The outcome of a claimed request is stored, so that repeated requests get it as their answer. The
+``gateway`` of a claim must name a single attempt to claim (for instance gateway incarnation and a
+counter): a claim that is re-sent under the same name is granted again, because it may be the same
+command after a lost answer. Retention is by count: at-most-once execution holds only for claims
+within the windows of the settings.
 """
 
 from collections import OrderedDict
@@ -19,7 +21,7 @@
 @wire_record("Claim")
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One claimed request; ``finished`` tells whether its end was recorded."""
+    """One claimed request; ``finished`` is set once its outcome is recorded."""
 
     tenant: str
     request_id: str
@@ -34,7 +36,7 @@
 
 
 class ClaimStore:
-    """Unfinished claims in order of claiming, finished ones in order of finishing."""
+    """Bounded windows of unfinished claims, by claim order, and finished ones, by finish order."""
 
     def __init__(self, settings: StateSettings) -> None:
         self._settings = settings
@@ -42,7 +44,7 @@
         self._finished: OrderedDict[ClaimKey, Claim] = OrderedDict()
 
     def claim(self, command: ClaimRequest) -> ClaimResult | Fault:
-        """Grant the request to its first claimer; tell others what is known of it."""
+        """Grant the request to its first claimer; return its known outcome to others."""
         if not command.request_id:
             return invalid("claim_request", "a claim needs a request id")
         key = (command.tenant, command.request_id)
@@ -56,7 +58,7 @@
         return ClaimResult(granted, known.gateway, known.outcome, known.response)
 
     def finish(self, command: FinishRequest) -> Done | Fault:
-        """Record how a claimed request ended; NOT_RUN releases the claim."""
+        """Record the outcome of a claimed request; NOT_RUN releases the claim."""
         key = (command.tenant, command.request_id)
         known = self._open.get(key) or self._finished.get(key)
         if known is None:
@@ -94,12 +96,12 @@
             self._finished.popitem(last=False)
 
     def records(self) -> Iterator[Claim]:
-        """Yield every claim for a snapshot."""
+        """Yield all claims for a snapshot."""
         yield from self._open.values()
         yield from self._finished.values()
 
     def restore(self, claim: Claim) -> None:
-        """Take one record of a snapshot."""
+        """Restore one record of a snapshot."""
         if claim.finished:
             self._add_finished(claim)
         else:
--- a/src/rainsail/state/cluster_commands.py
+++ b/src/rainsail/state/cluster_commands.py
@@ -1,7 +1,7 @@
-"""Commands of the root group of a fleet that relays.
+"""Commands of the root group of a relaying fleet.
 
-They replace the routing table, found the ledger, release storage nodes, drain zones and keep
-requests that end runners away from them.
+They replace the routing table, bootstrap the ledger group, decommission storage nodes, drain zones
+and quarantine requests that crash runners.
 """
 
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 @wire_type("ReplaceTable")
 @dataclass(frozen=True, slots=True)
 class ReplaceTable:
-    """Put a whole routing table in force, if its version is higher than the one held.
+    """Replace the routing table, if the version is higher than the current one.
 
-    ``content`` is the table as the operator sent it.
+    ``content`` holds the bytes of the table as the operator sent them.
     """
 
     version: int
@@ -25,7 +25,7 @@
 @wire_type("FoundLedger")
 @dataclass(frozen=True, slots=True)
 class FoundLedger:
-    """Decide once which storage nodes found the ledger group."""
+    """Set the initial members of the ledger group; only the first such command has an effect."""
 
     founders: tuple[str, ...]
 
@@ -33,7 +33,7 @@
 @wire_type("ReleaseNode")
 @dataclass(frozen=True, slots=True)
 class ReleaseNode:
-    """Decide that a storage node is to be emptied."""
+    """Mark a storage node as being decommissioned."""
 
     address: str
 
@@ -41,10 +41,10 @@
 @wire_type("ZoneDrain")
 @dataclass(frozen=True, slots=True)
 class ZoneDrain:
-    """The newest order on one zone: whether its runners are to get nothing new.
+    """Drain state of one zone: the runners of a draining zone get no new work.
 
-    ``revision`` counts the orders on the zone that took effect, so that what is heard of them can
-    be merged in any order.
+    ``revision`` counts the effective changes of the zone's drain state. The highest one wins, so
+    that nodes can merge updates in any order.
     """
 
     zone: str
@@ -55,10 +55,10 @@
 @wire_type("SetZoneDrain")
 @dataclass(frozen=True, slots=True)
 class SetZoneDrain:
-    """Begin or end the drain of a zone, if no other order on it came in between.
+    """Begin or end the drain of a zone, if the zone is still at the expected revision.
 
-    ``expected_revision`` is that of the order that the proposer knew (0: none). An order that was
-    held up on its way can thus never take a newer one back.
+    ``expected_revision`` is the latest revision known to the proposer (0: none). A delayed command
+    can therefore never override a newer one.
     """
 
     zone: str
@@ -69,10 +69,10 @@
 @wire_type("QuarantinedRequest")
 @dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A request that ended runners, by its fingerprint.
+    """A request that crashed runners, by its fingerprint.
 
-    ``times`` is how often it was held, ``held`` whether it is now; one that is not held any more
-    is held again at its next offence.
+    ``held`` says whether it is quarantined now, ``times`` how often it has been. A released request
+    is quarantined again the next time it crashes a runner.
     """
 
     fingerprint: bytes
@@ -83,9 +83,10 @@
 @wire_type("Quarantine")
 @dataclass(frozen=True, slots=True)
 class Quarantine:
-    """All requests that are or were held; ``revision`` counts the changes, and the highest counts.
+    """All requests that are or were quarantined.
 
-    What is heard of it can thus be merged in any order.
+    ``revision`` counts the changes. The highest one wins, so that nodes can merge updates in any
+    order.
     """
 
     revision: int
@@ -98,7 +99,7 @@
 @wire_type("HoldRequest")
 @dataclass(frozen=True, slots=True)
 class HoldRequest:
-    """Keep a request away from runners."""
+    """Quarantine a request: no runner gets it."""
 
     fingerprint: bytes
 
@@ -106,9 +107,9 @@
 @wire_type("ReleaseRequest")
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """Let a request go, if it is held for the time that the proposer knew (``times``).
+    """Release a request from quarantine, if its count of quarantines still is ``times``.
 
-    ``forget``: nothing is held against it any more.
+    ``forget`` also deletes its record, so that a single crash does not quarantine it again.
     """
 
     fingerprint: bytes
@@ -119,7 +120,7 @@
 @wire_record("FleetSnapshot")
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """The whole state of the root group."""
+    """Snapshot of the root group's state."""
 
     version: int
     content: bytes
--- a/src/rainsail/state/command_basics.py
+++ b/src/rainsail/state/command_basics.py
@@ -1,4 +1,4 @@
-"""What every replicated group knows of commands, whichever state machine it drives."""
+"""Parts of commands that are common to all replicated groups, whatever their state machine."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -13,20 +13,20 @@
 @wire_record("NoOperation")
 @dataclass(frozen=True, slots=True)
 class NoOperation:
-    """Appended by a new leader to commit entries of earlier terms."""
+    """Entry that a new leader appends to commit the entries of earlier terms."""
 
 
 @wire_type("Done")
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The command took effect (or had taken effect before) and has nothing to report."""
+    """The command took effect, now or when it was sent before, and returns no value."""
 
 
 def command_of(payload: bytes) -> Any:
-    """Return the command of a log entry's payload.
+    """Return the command in the payload of a log entry.
 
-    A payload is a record with a field ``command``, or a ``NoOperation`` by itself, which groups
-    of every kind of command understand.
+    A payload is a record with a field ``command``, or a bare ``NoOperation``, which is common to
+    all groups.
     """
     record = decode(payload)
     return record if isinstance(record, NoOperation) else record.command
--- a/src/rainsail/state/commands.py
+++ b/src/rainsail/state/commands.py
@@ -1,7 +1,8 @@
-"""Commands that go through the replicated log, and what applying each returns.
+"""Commands of the replicated log and their outcomes.
 
-A command's effect depends on the state and the command alone: no clock, no randomness.
-Every reply is an outcome record below or a ``Fault`` (a conflict names ``current_revision``).
+The effect of a command depends on the state and the command only, not on a clock or on randomness.
+The reply is one of the outcome records below or a ``Fault``; a conflict with a stored revision or
+fence names it in ``current_revision``.
 """
 
 from dataclasses import dataclass
@@ -133,11 +134,11 @@
 @wire_record("CommandRecord")
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
-    """A command as a log entry's payload."""
+    """Payload of a log entry: one command."""
 
     command: Command
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the payload of a log entry."""
+    """Encode a command as the payload of a log entry."""
     return encode(CommandRecord(command))
--- a/src/rainsail/state/durable_schemas.py
+++ b/src/rainsail/state/durable_schemas.py
@@ -1,7 +1,7 @@
-"""The fingerprint of the records that logs and snapshots hold, kept with every data folder.
+"""Fingerprint of the schemas of all durable records, stored in each data folder.
 
-Records are read without the schema that they were written with, so a folder of other schemas could
-be misread without an error. A program refuses a folder whose fingerprint is not its own.
+Records are stored without their schema, so a folder written with other schemas could be misread
+without an error. A process refuses a data folder whose fingerprint differs from its own.
 """
 
 import importlib
@@ -15,7 +15,7 @@
 
 
 def all_durable_modules() -> tuple[str, ...]:
-    """Return every module of the package of states, and the one of memberships."""
+    """Return all modules of ``rainsail.state`` and the module of the membership record."""
     package = importlib.import_module(_PACKAGE)
     names = [f"{_PACKAGE}.{module.name}" for module in pkgutil.iter_modules(package.__path__)]
     return (*names, _MEMBERSHIP_MODULE)
@@ -25,7 +25,7 @@
 def durable_fingerprint(modules: tuple[str, ...] | None = None) -> str:
     """Import the modules that define durable records and return their schemas' CRC-32C in hex.
 
-    None stands for all of them; a node that keeps only some kinds of records names their modules.
+    None stands for all such modules; a node that stores only some kinds of records names theirs.
     """
     modules = all_durable_modules() if modules is None else modules
     for name in modules:
--- a/src/rainsail/state/faults.py
+++ b/src/rainsail/state/faults.py
@@ -1,28 +1,28 @@
-"""Short forms for the faults that applying a command may return."""
+"""Constructors of the faults that applying a command may return."""
 
 from rainsail.errors import Fault, FaultCode
 
 
 def invalid(step: str, detail: str) -> Fault:
-    """The command itself is wrong and would be wrong at any time."""
+    """Return a fault for a command that is invalid whatever the state is."""
     return Fault(FaultCode.INVALID, f"state.{step}", detail)
 
 
 def not_found(step: str, detail: str) -> Fault:
-    """The command names something that is not there."""
+    """Return a fault for a command that names something that does not exist."""
     return Fault(FaultCode.NOT_FOUND, f"state.{step}", detail)
 
 
 def conflict(step: str, detail: str, current_revision: int | None = None) -> Fault:
-    """The command lost a race or contradicts what is stored."""
+    """Return a fault for a command that lost a race or contradicts the stored state."""
     return Fault(FaultCode.CONFLICT, f"state.{step}", detail, current_revision=current_revision)
 
 
 def fenced(step: str, detail: str) -> Fault:
-    """The command was sent under a fence or by an owner that is no longer current."""
+    """Return a fault for a command with an outdated fence or from a former owner."""
     return Fault(FaultCode.FENCED, f"state.{step}", detail)
 
 
 def cancelled(step: str, detail: str) -> Fault:
-    """The command comes after a cancel."""
+    """Return a fault for a command on something that was cancelled before."""
     return Fault(FaultCode.CANCELLED, f"state.{step}", detail)
--- a/src/rainsail/state/fleet_commands.py
+++ b/src/rainsail/state/fleet_commands.py
@@ -1,6 +1,7 @@
-"""The commands of a relaying fleet's groups, apart from those of the other control plane.
+"""The commands of the groups of a relaying fleet.
 
-A node loads and checks only the records that its own groups keep.
+They are separate from ``rainsail.state.commands`` so that a node loads and checks only the records
+that its own groups store.
 """
 
 from dataclasses import dataclass
@@ -51,17 +52,17 @@
     "rainsail.state.fleet_commands",
     "rainsail.state.job_commands",
 )
-"""The modules whose records stand in the logs and snapshots of a fleet's groups."""
+"""The modules that define the records in the logs and snapshots of a fleet's groups."""
 
 
 @wire_record("FleetCommandRecord")
 @dataclass(frozen=True, slots=True)
 class FleetCommandRecord:
-    """A command as a log entry's payload."""
+    """Payload of a log entry: one command."""
 
     command: FleetCommand
 
 
 def encode_fleet_command(command: FleetCommand) -> bytes:
-    """Return the payload of a log entry."""
+    """Encode a command as the payload of a log entry."""
     return encode(FleetCommandRecord(command))
--- a/src/rainsail/state/held_items.py
+++ b/src/rainsail/state/held_items.py
@@ -1,29 +1,29 @@
-"""Which items each holder has a live lease of."""
+"""Index of the leased items by holder."""
 
 HeldItem = tuple[str, int]
 """The job's id and the item's index."""
 
 
 class HeldItems:
-    """Items by holder; a holder without an item is not kept."""
+    """Leased items by holder; holders without items are removed."""
 
     def __init__(self) -> None:
         self._by_holder: dict[str, dict[HeldItem, None]] = {}
 
     def holders(self) -> list[str]:
-        """Return every holder with an item, sorted."""
+        """Return all holders with an item, sorted."""
         return sorted(self._by_holder)
 
     def items_of(self, holder: str) -> list[HeldItem]:
-        """Return a holder's items, by job and index."""
+        """Return the items of a holder, sorted by job and index."""
         return sorted(self._by_holder.get(holder, ()))
 
     def add(self, holder: str, job_id: str, index: int) -> None:
-        """Note a new lease."""
+        """Add a leased item."""
         self._by_holder.setdefault(holder, {})[job_id, index] = None
 
     def remove(self, holder: str, job_id: str, index: int) -> None:
-        """Note the end of a lease."""
+        """Remove an item whose lease has ended."""
         held = self._by_holder[holder]
         del held[job_id, index]
         if not held:
--- a/src/rainsail/state/interface.py
+++ b/src/rainsail/state/interface.py
@@ -1,4 +1,4 @@
-"""What the consensus driver and the control service see of the state machine."""
+"""Read interface of the replicated state machine."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -16,7 +16,7 @@
 @wire_type("ResultRow")
 @dataclass(frozen=True, slots=True)
 class ResultRow:
-    """One finished item: its result text, or why it was set aside or cancelled."""
+    """One finished item: its text, or the reason why it was set aside or cancelled."""
 
     index: int
     custom_id: str
@@ -35,7 +35,7 @@
 
     @property
     def in_force_revision(self) -> int:
-        """The highest revision marked as in force everywhere."""
+        """The highest revision that every gateway with a configuration lease has applied."""
         ...
 
     def get(self, key: ResourceKey) -> Resource | None:
@@ -47,11 +47,11 @@
         ...
 
     def events_since(self, revision: int, limit: int) -> list[WatchEvent] | None:
-        """Return events after ``revision`` in order, or None when it is compacted away."""
+        """Return events after ``revision`` in order, or None if some of them are compacted."""
         ...
 
     def jobs(self) -> list[JobView]:
-        """Return every job in id order."""
+        """Return all jobs in id order."""
         ...
 
     def job(self, job_id: str) -> JobView | None:
@@ -63,7 +63,7 @@
         ...
 
     def holders(self) -> list[str]:
-        """Return every holder with a live lease, sorted."""
+        """Return all holders with a live lease, sorted."""
         ...
 
     def held_by(self, holder: str) -> list[ItemRef]:
@@ -71,13 +71,13 @@
         ...
 
     def holds(self, holder: str, ref: ItemRef) -> bool:
-        """Tell whether an item is still leased to the holder under exactly this fence."""
+        """Return whether an item is still leased to the holder under exactly this fence."""
         ...
 
     def backlogs(self) -> dict[str, int]:
-        """Return the number of pending items of each service that has some, in name order."""
+        """Return the number of pending items by service, in name order, without zeros."""
         ...
 
     def session(self, name: str) -> SessionView | None:
-        """Return a session's place and transcript."""
+        """Return a session's gateway, runner and transcript."""
         ...
--- a/src/rainsail/state/item_leases.py
+++ b/src/rainsail/state/item_leases.py
@@ -1,7 +1,7 @@
-"""Leasing items to holders, and taking their results or the items back.
+"""Leases of batch items: grant, commit, return, revoke.
 
-Every lease has a new fence, higher than any before it in this group. What is done to an item
-counts only under its current fence.
+Each lease gets a new fencing token (``fence``), higher than all earlier ones of the group.
+A commit or a return takes effect only with the current fence of its item.
 """
 
 from collections.abc import Callable, Iterator, MutableMapping
@@ -36,7 +36,7 @@
 
 
 def item_tokens(body: ItemBody) -> int:
-    """Return the tokens that an item may cost: its prompt and the bound on its answer."""
+    """Return the most tokens an item may cost: its prompt and the limit of its answer."""
     return count_tokens(body.prompt) + max(0, body.max_tokens)
 
 
@@ -60,7 +60,7 @@
     # --- reads ---
 
     def holders(self) -> list[str]:
-        """Return every holder with a live lease, sorted."""
+        """Return all holders with a live lease, sorted."""
         return self._held.holders()
 
     def held_by(self, holder: str) -> list[ItemRef]:
@@ -68,7 +68,7 @@
         return [self._ref(*held) for held in self._held.items_of(holder)]
 
     def holds(self, holder: str, ref: ItemRef) -> bool:
-        """Tell whether an item is still leased to the holder under this fence."""
+        """Return whether an item is still leased to the holder under exactly this fence."""
         lease = self._lease(ref)
         return lease is not None and (lease.holder, lease.fence) == (holder, ref.fence)
 
@@ -78,13 +78,13 @@
         return 0 if queue is None else queue.pending
 
     def backlogs(self) -> dict[str, int]:
-        """Return the number of pending items of each service that has some, in name order."""
+        """Return the number of pending items by service, in name order, without zeros."""
         return {
             name: queue.pending for name, queue in sorted(self._queues.items()) if queue.pending
         }
 
     def _weight(self, job: Job) -> float:
-        """Return the tenant's weight as declared now, else as it was at the job's submission."""
+        """Return the tenant's declared weight, or else its weight at submission."""
         declared = self._tenant_weight(job.spec.tenant)
         return job.spec.tenant_weight if declared is None else declared
 
@@ -95,17 +95,17 @@
         job = self._jobs.get(ref.job_id)
         return None if job is None else job.leases.get(ref.index)
 
-    # --- queueing, as the ledger asks for it ---
+    # --- queueing ---
 
     def enqueue(self, job: Job) -> None:
-        """Offer the pending items of a job that has just been sealed."""
+        """Queue the pending items of a job that has just been sealed."""
         queue = self._queue(job.spec.service)
         queue.pending += job.pending
         if job.pending:
             queue.add(job.spec.tenant, job.queued())
 
     def withdraw(self, job: Job) -> None:
-        """End every lease of a job and offer none of its items any more."""
+        """Revoke all leases of a job and remove its items from the queue."""
         for lease in job.leases.values():
             self._held.remove(lease.holder, job.job_id, lease.index)
         job.leases.clear()
@@ -116,7 +116,7 @@
                 queue.remove(job.spec.tenant, job.queued())
 
     def complete_if_done(self, job: Job) -> None:
-        """Complete a job whose every item has ended."""
+        """Mark a job as completed once all of its items have finished."""
         if job.is_done():
             job.phase = JobPhase.COMPLETED
 
@@ -129,10 +129,10 @@
     # --- leasing ---
 
     def lease(self, command: LeaseItems) -> ItemsLeased:
-        """Lease pending items, or return what is left of a re-sent request's lease.
+        """Lease pending items; a re-sent request gets the items that it still holds.
 
-        The first item is leased even when it costs more than ``max_tokens``, so that no item
-        waits for ever.
+        The first item is leased even if it costs more than ``max_tokens``: otherwise a large
+        item would starve.
         """
         known = self._requests.first_answer(command.holder, command.request_id)
         if known is not None:
@@ -191,7 +191,7 @@
     # --- results ---
 
     def commit(self, command: CommitResults) -> ResultsCommitted:
-        """Commit each result whose item is leased to the holder under its fence."""
+        """Commit each result whose item is leased to the holder under the result's fence."""
         return ResultsCommitted(
             tuple(self._commit_one(command.holder, result) for result in command.results)
         )
@@ -219,7 +219,7 @@
     # --- returns ---
 
     def return_items(self, command: ReturnItems) -> Done:
-        """Take items back; those that are no longer the holder's are left alone."""
+        """Return items to the queue; ignores items that the holder no longer leases."""
         for item in command.items:
             if self.holds(command.holder, item.ref):
                 self._return_item(self._jobs[item.ref.job_id], item)
@@ -255,7 +255,7 @@
         queue.pending += 1
 
     def revoke(self, command: RevokeLeases) -> Done:
-        """Give back every item of a holder; like a preemption this costs no attempt."""
+        """Return all items of a holder to the queue; like a preemption, it uses up no attempt."""
         for job_id, index in self._held.items_of(command.holder):
             job = self._jobs[job_id]
             self._requeue(job, job.leases[index], refund=True)
@@ -264,17 +264,17 @@
     # --- snapshots ---
 
     def counters(self, next_sequence: int) -> LedgerCounters:
-        """Return the counters for a snapshot."""
+        """Return the ledger's counters for a snapshot."""
         return LedgerCounters(self._last_fence, next_sequence)
 
     def records(self) -> Iterator[LeaseRecord]:
-        """Yield what can't be rebuilt from the jobs, for a snapshot."""
+        """Yield the snapshot records of the state that can't be rebuilt from the jobs."""
         for service in sorted(self._queues):
             yield from self._queues[service].records()
         yield from self._requests.records()
 
     def restore(self, record: LeaseRecord, next_sequence: int) -> int:
-        """Take one record of a snapshot; return the ledger's next sequence."""
+        """Restore one record of a snapshot; return the ledger's next job sequence number."""
         if isinstance(record, LedgerCounters):
             self._last_fence = record.last_fence
             return record.next_sequence
@@ -285,7 +285,7 @@
         return next_sequence
 
     def finish_restore(self) -> None:
-        """Rebuild holders and queues once every job of the snapshot is there."""
+        """Rebuild the indexes of leases and the queues after all records are restored."""
         self._rebuild_from_jobs()
         for record in self._stored_shares:
             self._queue(record.service).restore(record)
--- a/src/rainsail/state/job.py
+++ b/src/rainsail/state/job.py
@@ -23,7 +23,7 @@
 @wire_type("Lease")
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Who runs an item, under which fence, and the tokens its tenant was charged."""
+    """The holder of an item, its fencing token, and the tokens charged to the tenant."""
 
     index: int
     holder: str
@@ -34,7 +34,10 @@
 @wire_type("ItemNote")
 @dataclass(frozen=True, slots=True)
 class UnfinishedItem:
-    """What is kept of a few unfinished items: failed attempts and what they generated."""
+    """Retry state of an unfinished item: failed attempts and the text generated so far.
+
+    Only items that have such state are stored.
+    """
 
     index: int
     attempts: int
@@ -44,7 +47,7 @@
 @wire_record("StoredJob")
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job without its item bodies and results, for a snapshot."""
+    """A job in a snapshot, without its item bodies and results."""
 
     job_id: str
     spec: JobSpec
@@ -56,7 +59,7 @@
 
 
 class Job:
-    """A job as the ledger keeps it. ``sequence`` is its place in order of opening."""
+    """A job of the ledger. ``sequence`` numbers the jobs in order of opening."""
 
     __slots__ = (
         "cancelled",
@@ -88,11 +91,11 @@
         self.cancelled = 0
 
     def queued(self) -> QueuedJob:
-        """Return the job's place among the jobs of its tenant."""
+        """Return the key that orders the job among the jobs of its tenant."""
         return QueuedJob(self.spec.deadline_unix_s, self.sequence, self.job_id)
 
     def view(self) -> JobView:
-        """Return phase and counts as a value."""
+        """Return an immutable view of phase and counts."""
         return JobView(
             self.job_id,
             self.spec,
@@ -105,11 +108,11 @@
         )
 
     def note(self, index: int) -> UnfinishedItem:
-        """Return what is kept of an item; most items have nothing."""
+        """Return the retry state of an item; it is empty for most items."""
         return self.notes.get(index) or UnfinishedItem(index, 0, "")
 
     def leased_item(self, lease: Lease, body: ItemBody) -> LeasedItem:
-        """Return an item as it is handed to the holder of its lease."""
+        """Return an item in the form that is sent to the holder of its lease."""
         return LeasedItem(
             ItemRef(self.job_id, lease.index, lease.fence),
             self.spec.tenant,
@@ -120,14 +123,14 @@
         )
 
     def store_note(self, note: UnfinishedItem) -> None:
-        """Keep a note of an item, or nothing when it says nothing."""
+        """Store the retry state of an item, or remove it when it is empty."""
         if note.attempts or note.generated_prefix:
             self.notes[note.index] = note
         else:
             self.notes.pop(note.index, None)
 
     def is_done(self) -> bool:
-        """Tell whether every item of the accepted job has ended."""
+        """Return whether the job is sealed and every item has finished."""
         return self.phase is JobPhase.SEALED and not self.pending and not self.leases
 
     def result_rows(self, first_index: int, limit: int) -> Iterator[ResultRow]:
@@ -145,13 +148,13 @@
         return ResultRow(index, item.custom_id, ITEM_PHASES[phase], item.text, item.failure)
 
     def finish(self, index: int, phase: int, item: FinishedItem) -> None:
-        """Store an item's end; the caller keeps the counts."""
+        """Store the result of an item; the caller updates the counts."""
         self.notes.pop(index, None)
         self.items.set_phase(index, phase)
         self.results.append(index, item)
 
     def record(self) -> StoredJob:
-        """Return the job without bodies and results, for a snapshot."""
+        """Return the job for a snapshot, without bodies and results."""
         return StoredJob(
             self.job_id,
             self.spec,
@@ -164,7 +167,7 @@
 
     @classmethod
     def restored(cls, record: StoredJob) -> "Job":
-        """Return the job of a snapshot's record."""
+        """Return a job restored from its snapshot record."""
         job = cls(record.job_id, record.spec, record.sequence)
         job.phase = record.phase
         job.items.phases[:] = record.item_phases
@@ -174,7 +177,7 @@
         return job
 
     def recount(self) -> None:
-        """Count the items by phase."""
+        """Recompute the counts from the phases of the items."""
         phases = self.items.phases
         by_phase = {phase: phases.count(code) for code, phase in ITEM_PHASES.items()}
         self.pending = phases.count(PENDING)
--- a/src/rainsail/state/job_commands.py
+++ b/src/rainsail/state/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the ledger of relayed jobs: jobs whose items are opaque requests."""
+"""Commands of the ledger of relayed jobs, whose items are opaque requests."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 @wire_type("RelayedItem")
 @dataclass(frozen=True, slots=True)
 class RelayedItem:
-    """One item: the request that runs it. ``tokens`` bounds prompt and answer together."""
+    """One item: its id and its request. ``tokens`` limits the sum of prompt and answer."""
 
     item: str
     path: str
@@ -30,7 +30,7 @@
 @wire_type("AcceptJob")
 @dataclass(frozen=True, slots=True)
 class AcceptJob:
-    """Keep a whole job, accepted at a time of the ledger; the same id again changes nothing."""
+    """Accept a whole job at ledger time ``at_s``; a known job id changes nothing."""
 
     job: str
     tenant: str
@@ -43,7 +43,7 @@
 @wire_type("ItemOutcome")
 @dataclass(frozen=True, slots=True)
 class ItemOutcome:
-    """How an item ended: its whole text, or not ``done`` when it was given up."""
+    """Outcome of an item: its whole text, or not ``done`` when the item failed for good."""
 
     index: int
     done: bool
@@ -53,7 +53,7 @@
 @wire_type("ListOutcomes")
 @dataclass(frozen=True, slots=True)
 class ListOutcomes:
-    """Give ended items their positions in the job's results, in this order."""
+    """Append the outcomes of finished items to the job's results, in this order."""
 
     job: str
     outcomes: tuple[ItemOutcome, ...]
@@ -62,10 +62,10 @@
 @wire_type("ItemNote")
 @dataclass(frozen=True, slots=True)
 class ItemNote:
-    """How far an item's run has come since the last note of it.
+    """Progress of a running item since the previous note.
 
-    ``after_event`` is the last event of that note (-1: there was none); ``texts`` are the data of
-    the events behind it, up to ``last_event``.
+    ``after_event`` is the last event of the previous note (-1: none); ``texts`` holds the data of
+    the events after it, up to ``last_event``.
     """
 
     job: str
@@ -78,7 +78,7 @@
 @wire_type("NoteProgress")
 @dataclass(frozen=True, slots=True)
 class NoteProgress:
-    """Keep how far items have come at a time of the ledger, so that another leader goes on."""
+    """Store the progress of items at ledger time ``at_s``, so that a new leader can resume them."""
 
     notes: tuple[ItemNote, ...]
     at_s: float
@@ -87,7 +87,7 @@
 @wire_type("EndRelayedJob")
 @dataclass(frozen=True, slots=True)
 class EndRelayedJob:
-    """Run nothing more of a job; what is listed stays."""
+    """Stop running a job's items; outcomes that were appended stay."""
 
     job: str
 
@@ -95,7 +95,7 @@
 @wire_type("DropRelayedJob")
 @dataclass(frozen=True, slots=True)
 class DropRelayedJob:
-    """Forget a job whose results need not be kept any longer."""
+    """Delete a job after the retention period of its results."""
 
     job: str
 
@@ -103,7 +103,7 @@
 @wire_type("ListedOutcome")
 @dataclass(frozen=True, slots=True)
 class ListedOutcome:
-    """One position of a job's results."""
+    """One outcome in a job's results."""
 
     index: int
     done: bool
@@ -113,7 +113,7 @@
 @wire_record("RelayedJobSnapshot")
 @dataclass(frozen=True, slots=True)
 class RelayedJobSnapshot:
-    """One job as a part of a snapshot; bodies of listed items are empty."""
+    """One job in a snapshot; the bodies of finished items are empty."""
 
     job: str
     tenant: str
--- a/src/rainsail/state/job_items.py
+++ b/src/rainsail/state/job_items.py
@@ -1,7 +1,8 @@
 """The items of one job: bodies packed by range, one phase byte per item.
 
-A range keeps its bodies as one block of Avro records with an offset per item. Once every item
-of a range is finished its bodies are dropped, since results carry the callers' ids.
+A range stores its bodies as one block of Avro records with one offset per item. The bodies of a
+range are freed once all of its items have finished: results contain the callers' ids, so the
+bodies are not needed any more.
 """
 
 import re
@@ -35,7 +36,7 @@
 @wire_record("StoredRange")
 @dataclass(frozen=True, slots=True)
 class StoredRange:
-    """One range of a job's items, for a snapshot; ``offsets`` holds 32-bit numbers."""
+    """One range of a job's items, in a snapshot; ``offsets`` holds 32-bit integers."""
 
     job_id: str
     first_index: int
@@ -44,7 +45,7 @@
 
 
 class ItemRange:
-    """Consecutive items: ``offsets`` has one entry per item and the end of the last one."""
+    """Consecutive items. ``offsets`` holds the start of each body and the end of the last one."""
 
     __slots__ = ("bodies", "first_index", "offsets", "unfinished")
 
@@ -78,7 +79,7 @@
 
 
 class JobItems:
-    """Bodies and phases of one job's items. Counting by phase is the ledger's part."""
+    """Bodies and phases of one job's items. ``Job`` keeps the counts by phase."""
 
     __slots__ = ("_cursor", "_ranges", "_starts", "phases")
 
@@ -89,9 +90,9 @@
         self._cursor = 0
 
     def add(self, first_index: int, items: tuple[ItemBody, ...]) -> int | None:
-        """Add the items that are not there yet and return how many they were.
+        """Add the items that do not exist yet and return their number.
 
-        Return None, with nothing added, when one that is there has another body.
+        Returns None and adds nothing when an existing item has a different body.
         """
         packed = [encode_body(item) for item in items]
         if not self._matches_existing(first_index, packed):
@@ -135,11 +136,11 @@
         return self._range_of(index).packed(index)
 
     def body(self, index: int) -> ItemBody:
-        """Return the body of an item of a range that is not all finished."""
+        """Return the body of an item whose range still has unfinished items."""
         return decode_body(ItemBody, self._packed(index))
 
     def next_pending(self) -> int:
-        """Return the lowest pending index, or -1."""
+        """Return the lowest index of a pending item, or -1."""
         self._cursor = self.phases.find(PENDING, self._cursor)
         if self._cursor < 0:
             self._cursor = len(self.phases)
@@ -170,13 +171,13 @@
             yield match.start()
 
     def records(self, job_id: str) -> Iterator[StoredRange]:
-        """Yield the ranges that still have bodies, for a snapshot."""
+        """Yield the ranges that still have bodies for a snapshot."""
         for each in self._ranges:
             if each.unfinished:
                 yield StoredRange(job_id, each.first_index, each.offsets.tobytes(), each.bodies)
 
     def restore(self, record: StoredRange) -> None:
-        """Take one range of a snapshot; the phases were set before."""
+        """Restore one range of a snapshot; the phases must be set before."""
         restored = ItemRange(record.first_index, array("I", record.offsets), record.bodies)
         end = record.first_index + restored.count()
         phases = self.phases[record.first_index : end]
--- a/src/rainsail/state/lease_requests.py
+++ b/src/rainsail/state/lease_requests.py
@@ -1,4 +1,4 @@
-"""Recent lease requests by holder, so that a re-sent request gets the same lease again."""
+"""Recent lease requests by holder, which make lease requests idempotent."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 @wire_record("LedgerCounters")
 @dataclass(frozen=True, slots=True)
 class LedgerCounters:
-    """The ledger's counters, for a snapshot."""
+    """The ledger's counters, in a snapshot."""
 
     last_fence: int
     next_sequence: int
@@ -21,7 +21,7 @@
 @wire_record("AnsweredLease")
 @dataclass(frozen=True, slots=True)
 class AnsweredLease:
-    """A holder's lease request and the items it got."""
+    """A lease request of a holder and the items that it was granted."""
 
     holder: str
     request_id: str
@@ -29,7 +29,7 @@
 
 
 class LeaseRequests:
-    """The last requests of each holder, and of holders the most recent ones."""
+    """A bounded window of requests: the latest ones of each of the latest holders."""
 
     def __init__(self, settings: StateSettings) -> None:
         self._per_holder = settings.lease_requests_per_holder_count
@@ -43,7 +43,7 @@
         return None if answered is None else answered.refs
 
     def remember(self, answered: AnsweredLease) -> None:
-        """Keep the lease of a request."""
+        """Store the answer to a request and evict the oldest ones beyond the window."""
         requests = self._answered.setdefault(answered.holder, OrderedDict())
         self._answered.move_to_end(answered.holder)
         requests[answered.request_id] = answered
@@ -53,10 +53,10 @@
             self._answered.popitem(last=False)
 
     def records(self) -> Iterator[AnsweredLease]:
-        """Yield every request for a snapshot, least recent holder first."""
+        """Yield all requests for a snapshot, least recently used holder first."""
         for requests in self._answered.values():
             yield from requests.values()
 
     def restore(self, answered: AnsweredLease) -> None:
-        """Take one record of a snapshot."""
+        """Restore one record of a snapshot."""
         self.remember(answered)
--- a/src/rainsail/state/ledger.py
+++ b/src/rainsail/state/ledger.py
@@ -1,8 +1,8 @@
-"""The jobs of the batch ledger: opening, filling, accepting, cancelling and forgetting them.
+"""The life cycle of jobs in the batch ledger: open, add items, seal, cancel, delete.
 
-Jobs are opened, filled with ranges of items and sealed; only a sealed job is accepted. Leasing
-and committing items is ``ItemLeases``' part. A cancelled job keeps the results that were
-committed before the cancel and takes none after it.
+A job is opened, receives ranges of items and is sealed; only a sealed job counts as accepted.
+``ItemLeases`` leases items and commits their results. A cancelled job keeps the results that
+were committed before the cancel and accepts no others.
 """
 
 import math
@@ -40,7 +40,7 @@
 
 
 class BatchLedger:
-    """All jobs by id and by the callers' keys."""
+    """All jobs, indexed by id and by the idempotency keys of the callers."""
 
     def __init__(
         self, settings: StateSettings, tenant_weight: Callable[[str], float | None]
@@ -66,7 +66,7 @@
         return [] if job is None else list(job.result_rows(first_index, limit))
 
     def open(self, command: OpenJob) -> JobView | Fault:
-        """Create a job, or return the one that the tenant opened under the same key."""
+        """Create a job, or return the job that the tenant already opened under the same key."""
         refusal = self._check_spec(command)
         if refusal is not None:
             return refusal
@@ -105,7 +105,7 @@
         self._job_ids[_job_key(job.spec)] = job.job_id
 
     def add_items(self, command: AddItems) -> Done | Fault:
-        """Add a range of items to an open job; items that are there already are ignored."""
+        """Add a range of items to an open job; items that exist already are ignored."""
         job = self._jobs.get(command.job_id)
         if job is None:
             return not_found("add_items", f"there is no job {command.job_id!r}")
@@ -123,7 +123,7 @@
         return Done()
 
     def seal(self, command: SealJob) -> JobView | Fault:
-        """Accept a job whose every item is there."""
+        """Accept a job once all of its items have been added."""
         job = self._jobs.get(command.job_id)
         if job is None:
             return not_found("seal_job", f"there is no job {command.job_id!r}")
@@ -140,7 +140,7 @@
         return job.view()
 
     def cancel(self, command: CancelJob) -> JobView | Fault:
-        """Cancel a job; a job that has completed stays completed."""
+        """Cancel a job; a completed job stays completed."""
         job = self._jobs.get(command.job_id)
         if job is None:
             return not_found("cancel_job", f"there is no job {command.job_id!r}")
@@ -154,7 +154,7 @@
         return job.view()
 
     def forget(self, command: ForgetJob) -> Done | Fault:
-        """Remove a finished or never accepted job with its results."""
+        """Delete a job and its results, unless it is accepted and not finished."""
         job = self._jobs.get(command.job_id)
         if job is None:
             return Done()
@@ -165,7 +165,7 @@
         return Done()
 
     def records(self) -> Iterator[JobRecord | LeaseRecord]:
-        """Yield the whole ledger for a snapshot."""
+        """Yield the records of the whole ledger for a snapshot."""
         yield self.leases.counters(self._next_sequence)
         for job in self._jobs.values():
             yield job.record()
@@ -174,7 +174,7 @@
         yield from self.leases.records()
 
     def restore(self, record: JobRecord | LeaseRecord) -> None:
-        """Take one record of a snapshot, in the order of ``records``."""
+        """Restore one record of a snapshot; records come in the order of ``records``."""
         if isinstance(record, StoredJob):
             self._add(Job.restored(record))
         elif isinstance(record, StoredRange):
--- a/src/rainsail/state/ledger_commands.py
+++ b/src/rainsail/state/ledger_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the batch ledger: jobs, items, leases and results, and what they return."""
+"""Commands of the batch ledger for jobs, items, leases and results, and their outcomes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,11 +6,11 @@
 from rainsail.wire.names import wire_type
 
 DEFAULT_TENANT_WEIGHT = 1.0
-"""Weight of a tenant that is not declared."""
+"""Weight of a tenant that has no declared resource."""
 
 
 class JobPhase(StrEnum):
-    """Where a job stands. Only SEALED and later count as accepted."""
+    """Phase of a job. A job counts as accepted from SEALED on."""
 
     OPEN = "open"
     SEALED = "sealed"
@@ -19,7 +19,7 @@
 
 
 class ItemPhase(StrEnum):
-    """Where an item stands."""
+    """Phase of an item. SET_ASIDE items used up their attempts (dead-lettered)."""
 
     PENDING = "pending"
     LEASED = "leased"
@@ -31,12 +31,12 @@
 @wire_type("JobSpec")
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What a caller asks for with a job.
+    """The specification of a job as submitted by a caller.
 
-    ``job_key`` is chosen by the caller: the same key of one tenant with the same content digest
-    is the same job, with other content a conflict. ``deadline_unix_s`` is wall-clock time.
-    ``tenant_weight`` is the tenant's weight at submission; it stands in where the job's group
-    doesn't keep the tenant's resource.
+    ``job_key`` is the idempotency key chosen by the caller: a repeated key of one tenant names the
+    same job if the content digest is the same, and is a conflict otherwise. ``deadline_unix_s`` is
+    wall-clock time. ``tenant_weight`` is the tenant's weight at submission; it is used where the
+    job's group does not store the tenant's resource.
     """
 
     job_key: str
@@ -53,7 +53,7 @@
 @wire_type("ItemBody")
 @dataclass(frozen=True, slots=True)
 class ItemBody:
-    """One item: the caller's own id, the prompt and the bound on generated tokens."""
+    """One item: the caller's id, the prompt and the limit on generated tokens."""
 
     custom_id: str
     prompt: str
@@ -63,7 +63,7 @@
 @wire_type("OpenJob")
 @dataclass(frozen=True, slots=True)
 class OpenJob:
-    """Create a job that is not accepted yet."""
+    """Create a job; it is not accepted until ``SealJob``."""
 
     job_id: str
     spec: JobSpec
@@ -72,7 +72,7 @@
 @wire_type("AddItems")
 @dataclass(frozen=True, slots=True)
 class AddItems:
-    """Add a range of items, ``first_index`` onwards; re-sent ranges are ignored."""
+    """Add a range of items starting at ``first_index``; a re-sent range changes nothing."""
 
     job_id: str
     first_index: int
@@ -82,7 +82,7 @@
 @wire_type("SealJob")
 @dataclass(frozen=True, slots=True)
 class SealJob:
-    """Accept the job: every item is there. From now on it completes exactly once."""
+    """Accept the job once all items are added. From then on it completes exactly once."""
 
     job_id: str
 
@@ -90,7 +90,7 @@
 @wire_type("CancelJob")
 @dataclass(frozen=True, slots=True)
 class CancelJob:
-    """Cancel a job; leases are revoked and later results are not committed."""
+    """Cancel a job: its leases are revoked and later results are rejected."""
 
     job_id: str
     change_id: str
@@ -99,7 +99,7 @@
 @wire_type("ForgetJob")
 @dataclass(frozen=True, slots=True)
 class ForgetJob:
-    """Remove a finished job whose retention has passed."""
+    """Delete a finished job after its retention period."""
 
     job_id: str
 
@@ -122,10 +122,10 @@
 @wire_type("LeaseItems")
 @dataclass(frozen=True, slots=True)
 class LeaseItems:
-    """Lease up to ``max_items`` and ``max_tokens`` of a service's items to ``holder``.
+    """Lease up to ``max_items`` items of a service, up to ``max_tokens`` in sum, to ``holder``.
 
     ``holder`` is a gateway incarnation (``gateway-a1/7f3c``): a restarted gateway is another
-    holder. ``request_id`` makes a re-sent command return the same lease.
+    holder. ``request_id`` makes the command idempotent: a re-sent one returns the same lease.
     """
 
     holder: str
@@ -138,7 +138,7 @@
 @wire_type("ItemRef")
 @dataclass(frozen=True, slots=True)
 class ItemRef:
-    """Names one leased item; ``fence`` rises with every lease of that item."""
+    """Reference to a leased item; the fencing token ``fence`` rises with each lease of the item."""
 
     job_id: str
     index: int
@@ -148,7 +148,10 @@
 @wire_type("LeasedItem")
 @dataclass(frozen=True, slots=True)
 class LeasedItem:
-    """An item handed out, with what a dispatcher needs to run it."""
+    """A leased item with everything a dispatcher needs to run it.
+
+    ``generated_prefix`` is the text that earlier attempts generated.
+    """
 
     ref: ItemRef
     tenant: str
@@ -161,7 +164,7 @@
 @wire_type("ItemsLeased")
 @dataclass(frozen=True, slots=True)
 class ItemsLeased:
-    """The items leased; may be fewer than asked for, or none. ``backlog`` is what is left."""
+    """The leased items, possibly fewer than requested. ``backlog`` counts the pending ones left."""
 
     items: tuple[LeasedItem, ...]
     backlog: int
@@ -170,7 +173,7 @@
 @wire_type("ItemResult")
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """The result of one item."""
+    """The result of a leased item."""
 
     ref: ItemRef
     text: str
@@ -180,14 +183,14 @@
 @wire_type("CommitResults")
 @dataclass(frozen=True, slots=True)
 class CommitResults:
-    """Commit results; each is taken only when its item is unfinished and its fence is current."""
+    """Commit results; each needs an unfinished item and the item's current fence."""
 
     holder: str
     results: tuple[ItemResult, ...]
 
 
 class CommitVerdict(StrEnum):
-    """What became of one committed result."""
+    """Outcome of one result in ``CommitResults``."""
 
     COMMITTED = "committed"
     ALREADY_COMMITTED = "already_committed"
@@ -207,7 +210,7 @@
 @wire_type("ReturnedItem")
 @dataclass(frozen=True, slots=True)
 class ReturnedItem:
-    """An item given back. ``failure`` is empty for a preemption, which costs no attempt."""
+    """A returned item. ``failure`` is empty for a preemption, which does not use up an attempt."""
 
     ref: ItemRef
     generated_prefix: str
@@ -217,7 +220,7 @@
 @wire_type("ReturnItems")
 @dataclass(frozen=True, slots=True)
 class ReturnItems:
-    """Give leased items back to the queue."""
+    """Return leased items to the queue."""
 
     holder: str
     items: tuple[ReturnedItem, ...]
@@ -226,6 +229,6 @@
 @wire_type("RevokeLeases")
 @dataclass(frozen=True, slots=True)
 class RevokeLeases:
-    """Revoke every lease of a holder that has not renewed in time."""
+    """Revoke all leases of a holder that failed to renew in time."""
 
     holder: str
--- a/src/rainsail/state/machine.py
+++ b/src/rainsail/state/machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine: applies committed commands to the stores.
 
-Applying is deterministic: it reads no clock, draws nothing at random and depends on no hash
-order, so that replicas that applied the same commands hold the same snapshot, byte by byte.
+Applying is deterministic: it uses no clock, no randomness and no hash order. Replicas that applied
+the same commands therefore produce snapshots that are equal byte by byte.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -93,7 +93,7 @@
         }
 
     def _idempotent(self, apply: Apply) -> Apply:
-        """Return ``apply`` with the first answer given again to a re-sent change."""
+        """Wrap ``apply`` so that a re-sent change gets its first answer and changes nothing."""
 
         def apply_idempotently(command: IdentifiedChange) -> CommandOutcome:
             answer = self._changes.first_answer(command)
@@ -138,8 +138,8 @@
     def snapshot(self) -> Iterator[bytes]:
         """Return the whole state as chunks.
 
-        The state is captured by the call, as immutable records that share what can be shared;
-        each chunk is encoded when it is asked for, and the state may change in between.
+        The call captures the state as immutable records, which share data with the state where
+        possible. Chunks are encoded lazily; the state may change in between.
         """
         return encode_parts(list(self._records()), self._settings.snapshot_chunk_bytes)
 
@@ -152,10 +152,11 @@
         yield from self._sessions.records()
 
     def restore(self, chunks: Iterable[bytes]) -> None:
-        """Replace the whole state by a snapshot's; raises ``RainsailError`` on a damaged one.
+        """Replace the whole state by a snapshot; raises ``RainsailError`` if it is damaged.
 
-        After an error the state is of no use. That no chunk lacks at the end is checked where the
-        chunks come from: by the file's end record and by the sum that goes with a transfer.
+        After an error the state must not be used. Missing chunks at the end are not detected
+        here, but by the source of the chunks: by the end record of a file and by the checksum
+        of a transfer.
         """
         self._reset()
         for record in decode_parts(chunks):
@@ -180,7 +181,7 @@
 
     @property
     def applied_index(self) -> int:
-        """The log index of the last command applied."""
+        """The log index of the last applied command."""
         return self._applied_index
 
     @property
@@ -190,7 +191,7 @@
 
     @property
     def in_force_revision(self) -> int:
-        """The highest revision marked as in force everywhere."""
+        """The highest revision that every gateway with a configuration lease has applied."""
         return self._resources.in_force_revision
 
     def get(self, key: ResourceKey) -> Resource | None:
@@ -202,11 +203,11 @@
         return self._resources.list_resources(kind)
 
     def events_since(self, revision: int, limit: int) -> list[WatchEvent] | None:
-        """Return events after ``revision`` in order, or None when it is compacted away."""
+        """Return events after ``revision`` in order, or None if some of them are compacted."""
         return self._resources.events_since(revision, limit)
 
     def jobs(self) -> list[JobView]:
-        """Return every job in id order."""
+        """Return all jobs in id order."""
         return self._ledger.jobs()
 
     def job(self, job_id: str) -> JobView | None:
@@ -218,7 +219,7 @@
         return self._ledger.results(job_id, first_index, limit)
 
     def holders(self) -> list[str]:
-        """Return every holder with a live lease, sorted."""
+        """Return all holders with a live lease, sorted."""
         return self._ledger.leases.holders()
 
     def held_by(self, holder: str) -> list[ItemRef]:
@@ -226,7 +227,7 @@
         return self._ledger.leases.held_by(holder)
 
     def holds(self, holder: str, ref: ItemRef) -> bool:
-        """Tell whether an item is still leased to the holder under this fence."""
+        """Return whether an item is still leased to the holder under exactly this fence."""
         return self._ledger.leases.holds(holder, ref)
 
     def backlog(self, service: str) -> int:
@@ -234,9 +235,9 @@
         return self._ledger.leases.backlog(service)
 
     def backlogs(self) -> dict[str, int]:
-        """Return the number of pending items of each service that has some, in name order."""
+        """Return the number of pending items by service, in name order, without zeros."""
         return self._ledger.leases.backlogs()
 
     def session(self, name: str) -> SessionView | None:
-        """Return a session's place and transcript."""
+        """Return a session's gateway, runner and transcript."""
         return self._sessions.get(name)
--- a/src/rainsail/state/quarantine.py
+++ b/src/rainsail/state/quarantine.py
@@ -1,6 +1,6 @@
-"""Which requests are kept away from runners, as the root group has decided. Pure.
+"""State of quarantined requests, which are not sent to runners. Kept by the root group; no I/O.
 
-A request that was held once and let go after a time stays known: its next offence counts at once.
+A request that was released after its time stays known: it is quarantined again at its next crash.
 """
 
 from collections.abc import Iterable
@@ -9,18 +9,18 @@
 from rainsail.state.cluster_commands import Quarantine, QuarantinedRequest
 
 MAX_REMEMBERED_REQUESTS = 64
-"""So many requests are remembered, held ones before others, newer ones before older ones."""
+"""Limit on remembered requests. The oldest released one is evicted first, else the oldest."""
 
 
 class QuarantineState:
-    """The requests that are or were held, by fingerprint, oldest decision first."""
+    """Requests that are or were quarantined, by fingerprint, least recently changed first."""
 
     def __init__(self) -> None:
         self._revision = 0
         self._requests: dict[bytes, QuarantinedRequest] = {}
 
     def hold(self, fingerprint: bytes) -> None:
-        """Keep a request away from runners; nothing happens when it is held already."""
+        """Quarantine a request; does nothing if it is quarantined already."""
         known = self._requests.get(fingerprint)
         if known is not None and known.held:
             return
@@ -29,9 +29,9 @@
         self._drop_beyond_limit()
 
     def release(self, fingerprint: bytes, times: int, forget: bool) -> None:
-        """Let a request go that was held so many ``times``; a later hold is left as it is.
+        """Release a request that was quarantined ``times`` times; ignored if that has changed.
 
-        ``forget``: it was shown to be harmless, or an operator says so.
+        ``forget`` also deletes its record: it proved harmless, or an operator asked for it.
         """
         known = self._requests.get(fingerprint)
         if known is None or known.times != times:
@@ -54,15 +54,15 @@
             del self._requests[oldest]
 
     def snapshot(self) -> Quarantine:
-        """Return the whole."""
+        """Return the whole state."""
         return Quarantine(self._revision, tuple(self._requests.values()))
 
     def restore(self, quarantine: Quarantine) -> None:
-        """Replace the whole."""
+        """Replace the whole state."""
         self._revision = quarantine.revision
         self._requests = by_fingerprint(quarantine.requests)
 
 
 def by_fingerprint(requests: Iterable[QuarantinedRequest]) -> dict[bytes, QuarantinedRequest]:
-    """Return requests by fingerprint, in their order."""
+    """Index requests by fingerprint, in the given order."""
     return {request.fingerprint: request for request in requests}
--- a/src/rainsail/state/resource_commands.py
+++ b/src/rainsail/state/resource_commands.py
@@ -1,4 +1,4 @@
-"""Commands that change resources, and what applying them returns."""
+"""Commands that change resources, and their outcomes."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,15 @@
 from rainsail.wire.names import wire_type
 
 ANY_REVISION = -1
-"""``expected_revision`` of a change that does not care about the current revision."""
+"""``expected_revision`` of a change that applies at any revision."""
 MUST_NOT_EXIST = 0
-"""``expected_revision`` of a change that creates."""
+"""``expected_revision`` of a change that creates a resource."""
 
 
 @wire_type("PutResource")
 @dataclass(frozen=True, slots=True)
 class PutResource:
-    """Create or replace a spec. ``change_id`` makes a re-sent change get its first answer."""
+    """Create a resource or replace its spec. ``change_id`` makes the command idempotent."""
 
     change_id: str
     key: ResourceKey
@@ -25,7 +25,7 @@
 @wire_type("DeleteResource")
 @dataclass(frozen=True, slots=True)
 class DeleteResource:
-    """Delete a resource."""
+    """Delete a resource. ``change_id`` makes the command idempotent."""
 
     change_id: str
     key: ResourceKey
@@ -35,7 +35,7 @@
 @wire_type("PutStatus")
 @dataclass(frozen=True, slots=True)
 class PutStatus:
-    """Replace status and conditions; refused with a conflict when the revision moved on."""
+    """Replace status and conditions; a conflict if ``expected_revision`` is outdated."""
 
     key: ResourceKey
     status: Status | None
@@ -46,7 +46,7 @@
 @wire_type("MarkInForce")
 @dataclass(frozen=True, slots=True)
 class MarkInForce:
-    """Record that every gateway under a configuration lease has applied ``revision``."""
+    """Record that every gateway with a configuration lease has applied ``revision``."""
 
     revision: int
 
@@ -54,7 +54,7 @@
 @wire_type("ResourceChanged")
 @dataclass(frozen=True, slots=True)
 class ResourceChanged:
-    """The resource after the change (for a deletion: as it last was) and the store revision."""
+    """The resource after the change (before it, for a deletion) and the store revision."""
 
     resource: Resource
     revision: int
--- a/src/rainsail/state/resource_store.py
+++ b/src/rainsail/state/resource_store.py
@@ -1,7 +1,7 @@
-"""Resources under one store revision, and the window of events that watches follow.
+"""Resources under one store revision, and the window of recent events for watches.
 
-Every change of a resource raises the store revision by one and leaves one event, so events are
-numbered without gaps. A status that equals the stored one is no change.
+Each change of a resource increments the store revision and records one event, so event numbers
+have no gaps. Writing a status that equals the stored one is not a change.
 """
 
 from collections.abc import Iterator
@@ -36,7 +36,7 @@
 @wire_record("StoreRevisions")
 @dataclass(frozen=True, slots=True)
 class StoreRevisions:
-    """The revisions of a resource store, for a snapshot."""
+    """The revisions of a resource store, in a snapshot."""
 
     revision: int
     in_force_revision: int
@@ -45,7 +45,7 @@
 @wire_record("StoredEvent")
 @dataclass(frozen=True, slots=True)
 class StoredEvent:
-    """One event of the window, for a snapshot."""
+    """One event of the window, in a snapshot."""
 
     event: WatchEvent
 
@@ -75,7 +75,7 @@
         return [resource for each in kinds for resource in self._by_kind[each].values()]
 
     def events_since(self, revision: int, limit: int) -> list[WatchEvent] | None:
-        """Return up to ``limit`` events after ``revision``, or None when compacted away."""
+        """Return up to ``limit`` events after ``revision``, or None if some are compacted."""
         if revision + 1 < self._oldest_event:
             return None
         last = min(self.revision, revision + limit)
@@ -102,7 +102,7 @@
         return self._store(changed)
 
     def delete(self, command: DeleteResource) -> ResourceChanged | Fault:
-        """Delete a resource; the answer holds it as it last was."""
+        """Delete a resource; returns its last state."""
         current = self.get(command.key)
         if current is None:
             return not_found("delete_resource", f"there is no {_name(command.key)}")
@@ -136,7 +136,7 @@
         return self._store(changed)
 
     def update_session_status(self, view: SessionView) -> None:
-        """Show a session's place in its resource's status, when it has a resource."""
+        """Write a session's gateway and runner to the status of its resource, if it has one."""
         current = self.get(ResourceKey(Kind.SESSION, view.session))
         if current is None:
             return
@@ -145,7 +145,7 @@
             self._store(replace(current, status=status, revision=self.revision + 1))
 
     def mark_in_force(self, command: MarkInForce) -> Done:
-        """Raise the revision that is in force everywhere; it never falls or runs ahead."""
+        """Raise the revision in force; it never decreases or exceeds the store revision."""
         reached = min(command.revision, self.revision)
         self.in_force_revision = max(self.in_force_revision, reached)
         return Done()
@@ -172,14 +172,14 @@
             self._oldest_event += 1
 
     def records(self) -> Iterator[StoreRevisions | Resource | StoredEvent]:
-        """Yield the whole store for a snapshot: revisions first, then resources and events."""
+        """Yield the whole store for a snapshot: revisions, then resources, then events."""
         yield StoreRevisions(self.revision, self.in_force_revision)
         yield from self.list_resources()
         for event in self._events.values():
             yield StoredEvent(event)
 
     def restore(self, record: StoreRevisions | Resource | StoredEvent) -> None:
-        """Take one record of a snapshot, in the order of ``records``."""
+        """Restore one record of a snapshot; records come in the order of ``records``."""
         if isinstance(record, StoreRevisions):
             self.revision = record.revision
             self.in_force_revision = record.in_force_revision
--- a/src/rainsail/state/result_log.py
+++ b/src/rainsail/state/result_log.py
@@ -1,7 +1,7 @@
-"""The results of one job's finished items: appended once, read by index.
+"""Append-only store of the results of one job's items, read by item index.
 
-Records lie one after the other in segments, each headed by its item's index and its size, so
-that the place of each record can be found again from the segments alone.
+Records are stored one after the other in segments. Each starts with a header of item index and
+size, so that the location of each record can be rebuilt from the segments alone.
 """
 
 import struct
@@ -21,7 +21,7 @@
 @wire_type("FinishedItem")
 @dataclass(frozen=True, slots=True)
 class FinishedItem:
-    """How an item ended: its text, or why it was set aside."""
+    """Result of an item: its text, or the failure for which it was set aside."""
 
     custom_id: str
     text: str
@@ -32,14 +32,14 @@
 @wire_record("StoredResults")
 @dataclass(frozen=True, slots=True)
 class StoredResults:
-    """One segment of a job's results, for a snapshot."""
+    """One segment of a job's results, in a snapshot."""
 
     job_id: str
     segment: bytes
 
 
 class ResultLog:
-    """Results in segments and the place of each, as segment number and offset in one number."""
+    """Results in segments, with a location per item: segment number and offset in one integer."""
 
     __slots__ = ("_item_count", "_locations", "_segments")
 
@@ -73,12 +73,12 @@
         return decode_body(FinishedItem, bytes(segment[start : start + size]))
 
     def records(self, job_id: str) -> Iterator[StoredResults]:
-        """Yield every segment for a snapshot."""
+        """Yield all segments for a snapshot."""
         for segment in self._segments:
             yield StoredResults(job_id, bytes(segment))
 
     def restore(self, record: StoredResults) -> None:
-        """Take one segment of a snapshot and find the places of its records."""
+        """Restore one segment of a snapshot and the locations of its records."""
         segment = bytearray(record.segment)
         self._segments.append(segment)
         offset = 0
--- a/src/rainsail/state/session_commands.py
+++ b/src/rainsail/state/session_commands.py
@@ -1,4 +1,4 @@
-"""Commands for request claims and sessions, and what applying them returns."""
+"""Commands for request claims and sessions, and their outcomes."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 @wire_type("ClaimRequest")
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Claim a non-repeatable request before it is sent to an engine."""
+    """Claim a non-repeatable request, so that no other gateway sends it to an engine."""
 
     tenant: str
     request_id: str
@@ -21,7 +21,7 @@
 @wire_type("FinishRequest")
 @dataclass(frozen=True, slots=True)
 class FinishRequest:
-    """Record how a claimed request ended. NOT_RUN releases the claim."""
+    """Record the outcome of a claimed request. NOT_RUN releases the claim."""
 
     tenant: str
     request_id: str
@@ -33,10 +33,11 @@
 @wire_type("ClaimResult")
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
-    """``granted`` to the asking gateway, or what is known of the first claim.
+    """Whether the claim is ``granted`` to the requesting gateway.
 
-    When not granted, ``outcome`` is COMPLETED with the recorded response, or UNKNOWN while the
-    first claim is unfinished. Another content digest is a CONFLICT fault.
+    If not, ``gateway`` made the first claim, and ``outcome`` is COMPLETED with the recorded
+    response, or UNKNOWN while the first claim is unfinished. A claim with a different content
+    digest is a CONFLICT fault instead.
     """
 
     granted: bool
@@ -51,7 +52,7 @@
 @wire_type("AttachSession")
 @dataclass(frozen=True, slots=True)
 class AttachSession:
-    """Pin a session to a runner under a new fence; the expected fence makes races lose."""
+    """Pin a session to a runner under a new fence; a conflict if ``expected_fence`` is outdated."""
 
     session: str
     gateway: str
@@ -62,7 +63,7 @@
 @wire_type("Turn")
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """One exchange of a session; ``request_id`` is the caller's, to know a re-sent turn by."""
+    """One exchange of a session; the caller's ``request_id`` identifies a re-sent turn."""
 
     prompt: str
     answer: str
@@ -72,7 +73,7 @@
 @wire_type("AppendTurn")
 @dataclass(frozen=True, slots=True)
 class AppendTurn:
-    """Append a finished exchange; refused as FENCED when the session has moved.
+    """Append a finished exchange; FENCED if the session has been attached elsewhere since.
 
     ``turn_index`` is the number of turns before this one; a re-sent turn is ignored.
     """
@@ -86,7 +87,7 @@
 @wire_record("SessionView")
 @dataclass(frozen=True, slots=True)
 class SessionView:
-    """A session's place and transcript."""
+    """A session's gateway, runner and transcript."""
 
     session: str
     gateway: str
--- a/src/rainsail/state/sessions.py
+++ b/src/rainsail/state/sessions.py
@@ -1,8 +1,8 @@
-"""Sessions: where each lives, under which fence, and its transcript.
+"""Sessions: the gateway and runner of each, its fencing token (``fence``) and its transcript.
 
-A session begins with its resource, or with its first attachment. One that was deleted and is
-declared again begins at the highest fence of any deleted session, so that nothing that was sent
-under an old fence counts for the new one.
+A session is created with its resource or by its first attachment. A new session starts at the
+highest fence of any deleted session, so that commands sent under a fence of a deleted session of
+the same name are rejected.
 """
 
 from collections.abc import Iterator
@@ -16,13 +16,13 @@
 from rainsail.wire.codec import wire_record
 
 NEVER_ATTACHED = -1
-"""``attached_from`` of a session that has no place yet."""
+"""``attached_from`` of a session that is not attached yet."""
 
 
 @wire_record("SessionFenceFloor")
 @dataclass(frozen=True, slots=True)
 class SessionFenceFloor:
-    """The highest fence of any removed session, for a snapshot."""
+    """The highest fence of any removed session, in a snapshot."""
 
     fence: int
 
@@ -30,14 +30,14 @@
 @wire_record("StoredSession")
 @dataclass(frozen=True, slots=True)
 class StoredSession:
-    """One session for a snapshot; ``attached_from`` is the fence its attachment expected."""
+    """One session in a snapshot; ``attached_from`` is the fence that its attachment expected."""
 
     view: SessionView
     attached_from: int
 
 
 class Session:
-    """A session's place and its turns so far."""
+    """A session's gateway, runner, fence and turns."""
 
     __slots__ = ("attached_from", "fence", "gateway", "name", "runner", "turns")
 
@@ -50,11 +50,11 @@
         self.turns: list[Turn] = []
 
     def view(self) -> SessionView:
-        """Return the session as a value."""
+        """Return an immutable view of the session."""
         return SessionView(self.name, self.gateway, self.runner, self.fence, tuple(self.turns))
 
     def pin(self, command: AttachSession) -> None:
-        """Take the place of an attachment under the next fence."""
+        """Pin the session to the attachment's gateway and runner under the next fence."""
         self.attached_from = command.expected_fence
         self.fence += 1
         self.gateway = command.gateway
@@ -67,7 +67,7 @@
 
 
 class SessionStore:
-    """All sessions. A removed session's fences are not used again under its name."""
+    """All sessions by name. Fences of a removed session are not reused under its name."""
 
     def __init__(self) -> None:
         self._sessions: SortedDict = SortedDict()
@@ -79,15 +79,15 @@
         return None if session is None else session.view()
 
     def declare(self, name: str) -> None:
-        """Begin a session whose resource was put, unless it is there already."""
+        """Create the session of a new resource, unless it exists already."""
         if name not in self._sessions:
             self._sessions[name] = Session(name, self._fence_floor)
 
     def attach(self, command: AttachSession) -> SessionView | Fault:
         """Pin a session to a gateway and runner under a new fence.
 
-        A session that is not there is begun. The same attachment sent again gets the same
-        answer; any other that expects an old fence is a conflict naming the current one.
+        Creates the session if it does not exist. A re-sent attachment gets the same answer; any
+        other one that expects an old fence is a conflict that names the current fence.
         """
         if not command.session:
             return invalid("attach_session", "a session needs a name")
@@ -106,7 +106,7 @@
         return session.view()
 
     def append_turn(self, command: AppendTurn) -> Done | Fault:
-        """Append a turn; a turn that is there already is not appended again."""
+        """Append a turn; a turn that was appended before is not appended again."""
         session = self._sessions.get(command.session)
         if session is None:
             return not_found("append_turn", f"there is no session {command.session!r}")
@@ -129,13 +129,13 @@
             self._fence_floor = max(self._fence_floor, session.fence)
 
     def records(self) -> Iterator[SessionFenceFloor | StoredSession]:
-        """Yield every session for a snapshot."""
+        """Yield all sessions for a snapshot."""
         yield SessionFenceFloor(self._fence_floor)
         for session in self._sessions.values():
             yield StoredSession(session.view(), session.attached_from)
 
     def restore(self, record: SessionFenceFloor | StoredSession) -> None:
-        """Take one record of a snapshot."""
+        """Restore one record of a snapshot."""
         if isinstance(record, SessionFenceFloor):
             self._fence_floor = record.fence
             return
--- a/src/rainsail/state/snapshot.py
+++ b/src/rainsail/state/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots in chunks: Avro records of the stores, packed into parts of a bounded size.
+"""Encoding of snapshots in chunks: Avro records of the stores, packed into bounded parts.
 
-A part may exceed its size by one record, never by more. The first part carries the format, so
-that a snapshot of another format is refused instead of misread.
+A part exceeds its size limit by at most one record. The first part contains the format version,
+so that a snapshot of another format is refused instead of misread.
 """
 
 from collections.abc import Iterable, Iterator
@@ -22,7 +22,7 @@
 
 SNAPSHOT_FORMAT = 1
 _SMALL_RECORD_BYTES = 512
-"""Assumed size of a record without a block of bytes, to close parts without encoding twice."""
+"""Assumed size of a record without its byte blocks; avoids encoding records twice."""
 
 
 @wire_record("SnapshotStart")
@@ -90,7 +90,7 @@
 
 
 def decode_parts(chunks: Iterable[bytes]) -> Iterator[SnapshotRecord]:
-    """Yield the records of a snapshot; raises ``RainsailError`` when it can't be read."""
+    """Yield the records of a snapshot; raises ``RainsailError`` if it is unreadable."""
     started = False
     for chunk in chunks:
         for record in _decode_part(chunk).records:
--- a/src/rainsail/state/state_machine.py
+++ b/src/rainsail/state/state_machine.py
@@ -5,24 +5,24 @@
 
 
 class StateMachine(Protocol):
-    """Deterministic state: the same commands in the same order give the same state."""
+    """Deterministic state: equal sequences of commands lead to equal states."""
 
     def apply(self, index: int, command: Any) -> Any:
         """Apply the committed command at log ``index``; a ``Fault`` outcome changed nothing."""
         ...
 
     def snapshot(self) -> Iterator[bytes]:
-        """Return the whole state as it is at the call, as chunks.
+        """Return the state at the time of the call, as chunks.
 
-        Chunks are asked for later, one by one, while further commands are applied; those must
-        not show in them.
+        The caller reads the chunks later, one by one, while further commands are applied. The
+        chunks must not reflect those commands.
         """
         ...
 
     def restore(self, chunks: Iterable[bytes]) -> None:
         """Replace the whole state by a snapshot's chunks.
 
-        The caller sees to it that no chunk lacks. Raises ``CodecError`` or ``RainsailError`` for
-        chunks that aren't a snapshot of this state, and lets errors of ``chunks`` through.
+        The caller ensures that no chunk is missing. Raises ``CodecError`` or ``RainsailError`` for
+        chunks that are not a snapshot of this state; errors of ``chunks`` propagate.
         """
         ...
--- a/src/rainsail/storage/segment_log.py
+++ b/src/rainsail/storage/segment_log.py
@@ -83,7 +83,7 @@
     ) -> Result[None, Fault]:
         """Write a batch and sync it; ``position`` is where the log stood before the batch.
 
-        ``set_location(record, sequence, offset)`` is called for each record before the batch's sync.
+        ``set_location(record, sequence, offset)`` is called for each record before the sync.
         """
         if self._file is None or self._written_bytes >= self._segment_bytes:
             begun = await self._begin_segment(position)
