--- a/features/steps/storage_crash_steps.py
+++ b/features/steps/storage_crash_steps.py
@@ -4,8 +4,8 @@
 
 from behave import then, when
 from features.support.storage import (
+    AckBeforeSyncMachine,
     CrashMachine,
-    EagerAnswerMachine,
     LyingFolderSyncMachine,
     LyingSyncMachine,
 )
@@ -16,14 +16,14 @@
 SCHEDULES_TO_FIND_A_DEFECT = 100
 VARIANTS = {
     "sync-lies": LyingSyncMachine,
-    "ack-before-sync": EagerAnswerMachine,
+    "ack-before-sync": AckBeforeSyncMachine,
     "no-checksum": CrashMachine,
     "no-folder-sync": LyingFolderSyncMachine,
 }
 
 
 def run_schedules(machine, schedules):
-    """Run random schedules and return the violation, None when there is none."""
+    """Run random schedules and return the violation, or None."""
     chosen = settings(
         derandomize=True,
         max_examples=schedules,
@@ -61,4 +61,4 @@
 
 @then("the storage model check found a violation")
 def step_caught(context):
-    assert context.violation is not None, "the known-bad variant went unnoticed"
+    assert context.violation is not None, "the injected defect was not detected"
--- a/features/steps/storage_damage_steps.py
+++ b/features/steps/storage_damage_steps.py
@@ -22,7 +22,7 @@
 
 
 def append_raw(rig, data):
-    """Add durable bytes to the first segment, past the storage."""
+    """Append durable bytes to the first segment, bypassing the storage."""
     rig.disk.kill()
     rig.disk.replace(FIRST_SEGMENT, rig.disk.read(FIRST_SEGMENT) + data)
 
@@ -42,7 +42,7 @@
     append_raw(context.rig, bytes(20) + batch[20:])
 
 
-@then("the storage's segment has no bytes after its last sound record")
+@then("the storage's segment has no bytes after its last valid record")
 def step_cut(context):
     scanned = scan(context.rig.disk.read(FIRST_SEGMENT), GROUP)
     assert scanned.damage is None, scanned.damage
@@ -62,7 +62,7 @@
 
 
 def refused(context):
-    """Return the fault that opening ends with."""
+    """Open the storage, which must fail, and return the fault."""
     context.rig.disk.kill()
     result = context.rig.try_open()
     assert result.is_error(), "the storage opened"
@@ -82,8 +82,8 @@
     assert fault.detail.startswith(f"{FIRST_SEGMENT} at offset "), fault.detail
 
 
-@when("every byte of the first segment is garbled")
-def step_garble(context):
+@when("every byte of the first segment is corrupted")
+def step_corrupt(context):
     data = context.rig.disk.read(FIRST_SEGMENT)
     context.rig.disk.replace(FIRST_SEGMENT, bytes(byte ^ 0xFF for byte in data))
 
--- a/features/steps/storage_fuzz_steps.py
+++ b/features/steps/storage_fuzz_steps.py
@@ -1,4 +1,4 @@
-"""Steps that put arbitrary bytes where segments, snapshots and identities are expected."""
+"""Steps that replace segments, snapshots and identities by arbitrary bytes."""
 
 import random
 
@@ -68,7 +68,7 @@
     return rig.try_open()
 
 
-@when("{count:d} files of {content} stand in for a {name}")
+@when("{count:d} files of {content} replace a {name}")
 def step_fuzz(context, count, content, name):
     context.results = []
 
@@ -80,11 +80,11 @@
     check()
 
 
-@then("opening the storage each time gave a storage or a typed fault")
+@then("opening the storage returned a storage or a typed fault each time")
 def step_typed(context):
     assert len(context.results) >= 100, len(context.results)
     faults = [result.error for result in context.results if result.is_error()]
-    assert faults, "every file was taken for sound"
+    assert faults, "every file was accepted as valid"
     assert all(fault.code is FaultCode.STORAGE for fault in faults), faults
 
 
@@ -109,7 +109,7 @@
         assert found == records and whole.damage is None, whole
 
 
-@then("every scan of a cut-off copy gave a prefix of them")
+@then("every scan of a truncated copy gave a prefix of them")
 def step_prefix(context):
     for records, _, part in context.scans:
         found = [(record.kind, record.body, record.durable) for record in part.records]
--- a/features/steps/storage_identity_steps.py
+++ b/features/steps/storage_identity_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the identity of a replica and on foreign data folders."""
+"""Steps on the identity of a replica and on data folders of others."""
 
 import random
 
@@ -53,14 +53,16 @@
     load(context, replica, fleet)
 
 
-@when('the power is cut {milliseconds:d} milliseconds into making the identity of "a1" of "north"')
+@when(
+    'the power is cut {milliseconds:d} milliseconds into creating the identity of "a1" of "north"'
+)
 def step_cut(context, milliseconds):
     load_or_create_identity(context.rig.disk, "north", "a1", SCHEMAS, context.random)
     context.rig.clock.advance(milliseconds / 1000)
     context.rig.disk.crash()
 
 
-@when("a program with other records loads it")
+@when("a program with other record schemas loads it")
 def step_other_schemas(context):
     context.schemas = "other-schemas"
     load(context, "a1", "north")
--- a/features/steps/storage_local_steps.py
+++ b/features/steps/storage_local_steps.py
@@ -31,7 +31,7 @@
 
 
 def wait_ok(context, deferred):
-    """Wait for a result, which must be ok, and return its value."""
+    """Wait for a Deferred, whose result must be ok, and return its value."""
     result = context.folder.reactor.wait(deferred)
     assert result.is_ok(), str(result.error)
     return result.ok
@@ -44,7 +44,7 @@
 
 
 def fill(context, entries, snapshot):
-    """Make an identity, entries and a snapshot, then close."""
+    """Create an identity, entries and a snapshot, then close."""
     context.identity = identify(context)
     storage = wait_ok(context, open_group_storage(context.files, GROUP, StorageSettings()))
     storage.append(make_entries(1, entries))
@@ -204,7 +204,7 @@
     context.before = context.folder.contents()
 
 
-@then("the offline report tells {count:d} torn bytes")
+@then("the offline report shows {count:d} torn bytes")
 def step_torn(context, count):
     assert context.code == 0 and context.report["faults"] == [], context.report
     files = context.report["groups"][0]["files"]
--- a/features/steps/storage_log_steps.py
+++ b/features/steps/storage_log_steps.py
@@ -176,7 +176,7 @@
 }
 
 
-@then("the storage refuses an unfit call: {call}")
+@then("the storage refuses an invalid call: {call}")
 def step_refuses(context, call):
     try:
         REFUSED_CALLS[call](context.rig.storage)
--- a/features/steps/storage_snapshot_steps.py
+++ b/features/steps/storage_snapshot_steps.py
@@ -21,7 +21,7 @@
 
 
 def start_snapshot(rig, index, term=1):
-    """Begin to save a snapshot and return the Deferred."""
+    """Start saving a snapshot and return the Deferred."""
     chunks = iter(snapshot_chunks(index))
     return rig.storage.save_snapshot(SnapshotMeta(index, term, MEMBERS), chunks)
 
@@ -83,8 +83,8 @@
     assert not [name for name in names if name.endswith(".part")], names
 
 
-@when("a snapshot of entry {index:d} in term {term:d} is cut off before its reset")
-def step_cut_before_reset(context, index, term):
+@when("installing a snapshot of entry {index:d} in term {term:d} is interrupted before the reset")
+def step_interrupt_before_reset(context, index, term):
     start_snapshot(context.rig, index, term)
     while not context.rig.disk.exists(snapshot_path(index)):
         assert context.rig.clock.run_next(context.rig.clock.seconds() + 1)
--- a/features/storage/damage.feature
+++ b/features/storage/damage.feature
@@ -1,22 +1,23 @@
 Feature: Damaged, torn and failing disks
-  A torn tail is cut off. Any other damage refuses to open, with the file and the offset.
+  A torn tail is truncated. With any other damage the storage refuses to open and names the file and
+  the offset.
 
-  Scenario: A torn last record is cut off
+  Scenario: A torn last record is truncated
     Given a group's storage on a simulated disk
     And the storage holds 4 synced entries
     When 5 bytes of a further record were written before the power was cut
     And the storage is opened again
     Then the storage holds entries 1 to 4
-    And the storage's segment has no bytes after its last sound record
+    And the storage's segment has no bytes after its last valid record
 
-  Scenario: A torn record in front of whole ones of the same batch is cut off with them
+  Scenario: A torn record before valid ones of the same batch is truncated with them
     Given a group's storage on a simulated disk
     And the storage holds 4 synced entries
     When a batch of 3 entries loses its first sector in a power cut
     And the storage is opened again
     Then the storage holds entries 1 to 4
 
-  Scenario Outline: A flipped bit refuses to open
+  Scenario Outline: A storage with a flipped bit refuses to open
     Given a group's storage on a simulated disk
     And the storage holds 4 synced entries
     When one bit flips in the <part> of entry <entry>
@@ -31,19 +32,19 @@
       | payload  | 4     |
       | length   | 4     |
 
-  Scenario: A flipped bit in a closed segment refuses to open
+  Scenario: A storage with a flipped bit in a closed segment refuses to open
     Given a group's storage with 400-byte segments on a simulated disk
     And the storage holds 20 synced entries, each with its own sync
     When one bit flips at the end of the first segment
     Then the storage refuses to open, naming the segment
 
-  Scenario: A segment that is garbled whole refuses to open
+  Scenario: A storage with a completely corrupted segment refuses to open
     Given a group's storage on a simulated disk
     And the storage holds 20 synced entries
-    When every byte of the first segment is garbled
+    When every byte of the first segment is corrupted
     Then the storage refuses to open, naming the segment
 
-  Scenario: A segment whose header was torn is begun anew
+  Scenario: A segment with a torn header is replaced
     Given a group's storage with 400-byte segments on a simulated disk
     And the storage holds 4 synced entries
     When a second segment was left with 20 bytes of a header by a power cut
@@ -54,18 +55,18 @@
     And the power is cut and the storage opened again
     Then the storage holds entries 1 to 24
 
-  Scenario: A missing segment refuses to open
+  Scenario: A storage with a missing segment refuses to open
     Given a group's storage with 400-byte segments on a simulated disk
     And the storage holds 20 synced entries, each with its own sync
     When the first segment is removed from the disk
     Then the storage refuses to open because entries are missing
 
-  Scenario: A segment of a newer format refuses to open
+  Scenario: A storage with a segment of a newer format refuses to open
     Given a group's storage on a simulated disk
     When the first segment has the header of format 2
     Then the storage refuses to open because the format is newer
 
-  Scenario: Records of another group refuse to open
+  Scenario: A storage with records of another group refuses to open
     Given a group's storage on a simulated disk
     And the storage holds 4 synced entries
     When its segment is copied into the folder of group 9
@@ -89,7 +90,7 @@
     When the process ends and the storage is opened again
     Then the storage holds entries 1 to 4
 
-  Scenario: A read of a damaged old entry is a typed fault
+  Scenario: Reading a damaged old entry raises a typed fault
     Given a group's storage with 400-byte segments on a simulated disk
     And the storage holds 20 synced entries, each with its own sync
     When one bit flips at the end of the first segment
--- a/features/storage/fuzz.feature
+++ b/features/storage/fuzz.feature
@@ -1,9 +1,9 @@
 Feature: Arbitrary bytes on the disk
-  Whatever a file holds, opening ends with a storage or a typed fault, never with another error.
+  With any file content, opening returns a storage or a typed fault and raises no other error.
 
   Scenario Outline: Arbitrary and altered files
-    When 200 files of <content> stand in for a <file>
-    Then opening the storage each time gave a storage or a typed fault
+    When 200 files of <content> replace a <file>
+    Then opening the storage returned a storage or a typed fault each time
 
     Examples:
       | file     | content             |
@@ -16,7 +16,7 @@
       | identity | arbitrary bytes     |
       | identity | arbitrary records   |
 
-  Scenario: Records come back as they were framed
+  Scenario: Framed records are scanned unchanged
     When 200 random lists of records are framed and scanned
     Then every scan gave the same records without damage
-    And every scan of a cut-off copy gave a prefix of them
+    And every scan of a truncated copy gave a prefix of them
--- a/features/storage/identity.feature
+++ b/features/storage/identity.feature
@@ -1,7 +1,8 @@
 Feature: The identity of a replica
-  An identity is made with the data folder, so an empty disk never passes for the old replica.
+  An identity is created with the data folder, so that a replica with an empty disk is not mistaken
+  for the old replica.
 
-  Scenario: An identity is made once and found again
+  Scenario: An identity is created once and found again
     Given an empty simulated data folder
     When the identity of replica "a1" of fleet "north" is loaded
     Then the identity is new and has 32 hexadecimal digits
@@ -9,16 +10,16 @@
     And the identity of replica "a1" of fleet "north" is loaded
     Then the identity is the first one and is not new
 
-  Scenario: A lost disk gets another identity
+  Scenario: A replica that lost its disk gets another identity
     Given an empty simulated data folder
     When the identity of replica "a1" of fleet "north" is loaded
     And the data folder's disk is lost
     And the identity of replica "a1" of fleet "north" is loaded
     Then the identity is new and differs from the first one
 
-  Scenario Outline: A power cut while the identity is made leaves a folder that works
+  Scenario Outline: After a power cut while the identity is created the folder is usable
     Given an empty simulated data folder
-    When the power is cut <milliseconds> milliseconds into making the identity of "a1" of "north"
+    When the power is cut <milliseconds> milliseconds into creating the identity of "a1" of "north"
     And the identity of replica "a1" of fleet "north" is loaded
     Then the identity has 32 hexadecimal digits
 
@@ -31,7 +32,7 @@
   Scenario: A data folder whose records another version has written is refused
     Given an empty simulated data folder
     When the identity of replica "a1" of fleet "north" is loaded
-    And a program with other records loads it
+    And a program with other record schemas loads it
     Then the identity is refused because of "written by another version"
 
   Scenario Outline: A data folder that isn't this replica's is refused
--- a/features/storage/local_files.feature
+++ b/features/storage/local_files.feature
@@ -1,5 +1,5 @@
 Feature: The real data folder
-  Real files, synced in a worker thread, and never outside their folder.
+  Files are synced in a worker thread and never outside of their folder.
 
   Scenario: A group's storage and identity on real files survive a restart
     Given a real data folder
--- a/features/storage/log.feature
+++ b/features/storage/log.feature
@@ -1,5 +1,5 @@
 Feature: The durable log of a group
-  Writes gather in memory and become durable together, one sync per batch.
+  Group commit: writes are queued in memory and become durable with one sync per batch.
 
   Scenario: Synced writes are found again after a power cut
     Given a group's storage on a simulated disk
@@ -11,14 +11,14 @@
     And the storage holds the vote for "replica-2" in term 4
     And the storage knows term 1 at entry 5 and none at entry 6
 
-  Scenario: Writes gather while a sync is under way
+  Scenario: Writes are queued while a sync is running
     Given a group's storage on a simulated disk
     And the storage holds 1 synced entry
     When 20 entries are each appended and synced without waiting
     Then the storage used 2 syncs for the 20 entries
     And the storage answered all 20 syncs in order
 
-  Scenario: A sync asked for while another runs covers what was queued in between
+  Scenario: A sync requested while another runs covers what was queued in between
     Given a group's storage on a simulated disk
     And the storage holds 1 synced entry
     When an entry is synced and a second one queued and synced half a latency later
@@ -42,7 +42,7 @@
     Then the storage holds entries 1 to 9
     And the storage knows term 3 at entry 8 and none at entry 10
 
-  Scenario: Entries older than the cache are read back from the segments, up to a bound
+  Scenario: Entries older than the cache are read from the segments, up to a size limit
     Given a group's storage with 400-byte segments on a simulated disk
     When the storage gets 50 entries of term 1
     And the storage is synced
@@ -51,10 +51,10 @@
     And the storage returns 1 entry from entry 3 on for a bound of 0 bytes
     And the storage returns 4 entries from entry 3 on for a bound of 80 bytes
 
-  Scenario Outline: Calls that don't fit the log are refused and change nothing
+  Scenario Outline: Invalid calls are refused and change nothing
     Given a group's storage on a simulated disk
     And the storage holds 3 synced entries
-    Then the storage refuses an unfit call: <call>
+    Then the storage refuses an invalid call: <call>
     And the storage holds entries 1 to 3
 
     Examples:
--- a/features/storage/offline.feature
+++ b/features/storage/offline.feature
@@ -1,7 +1,7 @@
 Feature: Reading a data folder offline
   rainsail storage inspect and verify read a stopped replica's folder and change nothing.
 
-  Scenario: A sound folder
+  Scenario: A valid folder
     Given a real data folder with an identity, 30 entries and a snapshot of entry 10
     When the data folder is verified offline
     Then the offline command ends with code 0 and prints "sound: 1 groups"
@@ -14,14 +14,14 @@
     When the data folder is inspected offline
     Then the offline command ends with code 0 and prints "0000000001.log"
 
-  Scenario: A torn tail is told and left as it is
+  Scenario: A torn tail is reported and left unchanged
     Given a real data folder with an identity, 30 entries and a snapshot of entry 10
     When 7 bytes of a torn record are added to the real segment
     And the data folder is inspected offline as JSON
-    Then the offline report tells 7 torn bytes
+    Then the offline report shows 7 torn bytes
     And the offline commands changed no file
 
-  Scenario Outline: Damage is named with file and offset
+  Scenario Outline: Damage is reported with file and offset
     Given a real data folder with an identity, 30 entries and a snapshot of entry 10
     When one bit flips in the real <file>
     And the data folder is verified offline
--- a/features/storage/random_crashes.feature
+++ b/features/storage/random_crashes.feature
@@ -1,11 +1,11 @@
 Feature: Storage under crashes at random points
-  Whatever a sync has vouched for is found again, and nothing else is made up.
+  All synced writes are found again, and nothing that was never written.
 
-  Scenario: Random calls and crashes find only states that were passed through
+  Scenario: After random calls and crashes the storage is in a state it had since its last sync
     When 150 random schedules of calls and crashes run on a group's storage
     Then the storage model check found no violation
 
-  Scenario Outline: The model check finds known-bad variants
+  Scenario Outline: The model check detects injected defects
     When random schedules run on a group's storage with the defect "<defect>"
     Then the storage model check found a violation
 
--- a/features/storage/snapshots.feature
+++ b/features/storage/snapshots.feature
@@ -1,5 +1,5 @@
 Feature: Snapshots and compaction
-  A snapshot counts once it is synced, renamed and its folder synced; until then the log does.
+  A snapshot is valid once it is synced and renamed and its folder synced; until then the log is used.
 
   Scenario: A snapshot replaces the log before it
     Given a group's storage with 400-byte segments on a simulated disk
@@ -50,17 +50,17 @@
       | before its sync                       |
       | between its sync and its rename's sync |
 
-  Scenario: An install interrupted before the log was reset is finished at the next start
+  Scenario: An installation interrupted before the log reset is completed at the next start
     Given a group's storage on a simulated disk
     And the storage holds 5 synced entries
-    When a snapshot of entry 100 in term 7 is cut off before its reset
+    When installing a snapshot of entry 100 in term 7 is interrupted before the reset
     Then the storage is empty after entry 100
     When the storage gets 2 entries of term 7
     And the storage is synced
     And the power is cut and the storage opened again
     Then the storage holds entries 101 to 102
 
-  Scenario: Two snapshots at once end with the newer one
+  Scenario: Of concurrent snapshots the newest one is retained
     Given a group's storage on a simulated disk
     And the storage holds 9 synced entries
     When snapshots of entries 4, 8 and 6 are saved without waiting
@@ -68,7 +68,7 @@
     And the snapshot of entry 8 reads back
     And no temporary file is left in the storage
 
-  Scenario: A disk too full for a snapshot leaves the log usable
+  Scenario: The log stays usable when the disk is too full for a snapshot
     Given a group's storage on a simulated disk
     And the storage holds 5 synced entries
     When the disk has room for 300 more bytes and a snapshot of entry 4 is saved
@@ -84,7 +84,7 @@
     When the disk fails the sync of a snapshot of entry 4
     Then every later sync of the storage answers with the same fault
 
-  Scenario Outline: A damaged snapshot refuses to open
+  Scenario Outline: A storage with a damaged snapshot refuses to open
     Given a group's storage on a simulated disk
     And the storage holds 5 synced entries
     And a snapshot of entry 4 was saved
--- a/features/support/local_storage.py
+++ b/features/support/local_storage.py
@@ -1,4 +1,4 @@
-"""Real files with worker threads, without a running reactor."""
+"""Temporary local folders and worker threads, without a running reactor."""
 
 import queue
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class ThreadReactor:
-    """As much of a reactor as worker threads need; the caller's thread runs the answers."""
+    """The parts of a reactor that worker threads need; the caller's thread runs the callbacks."""
 
     def __init__(self) -> None:
         self._calls: queue.Queue[Any] = queue.Queue()
@@ -37,7 +37,7 @@
         return fired[0]
 
     def stop(self) -> None:
-        """End the worker threads."""
+        """Stop the worker threads."""
         self._pool.stop()
 
 
@@ -57,6 +57,6 @@
         return {str(path.relative_to(self.path)): path.read_bytes() for path in files}
 
     def close(self) -> None:
-        """Remove everything."""
+        """Stop the worker threads and remove the folder."""
         self.reactor.stop()
         self._temporary.cleanup()
--- a/features/support/storage.py
+++ b/features/support/storage.py
@@ -1,4 +1,4 @@
-"""A group's storage on a simulated disk, and a model of what may be found after a crash."""
+"""A group's storage on a simulated disk, and a model of the valid states after a crash."""
 
 import random
 from collections.abc import Iterator
@@ -27,12 +27,12 @@
 LOSE_UNSYNCED_WRITES = SimulatedDiskSettings(partial_write_share=0.0)
 
 SCHEMAS = "test-schemas"
-"""Fingerprint that the data folders of the features carry."""
+"""Schema fingerprint of the data folders in the features."""
 
 
 @dataclass
 class StorageRig:
-    """A disk, its clock and the storage that is open on it."""
+    """A simulated disk, its clock and the storage opened on it."""
 
     disk_settings: SimulatedDiskSettings = LOSE_UNSYNCED_WRITES
     settings: StorageSettings = field(default_factory=StorageSettings)
@@ -65,11 +65,11 @@
         assert result.is_ok(), str(result.error)
 
     def append(self, count: int, term: int = 1, size: int = 20) -> None:
-        """Queue entries with recognisable payloads."""
+        """Queue entries whose payload contains index and term."""
         self.storage.append(make_entries(self.storage.last_index + 1, count, term, size))
 
     def found(self) -> tuple[LogEntry, ...]:
-        """Return every entry held."""
+        """Return all entries of the log."""
         storage = self.storage
         if storage.last_index < storage.first_index:
             return ()
@@ -77,7 +77,7 @@
 
 
 def make_entries(first: int, count: int, term: int = 1, size: int = 20) -> tuple[LogEntry, ...]:
-    """Return entries whose payload names index and term, ``size`` bytes or a little more."""
+    """Return entries whose payload contains index and term, padded to ``size`` bytes."""
     return tuple(
         LogEntry(index, term, f"{index}/{term}/".encode().ljust(size, b"."))
         for index in range(first, first + count)
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class LogState:
-    """One state that the storage passed through; entries by index, ``base`` before the first."""
+    """A state of the storage; ``base`` is the index before the first of ``entries``."""
 
     hard_state: HardState
     base: int
@@ -108,9 +108,9 @@
 
 
 class CrashMachine(RuleBasedStateMachine):
-    """Random calls and crashes; what is found must be a state passed through since the last sync.
+    """Random calls and crashes; after a crash the storage must be in a state since the last sync.
 
-    ``states[durable]`` is the newest state that a sync has vouched for.
+    ``states[durable]`` is the newest state that a successful sync covers.
     """
 
     DISK_SETTINGS = SimulatedDiskSettings(
@@ -134,7 +134,7 @@
         self.rig.open()
 
     def prepare(self) -> None:
-        """Give a known-bad variant its place."""
+        """Hook for subclasses that inject a defect into the disk."""
 
     @property
     def storage(self) -> Any:
@@ -173,7 +173,7 @@
 
     @rule()
     def sync(self) -> None:
-        """Ask for a sync; its answer counts whenever it comes."""
+        """Request a sync; a successful answer makes the current state durable."""
         covered = len(self.states) - 1
         self.storage.sync().addCallback(self._synced, self.rig.disk.process, covered)
 
@@ -229,7 +229,7 @@
 
     @rule()
     def crash(self) -> None:
-        """Cut the power, start again and check."""
+        """Cut the power, reopen the storage and check it."""
         self.rig.disk.crash()
         self._check()
 
@@ -243,7 +243,7 @@
 
     @rule()
     def kill(self) -> None:
-        """End the process only, start again and check."""
+        """Kill the process without losing the page cache, reopen the storage and check it."""
         self.rig.disk.kill()
         self._check()
 
@@ -267,7 +267,7 @@
         return tuple(entry for entry in self.rig.found() if entry.index > index)
 
     def _candidates(self, meta: SnapshotMeta | None) -> Iterator[LogState]:
-        """Yield the states that a crash may leave behind."""
+        """Yield the valid states after a crash."""
         for state in self.states[self.durable :]:
             yield state
             if meta is not None and meta == self.offered and meta.last_index > state.last_index:
@@ -282,26 +282,26 @@
 
 
 class LyingSyncMachine(CrashMachine):
-    """Known-bad variant: the disk answers syncs without making anything durable."""
+    """Injected defect: the disk acknowledges syncs without making anything durable."""
 
     def prepare(self) -> None:
-        """Switch the lie on."""
+        """Make syncs ineffective."""
         self.rig.disk.sync_lies = True
 
 
-class EagerAnswerMachine(CrashMachine):
-    """Known-bad variant: a sync is acknowledged before the disk has answered."""
+class AckBeforeSyncMachine(CrashMachine):
+    """Injected defect: a sync is acknowledged before the disk has answered."""
 
     @rule()
     def sync(self) -> None:
-        """Count a sync as done at once."""
+        """Count a sync as successful at once."""
         self.storage.sync()
         self.durable = len(self.states) - 1
 
 
 class LyingFolderSyncMachine(CrashMachine):
-    """Known-bad variant: folder syncs do nothing, so renames and creations stay volatile."""
+    """Injected defect: folder syncs do nothing, so renames and creations are not durable."""
 
     def prepare(self) -> None:
-        """Take the folder sync away."""
+        """Make folder syncs ineffective."""
         self.rig.disk.sync_folder = lambda folder: succeed(Ok(None))
--- a/features/support/storage_bytes.py
+++ b/features/support/storage_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of sound files and alterations of them."""
+"""Bytes of valid files and alterations of them."""
 
 from functools import cache
 
@@ -25,7 +25,7 @@
 
 
 def altered(data: bytes) -> strategies.SearchStrategy[bytes]:
-    """Return a strategy that cuts ``data``, changes a byte and doubles or drops a piece."""
+    """Return a strategy that truncates ``data``, changes a byte, or repeats or drops a piece."""
     place = strategies.integers(0, len(data) - 1)
     return strategies.builds(_alter, strategies.just(data), place, place, strategies.integers(0, 3))
 
--- a/src/rainsail/storage/__init__.py
+++ b/src/rainsail/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage: the file seam, the segment log, snapshots and a replica's identity."""
+"""Durable storage: file system interface, segment log, snapshots and replica identity."""
--- a/src/rainsail/storage/entry_reader.py
+++ b/src/rainsail/storage/entry_reader.py
@@ -1,4 +1,4 @@
-"""Reads entries back from the segments."""
+"""Reads log entries from the segment files."""
 
 from rainsail.storage.interface import FileSystem, LogEntry
 from rainsail.storage.record_file import RecordFileReader
@@ -8,7 +8,7 @@
 
 
 class EntryReader:
-    """Reads entries in rising order; raises ``RainsailError`` at damage."""
+    """Reads entries in ascending order; raises ``RainsailError`` for damaged ones."""
 
     def __init__(self, files: FileSystem, folder: str, group: int) -> None:
         self._files = files
@@ -18,17 +18,17 @@
         self._reader: RecordFileReader | None = None
 
     def read(self, index: int, sequence: int, offset: int) -> LogEntry:
-        """Return the entry that was written at a place."""
+        """Return entry ``index`` from an offset of a segment."""
         reader = self._reader_of(sequence)
         record = reader.read_at(offset)
         if record.kind != RecordKind.ENTRY:
-            raise reader.error(f"entry {index} expected, found {record.kind.name}", offset)
+            raise reader.error(f"expected entry {index}, found {record.kind.name}", offset)
         try:
             entry: LogEntry = decode_body(LogEntry, record.body)
         except CodecError as error:
             raise reader.error(str(error), offset) from error
         if entry.index != index:
-            raise reader.error(f"entry {index} expected, found {entry.index}", offset)
+            raise reader.error(f"expected entry {index}, found entry {entry.index}", offset)
         return entry
 
     def _reader_of(self, sequence: int) -> RecordFileReader:
--- a/src/rainsail/storage/group_storage.py
+++ b/src/rainsail/storage/group_storage.py
@@ -1,4 +1,4 @@
-"""The durable state of one group: log, hard state and snapshot."""
+"""The durable state of one Raft group: log, hard state and snapshot."""
 
 from collections.abc import Iterable, Iterator
 
@@ -21,9 +21,9 @@
 
 
 class DurableGroupStorage:
-    """Implements ``GroupStorage`` over a ``FileSystem``; made by ``open_group_storage``.
+    """Implements ``GroupStorage`` on a ``FileSystem``; created by ``open_group_storage``.
 
-    A failed write or sync of the log is final: every later ``sync`` answers with the same fault.
+    A failed write or sync of the log is final: all later calls of ``sync`` return the same fault.
     """
 
     def __init__(
@@ -50,34 +50,34 @@
 
     @property
     def first_index(self) -> int:
-        """The index of the first entry held."""
+        """The index of the first entry of the log."""
         return self._index.base_index + 1
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry appended, durable or not."""
+        """The index of the last appended entry, durable or not."""
         return self._index.last_index
 
     @property
     def cached_entries(self) -> int:
-        """How many entries are held in memory."""
+        """The number of entries in the memory cache."""
         return self._index.cached_entries
 
     # --- writing -------------------------------------------------------------------------
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Queue entries that follow ``last_index``; raises ``ValueError`` for others."""
+        """Queue entries that follow ``last_index``; raises ``ValueError`` for any others."""
         for entry in entries:
             self._index.append(entry)
             self._queue.add(PendingRecord(RecordKind.ENTRY, encode_body(entry), entry.index))
 
     def truncate_from(self, index: int) -> None:
-        """Queue the removal of the entries from ``index`` on.
+        """Queue the removal of all entries from ``index`` on.
 
-        Raises ``ValueError`` when the log begins after ``index``.
+        Raises ``ValueError`` if the log starts after ``index``.
         """
         if index <= self._index.base_index:
-            raise ValueError(f"entry {index} lies below the log")
+            raise ValueError(f"entry {index} precedes the first entry of the log")
         if index > self._index.last_index:
             return
         self._index.truncate_from(index)
@@ -87,44 +87,44 @@
         self._queue.add(PendingRecord(RecordKind.TRUNCATION, encode_body(truncation), index))
 
     def save_hard_state(self, state: HardState) -> None:
-        """Queue a hard state."""
+        """Queue a new hard state; does nothing if it is unchanged."""
         if state == self.hard_state:
             return
         self.hard_state = state
         self._queue.add(PendingRecord(RecordKind.HARD_STATE, encode_body(state)))
 
     def sync(self) -> "Deferred[SyncResult]":
-        """Make everything queued durable; fires after the sync that covers it."""
+        """Make all queued writes durable; fires after the sync that covers them."""
         return self._queue.sync()
 
-    # --- what the write queue asks and tells ---------------------------------------------
+    # --- BatchObserver -------------------------------------------------------------------
 
     def position(self) -> LogPosition:
-        """Return where the log stands with everything queued so far."""
+        """Return the position of the log including all queued writes."""
         last = self._index.last_index
         state = self.hard_state
         return LogPosition(last, self._index.term_at(last) or 0, state.term, state.voted_for)
 
     def batch_started(self) -> None:
-        """Note what the batch being written covers."""
+        """Record the last index that the current batch covers."""
         self._batch_index = self._index.last_index
 
     def set_record_location(self, record: PendingRecord, sequence: int, offset: int) -> None:
-        """Note where an entry lies on the disk."""
+        """Record the segment and offset of an entry."""
         if record.kind == RecordKind.ENTRY:
             self._index.set_location(sequence, offset)
         elif record.kind == RecordKind.TRUNCATION:
             self._index.drop_locations(record.index)
 
     def batch_durable(self) -> None:
-        """Let the cache go of entries that can be read back."""
+        """Evict durable entries from the cache."""
         self._durable_index = self._batch_index
         self._index.shrink(self._durable_index)
 
     # --- reading -------------------------------------------------------------------------
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry or of the place before the first; None elsewhere."""
+        """Return the term of an entry or of the one before the first; None for any other."""
         if self.snapshot_meta is not None and index == self.snapshot_meta.last_index:
             return self.snapshot_meta.last_term
         return self._index.term_at(index)
@@ -132,12 +132,12 @@
     def entries(self, first: int, last: int, max_bytes: int) -> tuple[LogEntry, ...]:
         """Return entries ``first..last``, at least one, up to ``max_bytes`` of payload.
 
-        Raises ``ValueError`` for entries that aren't held and ``RainsailError`` when the disk
-        doesn't give one back.
+        Raises ``ValueError`` for entries outside of the log and ``RainsailError`` if one can't
+        be read from disk.
         """
         if not self.first_index <= first <= last <= self.last_index:
             held = f"{self.first_index}..{self.last_index}"
-            raise ValueError(f"entries {first}..{last} asked for, {held} held")
+            raise ValueError(f"entries {first}..{last} requested, the log holds {held}")
         return _bounded(self._read_entries(first, last), max_bytes)
 
     def _read_entries(self, first: int, last: int) -> Iterator[LogEntry]:
@@ -155,10 +155,10 @@
     ) -> "Deferred[Result[None, Fault]]":
         """Write a snapshot durably, then drop the log up to ``meta.last_index``.
 
-        ``chunks`` is taken whole before this returns. A log that lacks the snapshot's last entry
-        (a snapshot received from the leader) is replaced by the snapshot. A snapshot that isn't
-        newer than the current one is ignored. A disk too full for the snapshot is a fault that
-        leaves the log usable; a failed sync is final.
+        ``chunks`` is consumed before this returns. A log without the snapshot's last entry (for a
+        snapshot received from the leader) is replaced by the snapshot. A snapshot that is not
+        newer than the current one is ignored. A full disk is a fault that leaves the log usable;
+        a failed sync is final.
         """
         if self._queue.fault is not None:
             return succeed(Error(self._queue.fault))
@@ -216,7 +216,7 @@
         return await self._files.sync_folder(self._folder)
 
     async def clean_up(self, needs_reset: bool) -> SyncResult:
-        """Finish or remove what a crash left half done; called once, while opening."""
+        """Complete or remove operations that a crash interrupted; called once, at opening."""
         if needs_reset and self.snapshot_meta is not None:
             self._queue_reset(self.snapshot_meta)
             reset = await self._queue.sync()
@@ -232,9 +232,9 @@
         return await self._remove_old_files()
 
     def read_snapshot(self) -> Iterator[SnapshotPiece]:
-        """Yield the chunks of the current snapshot and their sum, nothing when there is none.
+        """Yield the chunks of the current snapshot and their checksum; nothing without a snapshot.
 
-        Raises ``RainsailError`` when the file is damaged or was replaced by a newer snapshot.
+        Raises ``RainsailError`` if the file is damaged or was replaced by a newer snapshot.
         """
         if self.snapshot_meta is None:
             return iter(())
@@ -259,10 +259,10 @@
 def open_group_storage(
     files: FileSystem, group: int, settings: StorageSettings
 ) -> "Deferred[Result[DurableGroupStorage, Fault]]":
-    """Open a group's durable state, creating it when there is none.
+    """Open a group's durable state, creating it if it does not exist.
 
-    A torn tail is cut off and what an interrupted snapshot left is removed. Any other damage is a
-    STORAGE fault with the file and the offset.
+    A torn tail is truncated and the files of an interrupted snapshot are removed. Any other damage
+    is a STORAGE fault that names the file and the offset.
     """
     return Deferred.fromCoroutine(_open(files, group, settings))
 
--- a/src/rainsail/storage/identity.py
+++ b/src/rainsail/storage/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a replica, made together with its data folder."""
+"""The identity of a replica, generated when its data folder is created."""
 
 import random
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 @wire_type("FormatRecord")
 @dataclass(frozen=True, slots=True)
 class FormatRecord:
-    """First record of the identity file, in every format: the version of the folder's files."""
+    """First record of the identity file in all formats: the format version of the data folder."""
 
     format_version: int
 
@@ -32,9 +32,9 @@
 @wire_type("DataFolderRecord")
 @dataclass(frozen=True, slots=True)
 class DataFolderRecord:
-    """Second record of the identity file: whose data folder it is.
+    """Second record of the identity file: the owner of the data folder.
 
-    ``schemas`` is the fingerprint of the records that its logs and snapshots hold.
+    ``schemas`` is the fingerprint of the schemas of the records in its logs and snapshots.
     """
 
     fleet: str
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaIdentity:
-    """Who a replica is. ``is_new`` says that the data folder was made just now.
+    """The identity of a replica. ``is_new`` is set if this process created the data folder.
 
-    A replica whose disk was lost finds an empty folder and gets another ``identity``, so it can't
-    be taken for the one that voted before.
+    A replica that lost its disk finds an empty folder and gets a new ``identity``, so that it is
+    not mistaken for the replica that voted before.
     """
 
     fleet: str
@@ -60,11 +60,11 @@
 def load_or_create_identity(
     files: FileSystem, fleet: str, replica: str, schemas: str, random: random.Random
 ) -> "Deferred[Result[ReplicaIdentity, Fault]]":
-    """Read the data folder's identity, or make one when the folder is empty.
+    """Read the data folder's identity, or create one if the folder is empty.
 
-    ``schemas`` is the fingerprint of this program's durable records. Refuses, with a STORAGE
-    fault, a folder of another fleet or replica, one of a newer format or of other schemas, a
-    damaged identity file, and a folder that holds groups but no identity.
+    ``schemas`` is the fingerprint of this program's durable records. Returns a STORAGE fault for a
+    folder of another fleet or replica, of a newer format or of other schemas, for a damaged
+    identity file, and for a folder that has groups but no identity.
     """
     return Deferred.fromCoroutine(_load_or_create(files, fleet, replica, schemas, random))
 
@@ -85,7 +85,7 @@
 
 
 def read_identity(files: FileSystem) -> Result[DataFolderRecord, Fault]:
-    """Read the identity file; a newer format is a fault. Raises ``OSError`` when unreadable."""
+    """Read the identity file; a newer format is a fault. Raises ``OSError`` if unreadable."""
     data = files.read(IDENTITY_PATH)
     scanned = scan(data, _NO_GROUP)
     if scanned.damage is not None:
@@ -95,7 +95,7 @@
     try:
         version = decode_body(FormatRecord, scanned.records[0].body).format_version
         if version > FORMAT_VERSION:
-            known = f"this program knows up to {FORMAT_VERSION}"
+            known = f"this program supports up to {FORMAT_VERSION}"
             return Error(_fault(f"data folder has format {version}, {known}", 0))
         if [record.kind for record in scanned.records[1:]] != [RecordKind.IDENTITY]:
             return Error(_fault("no identity record", scanned.end))
@@ -117,7 +117,7 @@
     if found.replica != replica:
         return Error(_fault(f"data folder belongs to replica {found.replica!r}, not {replica!r}"))
     if found.schemas != schemas:
-        detail = f"its records are of schemas {found.schemas!r}, this program's of {schemas!r}"
+        detail = f"its schemas are {found.schemas!r}, those of this program {schemas!r}"
         return Error(_fault(f"data folder was written by another version: {detail}"))
     synced = await files.sync_folder("")
     if synced.is_error():
--- a/src/rainsail/storage/inspection.py
+++ b/src/rainsail/storage/inspection.py
@@ -1,4 +1,4 @@
-"""Reads a data folder offline, without changing it, and reports what it holds."""
+"""Reads a data folder offline, without changing it, and reports its contents."""
 
 from dataclasses import dataclass
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileReport:
-    """One segment or snapshot; ``torn_bytes`` would be cut off when the replica starts."""
+    """One segment or snapshot; a start of the replica truncates ``torn_bytes`` at its end."""
 
     path: str
     size_bytes: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupReport:
-    """One group: its files and, when they are sound, where its log stands."""
+    """One group: its files and, if they are valid, the state of its log."""
 
     group: int
     files: tuple[FileReport, ...]
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderReport:
-    """A whole data folder. It is sound when ``faults`` is empty."""
+    """A whole data folder. It is valid if ``faults`` is empty."""
 
     identity: DataFolderRecord | None
     groups: tuple[GroupReport, ...]
@@ -61,12 +61,12 @@
 
 
 def is_data_folder(files: FileSystem) -> bool:
-    """Tell whether a folder looks like a replica's data folder."""
+    """Return whether a folder looks like a replica's data folder."""
     return files.exists(IDENTITY_PATH) or bool(_group_numbers(files))
 
 
 def inspect_folder(files: FileSystem) -> FolderReport:
-    """Read everything in a data folder and check it."""
+    """Read and check all files of a data folder."""
     identity, faults = _read_identity(files)
     groups = tuple(inspect_group(files, group) for group in _group_numbers(files))
     for report in groups:
@@ -91,7 +91,7 @@
 
 
 def inspect_group(files: FileSystem, group: int) -> GroupReport:
-    """Read one group's files one by one, then check how they fit together."""
+    """Read one group's files one by one, then check that they are consistent."""
     folder = group_folder(group)
     reports = [*_snapshot_reports(files, folder, group), *_segment_reports(files, folder, group)]
     faults = tuple(report.fault for report in reports if report.fault is not None)
--- a/src/rainsail/storage/interface.py
+++ b/src/rainsail/storage/interface.py
@@ -1,8 +1,9 @@
-"""The file seam and the durable log seen through it.
+"""Interfaces of the file system and of a group's durable state.
 
-Everything durable goes through ``FileSystem``. ``rainsail.storage.local_files.LocalFileSystem``
-is the real one (syncs run in a worker thread); ``rainsail.simulation.disk.SimulatedDisk`` loses
-unsynced bytes at a crash, tears the last record, fails or lies about syncs and fills up.
+All durable data goes through ``FileSystem``. ``rainsail.storage.local_files.LocalFileSystem`` is
+the production implementation and syncs in a worker thread.
+``rainsail.simulation.disk.SimulatedDisk`` loses unsynced bytes at a crash, tears the last record,
+fails syncs or acknowledges them falsely, and fills up.
 """
 
 from collections.abc import Iterator
@@ -18,18 +19,18 @@
 
 
 class File(Protocol):
-    """An open file. Bytes count as durable only after a successful ``sync``."""
+    """An open file. Bytes are durable only after a successful ``sync``."""
 
     def append(self, data: bytes) -> None:
-        """Write at the end; raises ``OSError`` (for instance when the disk is full)."""
+        """Append to the file; raises ``OSError``, for instance when the disk is full."""
         ...
 
     def sync(self) -> "Deferred[Result[None, Fault]]":
-        """Make everything appended so far durable; a fault is fatal for the replica."""
+        """Make all bytes appended so far durable; a fault is fatal for the replica."""
         ...
 
     def truncate(self, size: int) -> None:
-        """Cut the file to ``size`` bytes (durable with the next sync)."""
+        """Truncate the file to ``size`` bytes (durable with the next sync)."""
         ...
 
     def size(self) -> int:
@@ -45,7 +46,7 @@
     """One data folder. Paths are relative to it, with forward slashes."""
 
     def open(self, path: str) -> File:
-        """Open for appending, creating the file and its folders when missing."""
+        """Open for appending, creating the file and its folders if missing."""
         ...
 
     def read(self, path: str) -> bytes:
@@ -57,11 +58,11 @@
         ...
 
     def exists(self, path: str) -> bool:
-        """Tell whether a file exists."""
+        """Return whether a file exists."""
         ...
 
     def list(self, folder: str) -> list[str]:
-        """Return the sorted names in a folder (empty when it does not exist)."""
+        """Return the sorted names in a folder; empty if it does not exist."""
         ...
 
     def rename(self, source: str, target: str) -> None:
@@ -90,7 +91,7 @@
 @wire_type("HardState")
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What a replica must never forget: its term and its vote in that term."""
+    """The Raft state that must survive restarts: current term and the vote in that term."""
 
     term: int
     voted_for: str
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotMeta:
-    """The place of a snapshot in the log and the membership at that place."""
+    """The last log entry that a snapshot covers and the membership at that entry."""
 
     last_index: int
     last_term: int
@@ -117,7 +118,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, queued ones too."""
+        """The index of the last entry, including queued ones."""
         ...
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
@@ -133,7 +134,7 @@
         ...
 
     def sync(self) -> "Deferred[Result[None, Fault]]":
-        """Make everything queued durable with one sync."""
+        """Make all queued writes durable with one sync."""
         ...
 
     def entries(self, first: int, last: int, max_bytes: int) -> tuple[LogEntry, ...]:
@@ -147,9 +148,9 @@
         ...
 
     def read_snapshot(self) -> Iterator[SnapshotPiece]:
-        """Yield the chunks of the current snapshot, and behind them their sum.
+        """Yield the chunks of the current snapshot, then their checksum.
 
-        Raises ``RainsailError`` when they can't be read. A reading without the sum at its end is
-        not whole.
+        Raises ``RainsailError`` if they can't be read. Without the checksum at the end, the
+        chunks read are incomplete.
         """
         ...
--- a/src/rainsail/storage/local_files.py
+++ b/src/rainsail/storage/local_files.py
@@ -1,4 +1,4 @@
-"""The real data folder: plain files, synced in a worker thread."""
+"""File system implementation on local files, with syncs in a worker thread."""
 
 import os
 from pathlib import Path
@@ -36,7 +36,7 @@
         self._closing = False
 
     def append(self, data: bytes) -> None:
-        """Write all of ``data`` at the end; raises ``OSError``."""
+        """Append all of ``data``; raises ``OSError``."""
         view = memoryview(data)
         while view:
             view = view[os.write(self._descriptor, view) :]
@@ -54,7 +54,7 @@
         return result
 
     def truncate(self, size: int) -> None:
-        """Cut to ``size`` bytes; raises ``OSError``."""
+        """Truncate to ``size`` bytes; raises ``OSError``."""
         os.ftruncate(self._descriptor, size)
 
     def size(self) -> int:
@@ -62,7 +62,7 @@
         return os.fstat(self._descriptor).st_size
 
     def close(self) -> None:
-        """Close; a sync under way is let finish first."""
+        """Close the file after all running syncs have finished."""
         if self._closing:
             return
         self._closing = True
@@ -71,7 +71,7 @@
 
 
 class LocalFileSystem:
-    """Files below one folder of the machine. Paths that lead out of it raise ``ValueError``."""
+    """Files below one local folder. Paths that lead out of it raise ``ValueError``."""
 
     def __init__(self, folder: Path, reactor: Any) -> None:
         self._folder = folder.resolve()
@@ -90,7 +90,7 @@
         return LocalFile(self._reactor, path, os.open(target, _OPEN_FLAGS, _FILE_MODE))
 
     def _make_folder(self, folder: Path) -> None:
-        """Create a folder and make its creation durable in the folder above."""
+        """Create a folder and sync its parent, so that the creation is durable."""
         if folder.is_dir():
             return
         self._make_folder(folder.parent)
@@ -120,11 +120,11 @@
             os.close(descriptor)
 
     def exists(self, path: str) -> bool:
-        """Tell whether a file exists."""
+        """Return whether a file exists."""
         return self._resolve(path).is_file()
 
     def list(self, folder: str) -> list[str]:
-        """Return the sorted names in a folder, empty when there is none."""
+        """Return the sorted names in a folder; empty if it does not exist."""
         target = self._resolve(folder)
         return sorted(os.listdir(target)) if target.is_dir() else []
 
--- a/src/rainsail/storage/log_index.py
+++ b/src/rainsail/storage/log_index.py
@@ -1,4 +1,4 @@
-"""The log of one group as seen in memory: terms, places on disk and the newest entries."""
+"""In-memory index of a group's log: terms, locations on disk and a cache of entries."""
 
 from array import array
 from bisect import bisect_right
@@ -8,14 +8,14 @@
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 _EVICTION_SHARE = 8
-"""The cache is cut back once it exceeds its bound by one part in this many."""
+"""Eviction starts once the cache exceeds its limit by this fraction (1/8) of the limit."""
 
 
 class LogIndex:
-    """Terms of all entries, their places on disk, and a cache of the newest entries.
+    """Terms of all entries, their locations on disk, and a cache of the newest entries.
 
-    ``base_index`` and ``base_term`` name the entry before the first one held. Terms are held as
-    runs, so ``term_at`` costs O(log of the number of term changes).
+    ``base_index`` and ``base_term`` are those of the entry before the first one of the log. Terms
+    are run-length encoded, so ``term_at`` takes O(log n) for n changes of the term.
     """
 
     def __init__(self, cache_bytes: int) -> None:
@@ -34,7 +34,7 @@
         self._locations: array[int] = array("Q")
 
     def reset(self, index: int, term: int) -> None:
-        """Drop every entry; the next one follows ``index``."""
+        """Drop all entries; the next one follows ``index``."""
         self._clear(index, term)
 
     def append(self, entry: LogEntry) -> None:
@@ -49,7 +49,7 @@
         self.last_index = entry.index
 
     def set_location(self, segment: int, offset: int) -> None:
-        """Note where the next entry without a place was written."""
+        """Record the location of the first entry that has none yet."""
         self._locations.append(segment << _OFFSET_BITS | offset)
 
     def location_of(self, index: int) -> tuple[int, int]:
@@ -58,7 +58,7 @@
         return packed >> _OFFSET_BITS, packed & _OFFSET_MASK
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on; their places stay until ``drop_locations``."""
+        """Drop the entries from ``index`` on; their locations stay until ``drop_locations``."""
         while self._run_starts and self._run_starts[-1] >= index:
             self._run_starts.pop()
             self._run_terms.pop()
@@ -68,15 +68,15 @@
         self.last_index = min(self.last_index, max(index - 1, self.base_index))
 
     def drop_locations(self, index: int) -> None:
-        """Drop the places from ``index`` on, when the truncation is written."""
+        """Drop the locations from ``index`` on, once the truncation is written."""
         del self._locations[max(0, index - self._locations_start) :]
 
     def retain_after(self, snapshot_index: int, retained_entries: int) -> None:
-        """Drop the entries up to a snapshot's last one, except for the newest of them."""
+        """Drop the entries covered by a snapshot, except for the newest ``retained_entries``."""
         self.drop_until(max(self.base_index, snapshot_index - retained_entries))
 
     def drop_until(self, index: int) -> None:
-        """Drop the entries up to ``index``, which must be held."""
+        """Drop the entries up to ``index``, which must be in the log."""
         self.base_term = self.term_at(index) or 0
         position = bisect_right(self._run_starts, index + 1) - 1
         if position >= 0:
@@ -93,12 +93,12 @@
 
     @property
     def cache_first(self) -> int:
-        """The index of the first cached entry (``last_index + 1`` when none is)."""
+        """The index of the first cached entry (``last_index + 1`` if the cache is empty)."""
         return self.last_index + 1 - len(self._cache)
 
     @property
     def cached_entries(self) -> int:
-        """How many entries are held in memory."""
+        """The number of cached entries."""
         return len(self._cache)
 
     def cached(self, first: int, last: int) -> list[LogEntry]:
@@ -107,7 +107,7 @@
         return self._cache[start : start + last - first + 1]
 
     def shrink(self, durable_index: int) -> None:
-        """Cut the cache to its bound; entries after ``durable_index`` stay."""
+        """Evict the oldest entries down to the cache limit, but none after ``durable_index``."""
         if self._cached_bytes <= self._bound_bytes + self._bound_bytes // _EVICTION_SHARE:
             return
         limit = min(len(self._cache), durable_index + 1 - self.cache_first)
@@ -123,7 +123,7 @@
         del self._cache[:count]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry or of the one before the first; None elsewhere."""
+        """Return the term of an entry or of the one before the first; None for any other."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
--- a/src/rainsail/storage/log_records.py
+++ b/src/rainsail/storage/log_records.py
@@ -1,17 +1,17 @@
-"""Bodies of the log's records: Avro, encoded through the wire codec."""
+"""Bodies of the records in segment and snapshot files, encoded as Avro by the wire codec."""
 
 from dataclasses import dataclass
 
 from rainsail.wire.names import wire_type
 
 FORMAT_VERSION = 1
-"""Version of the files of a data folder. A newer one is refused."""
+"""Format version of the files of a data folder. Newer versions are refused."""
 
 
 @wire_type("SegmentHeader")
 @dataclass(frozen=True, slots=True)
 class SegmentHeader:
-    """First record of a segment: the state of the log where the segment begins."""
+    """First record of a segment: the position of the log at the start of the segment."""
 
     format_version: int
     sequence: int
@@ -24,7 +24,7 @@
 @wire_type("Truncation")
 @dataclass(frozen=True, slots=True)
 class Truncation:
-    """Every entry from ``first_removed`` on is removed; the one before it has ``last_term``."""
+    """All entries from ``first_removed`` on are removed; the one before it has ``last_term``."""
 
     first_removed: int
     last_term: int
@@ -33,7 +33,7 @@
 @wire_type("Reset")
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """Every entry is removed; the next one follows ``last_index`` (a snapshot was installed)."""
+    """All entries are removed; the next one follows ``last_index`` (of an installed snapshot)."""
 
     last_index: int
     last_term: int
@@ -53,7 +53,7 @@
 @wire_type("SnapshotEnd")
 @dataclass(frozen=True, slots=True)
 class SnapshotEnd:
-    """Last record of a snapshot file: what came before it."""
+    """Last record of a snapshot file: the number and total size of its chunks."""
 
     chunks: int
     size_bytes: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """Where a log stands: what a new segment's header says."""
+    """Position of a log, as written to the header of a new segment."""
 
     last_index: int
     last_term: int
--- a/src/rainsail/storage/log_replay.py
+++ b/src/rainsail/storage/log_replay.py
@@ -1,4 +1,4 @@
-"""Rebuilds a log in memory from the segments read back."""
+"""Rebuilds the in-memory log from its segments."""
 
 from expression import Error, Ok, Result
 
@@ -16,7 +16,7 @@
     """The log and the hard state after the segments replayed so far.
 
     ``highest_indexes`` holds, per segment, the highest entry index ever written to it.
-    ``needs_reset`` says that the segments still hold a log which a snapshot has replaced.
+    ``needs_reset`` is set if the segments still hold a log that a snapshot has replaced.
     """
 
     def __init__(self, cache_bytes: int) -> None:
@@ -26,13 +26,13 @@
         self.needs_reset = False
 
     def position(self) -> LogPosition:
-        """Return where the log stands after the segments."""
+        """Return the position of the log after the replayed segments."""
         last = self.index.last_index
         state = self.hard_state
         return LogPosition(last, self.index.term_at(last) or 0, state.term, state.voted_for)
 
     def replay(self, segment: ScannedSegment, is_first: bool) -> Result[None, Fault]:
-        """Apply one segment; a record that doesn't fit the ones before it is a fault."""
+        """Apply one segment; a record that contradicts earlier ones is a fault."""
         offset = 0
         try:
             self._begin(segment, is_first)
@@ -53,7 +53,7 @@
             return
         found = (self.index.last_index, self.index.term_at(self.index.last_index))
         if found != (header.last_index, header.last_term) or hard_state != self.hard_state:
-            raise ValueError(f"does not follow the segment before it, which ends at {found[0]}")
+            raise ValueError(f"does not follow the previous segment, which ends at {found[0]}")
 
     def _apply(self, record: Record, sequence: int) -> None:
         if record.kind == RecordKind.ENTRY:
@@ -75,17 +75,17 @@
     def _truncate(self, truncation: Truncation) -> None:
         first_removed = truncation.first_removed
         if first_removed <= self.index.base_index:
-            # The segments that held the entries before it were removed behind a snapshot.
+            # The segments with the earlier entries were removed after a snapshot.
             self.index.reset(first_removed - 1, truncation.last_term)
             return
         self.index.truncate_from(first_removed)
         self.index.drop_locations(first_removed)
 
     def align_to_snapshot(self, meta: SnapshotMeta | None, retained_entries: int) -> bool:
-        """Fit the log to the newest snapshot; False when entries between them are missing.
+        """Align the log with the newest snapshot; False if entries between them are missing.
 
-        A log that does not hold the snapshot's last entry with the same term is replaced by the
-        snapshot: a crash came between installing it and resetting the log.
+        A log without the snapshot's last entry of the same term is replaced by the snapshot: a
+        crash interrupted the installation before the log was reset.
         """
         if meta is None:
             return self.index.base_index == 0
@@ -99,7 +99,7 @@
 
 
 def replay_segments(segments: list[ScannedSegment], cache_bytes: int) -> Result[ReplayedLog, Fault]:
-    """Replay segments that follow each other without a gap."""
+    """Replay contiguous segments, oldest first."""
     replayed = ReplayedLog(cache_bytes)
     for position, segment in enumerate(segments):
         result = replayed.replay(segment, position == 0)
--- a/src/rainsail/storage/record_file.py
+++ b/src/rainsail/storage/record_file.py
@@ -1,4 +1,4 @@
-"""Reads the records of a file in order, a bounded piece of the file at a time."""
+"""Buffered reader of the records of a file."""
 
 from rainsail.errors import RainsailError
 from rainsail.storage.faults import storage_fault
@@ -9,9 +9,9 @@
 
 
 class RecordFileReader:
-    """A reader with a place in one file.
+    """A reader with a position in one file.
 
-    Holds one piece of the file: 64 KiB, or the whole of a longer record. Errors are raised as
+    Buffers 64 KiB of the file, or one record if it is longer. Errors are raised as
     ``RainsailError`` with a STORAGE fault that names ``step``, the file and the offset.
     """
 
@@ -29,7 +29,7 @@
         return self.read_at(self._offset)
 
     def read_at(self, offset: int) -> Record:
-        """Return the record at an offset and go on after it."""
+        """Return the record at an offset; the next ``read`` continues after it."""
         found = self._read_held(offset)
         size = READ_AHEAD_BYTES
         while isinstance(found, Damage):
@@ -42,13 +42,13 @@
         return found
 
     def at_end(self) -> bool:
-        """Tell whether the last record read was the last of the file."""
+        """Return whether the file ends after the last record read."""
         self._load(self._offset, 1)
         return not self._data
 
     def _read_held(self, offset: int) -> Record | Damage:
         if not self._start <= offset < self._start + len(self._data):
-            return Damage(offset, "no record: the file ends here")
+            return Damage(offset, "no record: end of file")
         found = read_record(self._data, offset - self._start, self._group)
         if isinstance(found, Damage):
             return found
--- a/src/rainsail/storage/records.py
+++ b/src/rainsail/storage/records.py
@@ -1,4 +1,4 @@
-"""Framing of durable records: pure encoding and scanning.
+"""Framing of durable records: encoding and scanning, without I/O.
 
 A record is a header followed by a body::
 
@@ -9,10 +9,10 @@
     kind      uint8    ``RecordKind``
     durable   uint32   bytes of the file known to be durable when the record was written
 
-``durable`` decides between a torn tail and damage. A batch is written only after the one before
-it was synced, so every record of the newest batch carries the offset at which that batch began.
-Bytes from there on may be torn by a crash. Bytes before it were acknowledged: when they no longer
-read back, the file is damaged.
+``durable`` distinguishes a torn tail from damage. A batch is written only after the previous one
+was synced, so each record of the newest batch carries the offset at which that batch starts. A
+crash may tear the bytes from there on. The bytes before it were acknowledged as durable: if they
+are unreadable, the file is damaged.
 """
 
 import struct
@@ -30,7 +30,7 @@
 
 
 class RecordKind(IntEnum):
-    """What the body of a record holds."""
+    """Type of the body of a record."""
 
     SEGMENT_HEADER = 1
     ENTRY = 2
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """Where a scan had to stop and why.
+    """Offset and reason at which a scan stopped.
 
-    ``can_be_torn`` is False when the record is sound but doesn't belong there.
+    ``can_be_torn`` is False if the record is intact but does not belong into this file.
     """
 
     offset: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """The whole records at the start of a file; ``end`` is the offset after the last one."""
+    """The valid records at the start of a file; ``end`` is the offset after the last one."""
 
     records: tuple[Record, ...]
     end: int
@@ -79,28 +79,28 @@
 
 
 def encode_record(group: int, kind: RecordKind, body: bytes, durable: int = 0) -> bytes:
-    """Frame a body."""
+    """Return a body with its header."""
     checked = _CHECKED.pack(len(body), group, kind, durable)
     crc = crc32c.crc32c(body, crc32c.crc32c(checked))
     return b"".join((MAGIC, crc.to_bytes(4, "little"), checked, body))
 
 
 def record_bytes(body_length: int) -> int:
-    """Return the framed size of a body in bytes."""
+    """Return the size in bytes of a record with a body of ``body_length`` bytes."""
     return HEADER_BYTES + body_length
 
 
 def read_record(data: bytes, offset: int, group: int) -> Record | Damage:
-    """Read the record at ``offset``; a record that is not whole and sound is damage."""
+    """Read the record at ``offset``; a truncated or invalid record is returned as damage."""
     if offset + HEADER_BYTES > len(data):
-        return Damage(offset, f"record header cut short after {len(data) - offset} bytes")
+        return Damage(offset, f"record header truncated after {len(data) - offset} bytes")
     magic, crc, length, found_group, kind, durable = _HEADER.unpack_from(data, offset)
     if magic != MAGIC:
-        return Damage(offset, "no record begins here")
+        return Damage(offset, "no record starts here: wrong magic bytes")
     start = offset + HEADER_BYTES
     end = start + length
     if end > len(data):
-        return Damage(offset, f"record of {length} bytes cut short")
+        return Damage(offset, f"record of {length} bytes truncated")
     body = data[start:end]
     if crc32c.crc32c(body, crc32c.crc32c(data[offset + _CHECKED_START : start])) != crc:
         return Damage(offset, "CRC-32C does not match")
@@ -126,7 +126,7 @@
 
 
 def records_after(data: bytes, offset: int, group: int) -> Iterator[Record]:
-    """Yield the whole records that begin behind an offset, whatever lies between them."""
+    """Yield the valid records that start after an offset, skipping any other bytes."""
     position = data.find(MAGIC, offset + 1)
     while position >= 0:
         found = read_record(data, position, group)
@@ -136,9 +136,9 @@
 
 
 def is_torn_tail(data: bytes, damage: Damage, group: int) -> bool:
-    """Tell whether ``damage`` can be the trace of a crash during the newest batch.
+    """Return whether ``damage`` may result from a crash while the newest batch was written.
 
-    It can't when a sound record further on says that the bytes at the damage were durable.
+    It may not if a later valid record states that the bytes at the damage were durable.
     """
     if not damage.can_be_torn:
         return False
--- a/src/rainsail/storage/recovery.py
+++ b/src/rainsail/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Reads a group's folder back at opening: newest snapshot, segments, and how they fit."""
+"""Reads a group's folder at opening: newest snapshot and segments, checked for consistency."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredGroup:
-    """What a group's folder holds; ``written`` is where the segments by themselves end."""
+    """Contents of a group's folder; ``written`` is the log position of the segments alone."""
 
     segments: list[ScannedSegment]
     written: LogPosition
--- a/src/rainsail/storage/segment_log.py
+++ b/src/rainsail/storage/segment_log.py
@@ -1,4 +1,4 @@
-"""The segments of one group's log: opening, writing in batches, removing old ones."""
+"""The segment files of one group's log: open, write in batches, remove old ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """A record that waits for the next batch; ``index`` is set for entries only."""
+    """A record queued for the next batch.
+
+    ``index`` is that of the entry, or of the first entry that a truncation removes; 0 for others.
+    """
 
     kind: RecordKind
     body: bytes
@@ -33,7 +36,7 @@
 
 
 class SegmentLog:
-    """Writes batches to the newest segment and begins a new one when it is full."""
+    """Writes batches to the newest segment and starts a new one when it is full."""
 
     def __init__(self, files: FileSystem, folder: str, group: int, segment_bytes: int) -> None:
         self._files = files
@@ -48,10 +51,10 @@
     async def adopt(
         self, scanned: list[ScannedSegment], highest_indexes: list[int]
     ) -> Result[None, Fault]:
-        """Take over the segments found at opening; the torn tail of the last one is cut off.
+        """Take over the segments found at opening; truncates the torn tail of the last one.
 
-        The last segment and the folder are synced: when only the process died, what it wrote last
-        may have reached no more than the page cache.
+        Syncs the last segment and the folder: if only the process died, its last writes may have
+        reached the page cache but not the disk.
         """
         for each, highest in zip(scanned, highest_indexes, strict=True):
             self._segments.append(Segment(each.sequence, each.path, highest))
@@ -72,7 +75,7 @@
 
     @property
     def newest_sequence(self) -> int:
-        """The sequence number of the segment that is written to (0 when there is none)."""
+        """The sequence number of the segment that is written to (0 if there is none)."""
         return self._segments[-1].sequence if self._segments else 0
 
     async def write(
@@ -81,7 +84,7 @@
         position: LogPosition,
         set_location: Callable[[PendingRecord, int, int], None],
     ) -> Result[None, Fault]:
-        """Write a batch and sync it; ``position`` is where the log stood before the batch.
+        """Write and sync a batch; ``position`` is the position of the log before the batch.
 
         ``set_location(record, sequence, offset)`` is called for each record before the sync.
         """
@@ -100,7 +103,7 @@
         return storage_fault("append", path, str(error), self._written_bytes)
 
     async def _begin_segment(self, position: LogPosition) -> Result[None, Fault]:
-        """Create the next segment and make its header durable before anything follows it."""
+        """Create the next segment and make its header durable before any other record."""
         try:
             self._create_segment(position)
         except OSError as error:
@@ -156,10 +159,10 @@
         return result
 
     def mark_durable(self) -> Result[None, Fault]:
-        """Add an unsynced record saying how far the segment is durable.
+        """Append an unsynced record with the number of durable bytes of the segment.
 
-        It lets a later opening tell damage in the newest batch from a torn tail. A segment that
-        is full gets none, so that a closed segment never ends in unsynced bytes.
+        With it, a later opening can distinguish damage in the newest batch from a torn tail. A
+        full segment gets none, so that a closed segment never ends with unsynced bytes.
         """
         mark = encode_record(self._group, RecordKind.DURABLE_MARK, b"", self._durable_bytes)
         size = self._written_bytes + len(mark)
@@ -173,7 +176,7 @@
         return Ok(None)
 
     def _truncate_mark(self) -> Result[None, Fault]:
-        """Cut off a mark that did not fit on the disk; the log can do without it."""
+        """Truncate a durable mark that did not fit on the disk; the mark is optional."""
         assert self._file is not None
         try:
             self._file.truncate(self._written_bytes)
@@ -182,7 +185,7 @@
         return Ok(None)
 
     def remove_until(self, index: int) -> None:
-        """Remove the oldest segments whose entries all lie at or below ``index``.
+        """Remove the oldest segments that have no entry above ``index``.
 
         Raises ``OSError``. Durable with the next sync of the folder; the newest segment stays.
         """
@@ -191,7 +194,7 @@
             del self._segments[0]
 
     def remove_stale_segments(self) -> None:
-        """Remove segments from before a gap; raises ``OSError``. Only while opening."""
+        """Remove segments before a gap in the sequence; raises ``OSError``. Only at opening."""
         for sequence in list_segments(self._files, self._folder):
             if self._segments and sequence < self._segments[0].sequence:
                 self._files.remove(segment_path(self._folder, sequence))
--- a/src/rainsail/storage/segment_scan.py
+++ b/src/rainsail/storage/segment_scan.py
@@ -1,4 +1,4 @@
-"""Reads segments back and decides what is a torn tail and what is damage."""
+"""Reads segments and distinguishes torn tails from damage."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,15 @@
 SEGMENT_SUFFIX = ".log"
 _SEQUENCE_DIGITS = 10
 TORN_HEADER_BYTES = 256
-"""A header is synced before anything follows it: a longer file with a bad header is damaged."""
+"""Longest file that may consist of a torn header only.
+
+A header is synced before any other record, so a longer file with an invalid header is damaged.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class ScannedSegment:
-    """A segment read back: its header and its records after the header."""
+    """A segment as read from disk: its header and the records after it."""
 
     sequence: int
     path: str
@@ -35,14 +38,14 @@
 
 
 def list_segments(files: FileSystem, folder: str) -> list[int]:
-    """Return the sequence numbers of the segments in a folder, rising."""
+    """Return the sequence numbers of the segments in a folder, ascending."""
     names = [name for name in files.list(folder) if name.endswith(SEGMENT_SUFFIX)]
     stems = [name.removesuffix(SEGMENT_SUFFIX) for name in names]
     return sorted(int(stem) for stem in stems if stem.isascii() and stem.isdigit())
 
 
 def newest_contiguous(sequences: list[int]) -> list[int]:
-    """Return the newest segments that follow each other without a gap."""
+    """Return the newest sequence numbers that have no gap between them."""
     start = len(sequences) - 1
     while start > 0 and sequences[start - 1] == sequences[start] - 1:
         start -= 1
@@ -52,7 +55,7 @@
 def scan_segment(
     files: FileSystem, folder: str, group: int, sequence: int, is_last: bool
 ) -> Result[ScannedSegment | None, Fault]:
-    """Read a segment back; None when it is the last one and its header is torn.
+    """Read a segment; None if it is the last one and its header is torn.
 
     Only the newest batch of the last segment may be torn; any other damage is a fault.
     """
@@ -75,10 +78,10 @@
 def scan_segments(
     files: FileSystem, folder: str, group: int
 ) -> Result[list[ScannedSegment], Fault]:
-    """Read back the newest run of segments without a gap, oldest first.
+    """Read the newest contiguous segments, oldest first.
 
-    A crash during compaction may bring back some of the segments that were being removed; they
-    lie before a gap. Whether the run reaches back far enough is for the replay to tell.
+    A crash during compaction may leave some of the segments that were being removed; they precede a
+    gap. The replay checks that the contiguous segments reach back far enough.
     """
     sequences = newest_contiguous(list_segments(files, folder))
     found: list[ScannedSegment] = []
--- a/src/rainsail/storage/snapshot_checksum.py
+++ b/src/rainsail/storage/snapshot_checksum.py
@@ -1,7 +1,8 @@
-"""What a whole snapshot amounts to.
+"""Checksum that proves that a snapshot was read completely.
 
-The end of a reading is not the end of what is read: a reading that failed has ended too. So a
-reading gives, behind the last chunk, the sum of all of them, and what has no such sum is not whole.
+The end of a stream of chunks does not mean that the snapshot is complete, because a failed read
+ends the stream too. The checksum of all chunks therefore follows the last chunk; a stream without
+it is incomplete.
 """
 
 from collections.abc import Iterable, Iterator
@@ -24,17 +25,17 @@
     checksum: int = 0
 
     def with_chunk(self, chunk: bytes) -> "SnapshotChecksum":
-        """Return the sum of one chunk more."""
+        """Return the checksum extended by one chunk."""
         checksum = crc32c.crc32c(chunk, self.checksum)
         return SnapshotChecksum(self.chunks + 1, self.size_bytes + len(chunk), checksum)
 
 
 SnapshotPiece = bytes | SnapshotChecksum
-"""A chunk or, as the last piece of a snapshot that was read to its end, the sum of all chunks."""
+"""A chunk or, as the last piece of a complete snapshot, the checksum of all chunks."""
 
 
 def verified_chunks(pieces: Iterable[SnapshotPiece]) -> Iterator[bytes]:
-    """Yield the chunks; raises ``RainsailError`` when they don't end with their own sum."""
+    """Yield the chunks; raises ``RainsailError`` unless their checksum follows them."""
     read = SnapshotChecksum()
     for piece in pieces:
         if isinstance(piece, SnapshotChecksum):
@@ -42,15 +43,15 @@
             return
         read = read.with_chunk(piece)
         yield piece
-    raise incomplete_snapshot(f"the reading ended after {read.chunks} chunks")
+    raise incomplete_snapshot(f"no checksum after {read.chunks} chunks")
 
 
 def verify_checksum(found: SnapshotChecksum, expected: SnapshotChecksum) -> None:
-    """Raise ``RainsailError`` when the chunks found are not the expected ones."""
+    """Raise ``RainsailError`` if the checksums differ."""
     if found != expected:
-        raise incomplete_snapshot(f"{found} found in place of {expected}")
+        raise incomplete_snapshot(f"checksum mismatch: expected {expected}, found {found}")
 
 
 def incomplete_snapshot(reason: str) -> RainsailError:
-    """Return an error about a snapshot that was not read to its end."""
+    """Return an error about an incomplete snapshot."""
     return RainsailError(storage_fault("snapshot", "snapshot", reason))
--- a/src/rainsail/storage/snapshot_store.py
+++ b/src/rainsail/storage/snapshot_store.py
@@ -1,7 +1,8 @@
-"""Snapshots of one group: written to a temporary name, synced, renamed, folder synced.
+"""Snapshot files of one group.
 
-A snapshot file holds a header record, one record per chunk and an end record with the counts. A
-temporary file left by a crash is ignored and removed at the next opening.
+A snapshot is written under a temporary name, synced and renamed; then the folder is synced. Its
+file contains a header record, one record per chunk and an end record with the counts. A temporary
+file that a crash left behind is ignored and removed at the next opening.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TemporarySnapshot:
-    """A snapshot written under a temporary name and not yet synced."""
+    """A snapshot that is written under a temporary name but not synced yet."""
 
     meta: SnapshotMeta
     path: str
@@ -39,20 +40,20 @@
 
 
 def list_snapshots(files: FileSystem, folder: str) -> list[int]:
-    """Return the last indexes of the snapshots in a folder, rising."""
+    """Return the last indexes of the snapshots in a folder, ascending."""
     names = [name for name in files.list(folder) if name.endswith(SNAPSHOT_SUFFIX)]
     stems = [name.removesuffix(SNAPSHOT_SUFFIX) for name in names]
     return sorted(int(stem) for stem in stems if stem.isascii() and stem.isdigit())
 
 
 class SnapshotReader:
-    """Reads one snapshot file in order; raises ``RainsailError`` at the first damage."""
+    """Sequential reader of a snapshot file; raises ``RainsailError`` at the first damage."""
 
     def __init__(self, files: FileSystem, path: str, group: int) -> None:
         self._records = RecordFileReader(files, path, group, "snapshot")
 
     def header(self) -> SnapshotMeta:
-        """Return what the header says."""
+        """Return the metadata in the header."""
         record = self._records.read()
         header: SnapshotHeader = self._decode(record, RecordKind.SNAPSHOT_HEADER, SnapshotHeader)
         if header.format_version > FORMAT_VERSION:
@@ -61,7 +62,7 @@
         return SnapshotMeta(header.last_index, header.last_term, header.membership)
 
     def pieces(self) -> Iterator[SnapshotPiece]:
-        """Yield the chunks, check them against the end record, then yield their sum.
+        """Yield the chunks, check them against the end record, then yield their checksum.
 
         Call ``header`` first.
         """
@@ -73,8 +74,8 @@
             record = self._records.read()
         end: SnapshotEnd = self._decode(record, RecordKind.SNAPSHOT_END, SnapshotEnd)
         if (end.chunks, end.size_bytes) != (read.chunks, read.size_bytes):
-            expected = f"{end.chunks} chunks of {end.size_bytes} bytes expected"
-            reason = f"{expected}, {read.chunks} of {read.size_bytes} found"
+            expected = f"expected {end.chunks} chunks of {end.size_bytes} bytes"
+            reason = f"{expected}, found {read.chunks} of {read.size_bytes}"
             raise self._records.error(reason, record.offset)
         if not self._records.at_end():
             raise self._records.error("bytes follow the end of the snapshot", record.offset)
@@ -82,7 +83,7 @@
 
     def _decode(self, record: Record, kind: RecordKind, body_type: type) -> Any:
         if record.kind != kind:
-            reason = f"{kind.name} expected, found {record.kind.name}"
+            reason = f"expected {kind.name}, found {record.kind.name}"
             raise self._records.error(reason, record.offset)
         try:
             return decode_body(body_type, record.body)
@@ -91,7 +92,7 @@
 
 
 class SnapshotStore:
-    """The snapshots in one group's folder; only the newest is kept."""
+    """The snapshots in one group's folder; only the newest one is retained."""
 
     def __init__(self, files: FileSystem, folder: str, group: int) -> None:
         self._files = files
@@ -104,7 +105,7 @@
         return f"{self._folder}/{snapshot_name(last_index)}"
 
     def find_newest(self) -> Result[SnapshotMeta | None, Fault]:
-        """Read the newest snapshot through; damage in it is a fault."""
+        """Verify the newest snapshot and return its metadata; damage is a fault."""
         found = list_snapshots(self._files, self._folder)
         if not found:
             return Ok(None)
@@ -113,12 +114,12 @@
         except RainsailError as error:
             return Error(error.fault)
         if meta.last_index != found[-1]:
-            reason = f"holds the snapshot of entry {meta.last_index}"
+            reason = f"contains the snapshot of entry {meta.last_index}"
             return Error(storage_fault("snapshot", self.path(found[-1]), reason, 0))
         return Ok(meta)
 
     def read(self, meta: SnapshotMeta) -> Iterator[SnapshotPiece]:
-        """Yield a snapshot's pieces; raises ``RainsailError`` when it is gone or damaged."""
+        """Yield a snapshot's pieces; raises ``RainsailError`` if it is missing or damaged."""
         reader = SnapshotReader(self._files, self.path(meta.last_index), self._group)
         reader.header()
         yield from reader.pieces()
@@ -126,10 +127,10 @@
     def write_temporary(
         self, meta: SnapshotMeta, chunks: Iterable[bytes]
     ) -> Result[TemporarySnapshot, Fault]:
-        """Write a snapshot under a temporary name without waiting for the disk.
+        """Write a snapshot under a temporary name, without syncing it.
 
-        The chunks are taken at once, because the state they come from must not change meanwhile.
-        A full disk is a fault that leaves the rest of the storage as it was.
+        Consumes all chunks before it returns, because the state they come from must not change
+        in between. A full disk is a fault that leaves the rest of the storage unchanged.
         """
         self._written += 1
         path = f"{self.path(meta.last_index)}.{self._written}{TEMPORARY_SUFFIX}"
@@ -165,7 +166,7 @@
         self._files.remove(path)
 
     async def publish(self, temporary: TemporarySnapshot) -> Result[None, Fault]:
-        """Sync, rename and sync the folder; a fault leaves the disk in doubt."""
+        """Sync, rename and sync the folder; after a fault the content of the disk is unknown."""
         synced = await temporary.file.sync()
         temporary.file.close()
         if synced.is_error():
@@ -178,24 +179,24 @@
         return await self._files.sync_folder(self._folder)
 
     def discard(self, temporary: TemporarySnapshot) -> None:
-        """Throw a temporary snapshot away; raises ``OSError``."""
+        """Remove a temporary snapshot; raises ``OSError``."""
         self._discard(temporary.file, temporary.path)
 
     def remove_older(self, last_index: int) -> None:
-        """Remove snapshots older than one; raises ``OSError``."""
+        """Remove the snapshots before ``last_index``; raises ``OSError``."""
         for older in list_snapshots(self._files, self._folder):
             if older < last_index:
                 self._files.remove(self.path(older))
 
     def remove_temporary(self) -> None:
-        """Remove what interrupted snapshots left; raises ``OSError``. Only while opening."""
+        """Remove files of interrupted snapshots; raises ``OSError``. Only at opening."""
         for name in self._files.list(self._folder):
             if name.endswith(TEMPORARY_SUFFIX):
                 self._files.remove(f"{self._folder}/{name}")
 
 
 def verify_snapshot(files: FileSystem, path: str, group: int) -> SnapshotMeta:
-    """Read a snapshot through and return its header; raises ``RainsailError`` at damage."""
+    """Check a whole snapshot and return its metadata; raises ``RainsailError`` if damaged."""
     reader = SnapshotReader(files, path, group)
     meta = reader.header()
     for _ in reader.pieces():
--- a/src/rainsail/storage/write_queue.py
+++ b/src/rainsail/storage/write_queue.py
@@ -1,7 +1,7 @@
-"""Gathers records and writes them in batches, one sync each.
+"""Group commit: queues records and writes them in batches, with one sync per batch.
 
-While a sync is under way, new records gather for the next batch. A failed write or sync is final:
-every later call answers with the same fault, because what the disk holds is no longer known.
+Records added while a sync is running go into the next batch. A failed write or sync is final: all
+later calls return the same fault, because the content of the disk is unknown after it.
 """
 
 from typing import Protocol
@@ -18,29 +18,29 @@
 
 
 class BatchObserver(Protocol):
-    """What the queue asks and tells the owner of the log."""
+    """Callbacks of the queue to the owner of the log."""
 
     def position(self) -> LogPosition:
-        """Return where the log stands with everything queued so far."""
+        """Return the position of the log including all queued writes."""
         ...
 
     def batch_started(self) -> None:
-        """Everything queued so far is being written."""
+        """Called when the queue starts to write everything queued so far."""
         ...
 
     def set_record_location(self, record: PendingRecord, sequence: int, offset: int) -> None:
-        """A record was put at an offset of a segment."""
+        """Called with the segment and offset of a record."""
         ...
 
     def batch_durable(self) -> None:
-        """The batch is on the disk."""
+        """Called when the batch is durable."""
         ...
 
 
 class WriteQueue:
-    """The records that wait for the disk and the callers that wait for them.
+    """The queued records and the callers that wait for their sync.
 
-    ``written`` is where the log on the disk stands.
+    ``written`` is the position of the log on disk.
     """
 
     def __init__(self, log: SegmentLog, observer: BatchObserver, written: LogPosition) -> None:
@@ -58,16 +58,16 @@
         self._pending.append(record)
 
     def drop_entries(self) -> None:
-        """Take back queued entries and truncations; queued hard states stay."""
+        """Remove queued entries and truncations; queued hard states stay."""
         self._pending = [each for each in self._pending if each.kind == RecordKind.HARD_STATE]
 
     def fail(self, fault: Fault) -> None:
-        """Refuse everything from now on (the disk failed elsewhere)."""
+        """Make all later calls return ``fault``; for disk failures outside of the queue."""
         if self.fault is None:
             self.fault = fault
 
     def sync(self) -> "Deferred[SyncResult]":
-        """Fire when everything queued so far is durable."""
+        """Return a Deferred that fires when everything queued so far is durable."""
         if self.fault is not None:
             return succeed(Error(self.fault))
         waiter: Deferred[SyncResult] = Deferred()
