--- a/features/state/claims_and_sessions.feature
+++ b/features/state/claims_and_sessions.feature
@@ -6,16 +6,16 @@
     Then the replicated state granted it to alpha and answered beta that its outcome is unknown
     And the replicated state grants it to alpha again when the claim is sent again
     When alpha finishes the claimed request of the replicated state with "pong"
-    Then the replicated state tells beta that it completed with "pong"
+    Then the replicated state answers beta that it completed with "pong"
     And the answer is the same after the claims of the replicated state are restored
     And the replicated state grants it to nobody any more
 
   Scenario: A request that was not run may be claimed again
     Given a claim store of the replicated state
     When gateways alpha and beta claim the same request of the replicated state
-    And beta says to the replicated state that the request was not run
+    And beta reports to the replicated state that the request was not run
     Then the replicated state answers the claim with fault "fenced"
-    When alpha says to the replicated state that the request was not run
+    When alpha reports to the replicated state that the request was not run
     Then the replicated state grants it to beta
 
   Scenario: The same request id with other content is a conflict
--- a/features/state/ledger.feature
+++ b/features/state/ledger.feature
@@ -64,7 +64,7 @@
     When the ledger is restored from its snapshot
     Then the ledger shows 2 cancelled items of job nightly
 
-  Scenario: A poison item is set aside and the job goes on
+  Scenario: A poison item is set aside and the job continues
     Given a ledger with accepted job nightly of 2 items and 3 attempts
     When holder alpha fails item 0 of the ledger 3 times with "engine crashed"
     Then item 0 of the ledger is set aside with "engine crashed"
@@ -76,7 +76,7 @@
     Given a ledger with accepted job nightly of 1 items and 1 attempts
     When holder alpha preempts item 0 of the ledger 5 times, having generated "The ship"
     And the ledger is restored from its snapshot
-    Then the next lease of the ledger hands out "The ship" to go on from
+    Then the next lease of the ledger has the generated prefix "The ship"
 
   Scenario: Tenants share by tokens, and the earliest deadline goes first within a tenant
     Given a ledger with jobs of two tenants, one of them with two jobs of 20 items
@@ -91,7 +91,7 @@
 
   Scenario: An idle tenant builds up no credit
     Given a ledger in which only north had work for 20 items
-    When tenant south brings 20 items to the ledger
+    When tenant south submits 20 items to the ledger
     And holder alpha leases 10 items of the ledger
     Then each tenant of the ledger has 5 of them
 
@@ -106,13 +106,13 @@
     Given a ledger with accepted job nightly of 9 items
     When holder alpha finishes every item of the ledger
     Then the ledger's results from item 3, two at a time, are items 3 and 4
-    When job nightly of the ledger is forgotten
+    When job nightly of the ledger is deleted
     Then the ledger has no results of job nightly
     And the ledger takes a new job under the key nightly
 
   Scenario: An accepted, unfinished job is not deleted
     Given a ledger with accepted job nightly of 9 items
-    When job nightly of the ledger is forgotten
+    When job nightly of the ledger is deleted
     Then the ledger answers with fault "conflict"
 
   Scenario: An invalid job is refused
--- a/features/steps/state_claims_steps.py
+++ b/features/steps/state_claims_steps.py
@@ -53,7 +53,7 @@
     finish(context, "alpha", Outcome.COMPLETED, response)
 
 
-@then('the replicated state tells beta that it completed with "{response}"')
+@then('the replicated state answers beta that it completed with "{response}"')
 def step_completed(context, response):
     context.expected = ClaimResult(False, "alpha", Outcome.COMPLETED, response)
     assert claim(context, "beta") == context.expected
@@ -71,7 +71,7 @@
     assert not claim(context, "gamma").granted
 
 
-@when("{gateway} says to the replicated state that the request was not run")
+@when("{gateway} reports to the replicated state that the request was not run")
 def step_not_run(context, gateway):
     context.answer = finish(context, gateway, Outcome.NOT_RUN)
 
--- a/features/steps/state_ledger_steps.py
+++ b/features/steps/state_ledger_steps.py
@@ -110,8 +110,8 @@
     context.answer = context.driver.apply(CancelJob(job, "cancel"))
 
 
-@when("job {job} of the ledger is forgotten")
-def step_forget(context, job):
+@when("job {job} of the ledger is deleted")
+def step_delete(context, job):
     context.answer = context.driver.apply(ForgetJob(job))
 
 
@@ -224,7 +224,7 @@
         context.driver.apply(RevokeLeases("beta"))
 
 
-@then('the next lease of the ledger hands out "{text}" to go on from')
+@then('the next lease of the ledger has the generated prefix "{text}"')
 def step_prefix(context, text):
     (item,) = lease(context, "gamma", 1)
     assert item.generated_prefix == text, item
@@ -273,8 +273,8 @@
     lease(context, "alpha", 20)
 
 
-@when("tenant south brings 20 items to the ledger")
-def step_south_comes(context):
+@when("tenant south submits 20 items to the ledger")
+def step_south_submits(context):
     context.driver.accept("second", 20, tenant="south")
 
 
--- a/features/steps/state_resources_steps.py
+++ b/features/steps/state_resources_steps.py
@@ -114,7 +114,7 @@
 
 
 def check_events(state, kept, lost):
-    """Check where the event window of a state begins."""
+    """Check the start of the event window of a state."""
     events = state.events_since(kept, 100)
     assert [event.revision for event in events] == list(range(kept + 1, state.revision + 1))
     assert state.events_since(kept, 1) == events[:1]
--- a/features/steps/state_sessions_steps.py
+++ b/features/steps/state_sessions_steps.py
@@ -41,8 +41,8 @@
 
 @then("alpha got the session of the replicated state and beta a conflict")
 def step_one_holds(context):
-    held, refused = context.answers
-    assert held == SessionView("chat", "alpha", "engine-alpha", 1, ()), held
+    attached, refused = context.answers
+    assert attached == SessionView("chat", "alpha", "engine-alpha", 1, ()), attached
     assert isinstance(refused, Fault), refused
     assert (refused.code, refused.current_revision) == (FaultCode.CONFLICT, 1), refused
 
--- a/src/rainsail/state/snapshot.py
+++ b/src/rainsail/state/snapshot.py
@@ -99,7 +99,7 @@
                 started = True
             yield record
     if not started:
-        raise _unreadable("the snapshot holds no record")
+        raise _unreadable("the snapshot has no records")
 
 
 def _decode_part(chunk: bytes) -> SnapshotPart:
@@ -108,15 +108,15 @@
     except CodecError as error:
         raise _unreadable(str(error)) from error
     if not isinstance(part, SnapshotPart):
-        raise _unreadable(f"a {type(part).__name__} in place of a snapshot part")
+        raise _unreadable(f"expected a snapshot part, found a {type(part).__name__}")
     return part
 
 
 def _check_start(record: SnapshotRecord) -> None:
     if not isinstance(record, SnapshotStart):
-        raise _unreadable("the snapshot does not begin with its start record")
+        raise _unreadable("the snapshot does not start with a start record")
     if record.format != SNAPSHOT_FORMAT:
-        raise _unreadable(f"format {record.format}, this program reads {SNAPSHOT_FORMAT}")
+        raise _unreadable(f"format {record.format} is not supported, expected {SNAPSHOT_FORMAT}")
 
 
 def _unreadable(detail: str) -> RainsailError:
