--- a/features/steps/state_claims_steps.py
+++ b/features/steps/state_claims_steps.py
@@ -36,11 +36,11 @@
     context.answers = [claim(context, "alpha"), claim(context, "beta")]
 
 
-@then("the replicated state granted it to alpha and told beta that its end is unknown")
+@then("the replicated state granted it to alpha and answered beta that its outcome is unknown")
 def step_one_granted(context):
-    granted, told = context.answers
+    granted, refused = context.answers
     assert granted.granted, granted
-    assert told == ClaimResult(False, "alpha", Outcome.UNKNOWN), told
+    assert refused == ClaimResult(False, "alpha", Outcome.UNKNOWN), refused
 
 
 @then("the replicated state grants it to alpha again when the claim is sent again")
@@ -53,13 +53,13 @@
     finish(context, "alpha", Outcome.COMPLETED, response)
 
 
-@then('the replicated state tells beta that it completed with "{response}"')
+@then('the replicated state answers beta that it completed with "{response}"')
 def step_completed(context, response):
     context.expected = ClaimResult(False, "alpha", Outcome.COMPLETED, response)
     assert claim(context, "beta") == context.expected
 
 
-@then("it is so after the claims of the replicated state are restored")
+@then("the answer is the same after the claims of the replicated state are restored")
 def step_restored(context):
     context.driver.restart()
     assert claim(context, "beta") == context.expected
@@ -71,7 +71,7 @@
     assert not claim(context, "gamma").granted
 
 
-@when("{gateway} says to the replicated state that the request was not run")
+@when("{gateway} reports to the replicated state that the request was not run")
 def step_not_run(context, gateway):
     context.answer = finish(context, gateway, Outcome.NOT_RUN)
 
@@ -99,7 +99,7 @@
         finish(context, "alpha", Outcome.COMPLETED, "pong", f"ping-{number}")
 
 
-@then("the replicated state still knows the last 2 requests and has forgotten the first")
+@then("the replicated state still knows the last 2 requests and has evicted the first")
 def step_window(context):
     granted = [claim(context, "beta", f"ping-{number}").granted for number in range(3)]
     assert granted == [True, False, False], granted
--- a/features/steps/state_ledger_steps.py
+++ b/features/steps/state_ledger_steps.py
@@ -27,7 +27,7 @@
 
 
 def new_ledger(context):
-    """Begin with an empty state."""
+    """Create an empty state."""
     context.driver = Driver()
     context.requests = 0
     context.leased = {}
@@ -110,8 +110,8 @@
     context.answer = context.driver.apply(CancelJob(job, "cancel"))
 
 
-@when("job {job} of the ledger is forgotten")
-def step_forget(context, job):
+@when("job {job} of the ledger is deleted")
+def step_delete(context, job):
     context.answer = context.driver.apply(ForgetJob(job))
 
 
@@ -224,7 +224,7 @@
         context.driver.apply(RevokeLeases("beta"))
 
 
-@then('the next lease of the ledger hands out "{text}" to go on from')
+@then('the next lease of the ledger has the generated prefix "{text}"')
 def step_prefix(context, text):
     (item,) = lease(context, "gamma", 1)
     assert item.generated_prefix == text, item
@@ -273,8 +273,8 @@
     lease(context, "alpha", 20)
 
 
-@when("tenant south brings 20 items to the ledger")
-def step_south_comes(context):
+@when("tenant south submits 20 items to the ledger")
+def step_south_submits(context):
     context.driver.accept("second", 20, tenant="south")
 
 
@@ -306,7 +306,7 @@
     assert context.driver.accept("new-id", 1, job_key=key).pending == 1
 
 
-@then("the ledger refuses jobs without end, without sense or beyond its limits")
+@then("the ledger refuses jobs with an invalid deadline, key, item count or attempts")
 def step_refusals(context):
     wrong = [
         ({"deadline_unix_s": nan}, "invalid"),
@@ -323,6 +323,6 @@
     assert context.driver.state.jobs() == []
 
 
-@then("under random commands, re-sent ones and restores the ledger agrees with a plain model")
+@then("under random commands, re-sent ones and restores the ledger agrees with a reference model")
 def step_random(context):
     check_random_commands()
--- a/features/steps/state_resources_steps.py
+++ b/features/steps/state_resources_steps.py
@@ -114,14 +114,14 @@
 
 
 def check_events(state, kept, lost):
-    """Check where the event window of a state begins."""
+    """Check the start of the event window of a state."""
     events = state.events_since(kept, 100)
     assert [event.revision for event in events] == list(range(kept + 1, state.revision + 1))
     assert state.events_since(kept, 1) == events[:1]
     assert state.events_since(lost, 100) is None
 
 
-@then("it is so after a restore of the replicated state")
+@then("the event window is the same after a restore of the replicated state")
 def step_events_restored(context):
     context.driver.restart(context.settings)
     check_events(context.driver.state, context.kept, context.lost)
--- a/features/steps/storage_fuzz_steps.py
+++ b/features/steps/storage_fuzz_steps.py
@@ -1,10 +1,10 @@
-"""Steps that put arbitrary bytes where segments, snapshots and identities are expected."""
+"""Steps that replace segments, snapshots and identities by arbitrary bytes."""
 
 import random
 
 from behave import then, when
 from features.support.storage import FIRST_SEGMENT, GROUP, SCHEMAS, StorageRig
-from features.support.storage_bytes import altered, sound_files
+from features.support.storage_bytes import altered, valid_files
 from hypothesis import HealthCheck, Phase, given, settings, strategies
 
 from rainsail.errors import FaultCode
@@ -38,8 +38,8 @@
     group = IDENTITY_GROUP if name == "identity" else GROUP
     if content == "arbitrary records":
         return record_lists(group).map(lambda records: frame(records, group))
-    if content == "altered sound bytes":
-        return altered(sound_files()[PATHS[name]])
+    if content == "altered valid bytes":
+        return altered(valid_files()[PATHS[name]])
     sizes = strategies.integers(0, MAX_FILE_BYTES)
     return sizes.flatmap(lambda size: strategies.binary(min_size=size, max_size=size))
 
@@ -60,7 +60,7 @@
     """Open a storage, or load an identity, over a disk that holds ``data``; return the result."""
     rig = StorageRig()
     if name == "snapshot":
-        rig.disk.replace(FIRST_SEGMENT, sound_files()[FIRST_SEGMENT])
+        rig.disk.replace(FIRST_SEGMENT, valid_files()[FIRST_SEGMENT])
     rig.disk.replace(PATHS[name], data)
     if name == "identity":
         loading = load_or_create_identity(rig.disk, "north", "a1", SCHEMAS, random.Random(1))
@@ -68,7 +68,7 @@
     return rig.try_open()
 
 
-@when("{count:d} files of {content} stand in for a {name}")
+@when("{count:d} files of {content} replace a {name}")
 def step_fuzz(context, count, content, name):
     context.results = []
 
@@ -80,11 +80,11 @@
     check()
 
 
-@then("opening the storage each time gave a storage or a typed fault")
+@then("opening the storage returned a storage or a typed fault each time")
 def step_typed(context):
     assert len(context.results) >= 100, len(context.results)
     faults = [result.error for result in context.results if result.is_error()]
-    assert faults, "every file was taken for sound"
+    assert faults, "every file was accepted as valid"
     assert all(fault.code is FaultCode.STORAGE for fault in faults), faults
 
 
@@ -109,7 +109,7 @@
         assert found == records and whole.damage is None, whole
 
 
-@then("every scan of a cut-off copy gave a prefix of them")
+@then("every scan of a truncated copy gave a prefix of them")
 def step_prefix(context):
     for records, _, part in context.scans:
         found = [(record.kind, record.body, record.durable) for record in part.records]
--- a/features/steps/storage_local_steps.py
+++ b/features/steps/storage_local_steps.py
@@ -20,7 +20,7 @@
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.local_files import LocalFileSystem
 from rainsail.storage.settings import StorageSettings
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 SEGMENT = f"group-{GROUP}/0000000001.log"
 REAL_FILES = {
@@ -31,7 +31,7 @@
 
 
 def wait_ok(context, deferred):
-    """Wait for a result, which must be ok, and return its value."""
+    """Wait for a Deferred, whose result must be ok, and return its value."""
     result = context.folder.reactor.wait(deferred)
     assert result.is_ok(), str(result.error)
     return result.ok
@@ -44,7 +44,7 @@
 
 
 def fill(context, entries, snapshot):
-    """Make an identity, entries and a snapshot, then close."""
+    """Create an identity, entries and a snapshot, then close."""
     context.identity = identify(context)
     storage = wait_ok(context, open_group_storage(context.files, GROUP, StorageSettings()))
     storage.append(make_entries(1, entries))
@@ -81,7 +81,7 @@
     storage = context.storage
     assert (storage.first_index, storage.last_index) == (21, 50), storage.first_index
     assert storage.entries(21, 50, 10**9) == make_entries(21, 30)
-    assert tuple(whole_chunks(storage.read_snapshot())) == snapshot_chunks(20)
+    assert tuple(verified_chunks(storage.read_snapshot())) == snapshot_chunks(20)
     storage.close()
 
 
@@ -204,7 +204,7 @@
     context.before = context.folder.contents()
 
 
-@then("the offline report tells {count:d} torn bytes")
+@then("the offline report shows {count:d} torn bytes")
 def step_torn(context, count):
     assert context.code == 0 and context.report["faults"] == [], context.report
     files = context.report["groups"][0]["files"]
--- a/features/steps/storage_snapshot_steps.py
+++ b/features/steps/storage_snapshot_steps.py
@@ -6,7 +6,7 @@
 from rainsail.errors import FaultCode
 from rainsail.storage.interface import SnapshotMeta
 from rainsail.storage.records import RecordKind, record_bytes, scan
-from rainsail.storage.snapshot_sum import whole_chunks
+from rainsail.storage.snapshot_checksum import verified_chunks
 
 MEMBERS = b"members"
 MOMENTS_S = {
@@ -21,7 +21,7 @@
 
 
 def start_snapshot(rig, index, term=1):
-    """Begin to save a snapshot and return the Deferred."""
+    """Start saving a snapshot and return the Deferred."""
     chunks = iter(snapshot_chunks(index))
     return rig.storage.save_snapshot(SnapshotMeta(index, term, MEMBERS), chunks)
 
@@ -50,7 +50,7 @@
     storage = context.rig.storage
     assert storage.snapshot_meta.last_index == index, storage.snapshot_meta
     assert storage.snapshot_meta.membership == MEMBERS
-    assert tuple(whole_chunks(storage.read_snapshot())) == snapshot_chunks(index)
+    assert tuple(verified_chunks(storage.read_snapshot())) == snapshot_chunks(index)
 
 
 @then("the storage is empty after entry {index:d}")
@@ -83,8 +83,8 @@
     assert not [name for name in names if name.endswith(".part")], names
 
 
-@when("a snapshot of entry {index:d} in term {term:d} is cut off before its reset")
-def step_cut_before_reset(context, index, term):
+@when("installing a snapshot of entry {index:d} in term {term:d} is interrupted before the reset")
+def step_interrupt_before_reset(context, index, term):
     start_snapshot(context.rig, index, term)
     while not context.rig.disk.exists(snapshot_path(index)):
         assert context.rig.clock.run_next(context.rig.clock.seconds() + 1)
--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -43,7 +43,7 @@
 
 @dataclass
 class LedgerModel:
-    """Every item of every job, and which jobs were accepted or cancelled."""
+    """Expected state of all items, and the cancelled jobs."""
 
     items: dict[tuple[str, int], ItemModel] = field(default_factory=dict)
     cancelled: list[str] = field(default_factory=list)
@@ -123,7 +123,7 @@
             *[self.accept] * 2,
             *[self.lease] * 5,
             *[self.commit] * 6,
-            *[self.give_back] * 3,
+            *[self.return_item] * 3,
             self.lease_again,
             self.revoke,
             self.cancel,
--- a/features/support/storage_bytes.py
+++ b/features/support/storage_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of sound files and alterations of them."""
+"""Bytes of valid files and alterations of them."""
 
 from functools import cache
 
@@ -11,7 +11,7 @@
 
 
 @cache
-def sound_files() -> dict[str, bytes]:
+def valid_files() -> dict[str, bytes]:
     """Return a segment of 9 entries and the snapshot of the fourth, by path."""
     rig = StorageRig()
     rig.open()
@@ -25,7 +25,7 @@
 
 
 def altered(data: bytes) -> strategies.SearchStrategy[bytes]:
-    """Return a strategy that cuts ``data``, changes a byte and doubles or drops a piece."""
+    """Return a strategy that truncates ``data``, changes a byte, or repeats or drops a piece."""
     place = strategies.integers(0, len(data) - 1)
     return strategies.builds(_alter, strategies.just(data), place, place, strategies.integers(0, 3))
 
--- a/src/rainsail/consensus/snapshot_source.py
+++ b/src/rainsail/consensus/snapshot_source.py
@@ -7,7 +7,7 @@
 
 from rainsail.errors import Fault, RainsailError
 from rainsail.storage.interface import GroupStorage
-from rainsail.storage.snapshot_sum import SnapshotPiece, SnapshotSum, not_whole
+from rainsail.storage.snapshot_checksum import SnapshotChecksum, SnapshotPiece, incomplete_snapshot
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
         if reader is None or reader.snapshot_index != snapshot_index or offset < reader.offset:
             reader = self._open(snapshot_index)
             self._readers[identity] = reader
-        while reader.offset < offset and not isinstance(reader.piece, SnapshotSum):
+        while reader.offset < offset and not isinstance(reader.piece, SnapshotChecksum):
             reader.piece = _next_piece(reader.pieces)
             reader.offset += 1
         return PieceRead(reader.offset, reader.piece)
@@ -69,5 +69,5 @@
     """Return the next piece; a reader that ends before the checksum has failed."""
     piece = next(pieces, None)
     if piece is None:
-        raise not_whole("the snapshot reader ended before the checksum")
+        raise incomplete_snapshot("the snapshot reader ended before the checksum")
     return piece
--- a/src/rainsail/consensus/snapshots.py
+++ b/src/rainsail/consensus/snapshots.py
@@ -6,7 +6,7 @@
 from rainsail.consensus.membership import EMPTY_MEMBERSHIP, membership_of_payload
 from rainsail.consensus.messages import AppendReply, SnapshotChunk, SnapshotReply
 from rainsail.storage.interface import SnapshotMeta
-from rainsail.storage.snapshot_sum import SnapshotSum
+from rainsail.storage.snapshot_checksum import SnapshotChecksum
 
 
 def handle_chunk(state: CoreState, source: str, message: SnapshotChunk, now: float) -> None:
@@ -40,7 +40,7 @@
     return known
 
 
-def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotSum) -> None:
+def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotChecksum) -> None:
     """Install the received chunks if they match the checksum; otherwise drop them.
 
     A refusal gets no reply, so that the leader tries again with its next heartbeat.
@@ -56,7 +56,7 @@
     )
 
 
-def is_whole(incoming: IncomingSnapshot, expected: SnapshotSum) -> bool:
+def is_whole(incoming: IncomingSnapshot, expected: SnapshotChecksum) -> bool:
     """Return whether the received chunks match the checksum of the leader's snapshot."""
     return incoming.received == expected
 
--- a/src/rainsail/state/claims.py
+++ b/src/rainsail/state/claims.py
@@ -1,8 +1,10 @@
-"""Claims on non-repeatable requests: one gateway may send each, and how it ended is kept.
+"""Claims on non-repeatable requests: only one gateway may send each request.
 
-The ``gateway`` of a claim must name one attempt to claim (for instance gateway incarnation and a
-counter): a claim re-sent under the same name is granted again, since it may be the same command
-after a lost answer. Retention is by count: at-most-once holds within the stated windows.
+The outcome of a claimed request is stored, so that repeated requests get it as their answer. The
+``gateway`` of a claim must name a single attempt to claim (for instance gateway incarnation and a
+counter): a claim that is re-sent under the same name is granted again, because it may be the same
+command after a lost answer. Retention is by count: at-most-once execution holds only for claims
+within the windows of the settings.
 """
 
 from collections import OrderedDict
@@ -19,7 +21,7 @@
 @wire_record("Claim")
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One claimed request; ``finished`` tells whether its end was recorded."""
+    """One claimed request; ``finished`` is set once its outcome is recorded."""
 
     tenant: str
     request_id: str
@@ -34,7 +36,7 @@
 
 
 class ClaimStore:
-    """Unfinished claims in order of claiming, finished ones in order of finishing."""
+    """Bounded windows of unfinished claims, by claim order, and finished ones, by finish order."""
 
     def __init__(self, settings: StateSettings) -> None:
         self._settings = settings
@@ -42,13 +44,13 @@
         self._finished: OrderedDict[ClaimKey, Claim] = OrderedDict()
 
     def claim(self, command: ClaimRequest) -> ClaimResult | Fault:
-        """Grant the request to its first claimer; tell others what is known of it."""
+        """Grant the request to its first claimer; return its known outcome to others."""
         if not command.request_id:
             return invalid("claim_request", "a claim needs a request id")
         key = (command.tenant, command.request_id)
         known = self._open.get(key) or self._finished.get(key)
         if known is None:
-            self._hold(Claim(*key, command.content_digest, command.gateway))
+            self._add_open(Claim(*key, command.content_digest, command.gateway))
             return ClaimResult(True, command.gateway, Outcome.UNKNOWN)
         if known.content_digest != command.content_digest:
             return conflict("claim_request", f"{command.request_id!r} was another request")
@@ -56,7 +58,7 @@
         return ClaimResult(granted, known.gateway, known.outcome, known.response)
 
     def finish(self, command: FinishRequest) -> Done | Fault:
-        """Record how a claimed request ended; NOT_RUN releases the claim."""
+        """Record the outcome of a claimed request; NOT_RUN releases the claim."""
         key = (command.tenant, command.request_id)
         known = self._open.get(key) or self._finished.get(key)
         if known is None:
@@ -70,7 +72,7 @@
             ended = replace(
                 known, finished=True, outcome=command.outcome, response=command.response
             )
-            self._keep(ended)
+            self._add_finished(ended)
         return Done()
 
     def _finish_unclaimed(self, command: FinishRequest) -> Done | Fault:
@@ -83,24 +85,24 @@
             return Done()
         return conflict("finish_request", f"{command.request_id!r} ended as {known.outcome}")
 
-    def _hold(self, claim: Claim) -> None:
+    def _add_open(self, claim: Claim) -> None:
         self._open[claim.tenant, claim.request_id] = claim
         if len(self._open) > self._settings.open_claim_window_count:
             self._open.popitem(last=False)
 
-    def _keep(self, claim: Claim) -> None:
+    def _add_finished(self, claim: Claim) -> None:
         self._finished[claim.tenant, claim.request_id] = claim
         if len(self._finished) > self._settings.finished_claim_window_count:
             self._finished.popitem(last=False)
 
     def records(self) -> Iterator[Claim]:
-        """Yield every claim for a snapshot."""
+        """Yield all claims for a snapshot."""
         yield from self._open.values()
         yield from self._finished.values()
 
     def restore(self, claim: Claim) -> None:
-        """Take one record of a snapshot."""
+        """Restore one record of a snapshot."""
         if claim.finished:
-            self._keep(claim)
+            self._add_finished(claim)
         else:
-            self._hold(claim)
+            self._add_open(claim)
--- a/src/rainsail/state/result_log.py
+++ b/src/rainsail/state/result_log.py
@@ -1,7 +1,7 @@
-"""The results of one job's finished items: appended once, read by index.
+"""Append-only store of the results of one job's items, read by item index.
 
-Records lie one after the other in segments, each headed by its item's index and its size, so
-that the place of each record can be found again from the segments alone.
+Records are stored one after the other in segments. Each starts with a header of item index and
+size, so that the location of each record can be rebuilt from the segments alone.
 """
 
 import struct
@@ -21,7 +21,7 @@
 @wire_type("FinishedItem")
 @dataclass(frozen=True, slots=True)
 class FinishedItem:
-    """How an item ended: its text, or why it was set aside."""
+    """Result of an item: its text, or the failure for which it was set aside."""
 
     custom_id: str
     text: str
@@ -32,20 +32,20 @@
 @wire_record("StoredResults")
 @dataclass(frozen=True, slots=True)
 class StoredResults:
-    """One segment of a job's results, for a snapshot."""
+    """One segment of a job's results, in a snapshot."""
 
     job_id: str
     segment: bytes
 
 
 class ResultLog:
-    """Results in segments and the place of each, as segment number and offset in one number."""
+    """Results in segments, with a location per item: segment number and offset in one integer."""
 
-    __slots__ = ("_item_count", "_places", "_segments")
+    __slots__ = ("_item_count", "_locations", "_segments")
 
     def __init__(self, item_count: int) -> None:
         self._item_count = item_count
-        self._places: array[int] = array("Q")
+        self._locations: array[int] = array("Q")
         self._segments: list[bytearray] = []
 
     def append(self, index: int, item: FinishedItem) -> None:
@@ -54,35 +54,35 @@
             self._segments.append(bytearray())
         payload = encode_body(item)
         segment = self._segments[-1]
-        self._set_place(index, len(self._segments) - 1, len(segment))
+        self._set_location(index, len(self._segments) - 1, len(segment))
         segment += _HEADER.pack(index, len(payload))
         segment += payload
 
-    def _set_place(self, index: int, segment: int, offset: int) -> None:
-        if not self._places:
-            self._places = array("Q", bytes(8 * self._item_count))
-        self._places[index] = segment << _SEGMENT_SHIFT | offset
+    def _set_location(self, index: int, segment: int, offset: int) -> None:
+        if not self._locations:
+            self._locations = array("Q", bytes(8 * self._item_count))
+        self._locations[index] = segment << _SEGMENT_SHIFT | offset
 
     def get(self, index: int) -> FinishedItem:
         """Return the result of an item that has one."""
-        place = self._places[index]
-        segment = self._segments[place >> _SEGMENT_SHIFT]
-        offset = place & _OFFSET_MASK
+        location = self._locations[index]
+        segment = self._segments[location >> _SEGMENT_SHIFT]
+        offset = location & _OFFSET_MASK
         _, size = _HEADER.unpack_from(segment, offset)
         start = offset + _HEADER.size
         return decode_body(FinishedItem, bytes(segment[start : start + size]))
 
     def records(self, job_id: str) -> Iterator[StoredResults]:
-        """Yield every segment for a snapshot."""
+        """Yield all segments for a snapshot."""
         for segment in self._segments:
             yield StoredResults(job_id, bytes(segment))
 
     def restore(self, record: StoredResults) -> None:
-        """Take one segment of a snapshot and find the places of its records."""
+        """Restore one segment of a snapshot and the locations of its records."""
         segment = bytearray(record.segment)
         self._segments.append(segment)
         offset = 0
         while offset < len(segment):
             index, size = _HEADER.unpack_from(segment, offset)
-            self._set_place(index, len(self._segments) - 1, offset)
+            self._set_location(index, len(self._segments) - 1, offset)
             offset += _HEADER.size + size
--- a/src/rainsail/storage/log_index.py
+++ b/src/rainsail/storage/log_index.py
@@ -1,4 +1,4 @@
-"""The log of one group as seen in memory: terms, places on disk and the newest entries."""
+"""In-memory index of a group's log: terms, locations on disk and a cache of entries."""
 
 from array import array
 from bisect import bisect_right
@@ -8,14 +8,14 @@
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
 _EVICTION_SHARE = 8
-"""The cache is cut back once it exceeds its bound by one part in this many."""
+"""Eviction starts once the cache exceeds its limit by this fraction (1/8) of the limit."""
 
 
 class LogIndex:
-    """Terms of all entries, their places on disk, and a cache of the newest entries.
+    """Terms of all entries, their locations on disk, and a cache of the newest entries.
 
-    ``base_index`` and ``base_term`` name the entry before the first one held. Terms are held as
-    runs, so ``term_at`` costs O(log of the number of term changes).
+    ``base_index`` and ``base_term`` are those of the entry before the first one of the log. Terms
+    are run-length encoded, so ``term_at`` takes O(log n) for n changes of the term.
     """
 
     def __init__(self, cache_bytes: int) -> None:
@@ -30,11 +30,11 @@
         self._run_terms: list[int] = []
         self._cache: list[LogEntry] = []
         self._cached_bytes = 0
-        self._places_start = base_index + 1
-        self._places: array[int] = array("Q")
+        self._locations_start = base_index + 1
+        self._locations: array[int] = array("Q")
 
     def reset(self, index: int, term: int) -> None:
-        """Drop every entry; the next one follows ``index``."""
+        """Drop all entries; the next one follows ``index``."""
         self._clear(index, term)
 
     def append(self, entry: LogEntry) -> None:
@@ -48,17 +48,17 @@
         self._cached_bytes += len(entry.payload)
         self.last_index = entry.index
 
-    def place(self, segment: int, offset: int) -> None:
-        """Note where the next entry without a place was written."""
-        self._places.append(segment << _OFFSET_BITS | offset)
+    def set_location(self, segment: int, offset: int) -> None:
+        """Record the location of the first entry that has none yet."""
+        self._locations.append(segment << _OFFSET_BITS | offset)
 
-    def place_of(self, index: int) -> tuple[int, int]:
+    def location_of(self, index: int) -> tuple[int, int]:
         """Return the segment and the offset of a written entry."""
-        packed = self._places[index - self._places_start]
+        packed = self._locations[index - self._locations_start]
         return packed >> _OFFSET_BITS, packed & _OFFSET_MASK
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on; their places stay until ``forget_places``."""
+        """Drop the entries from ``index`` on; their locations stay until ``drop_locations``."""
         while self._run_starts and self._run_starts[-1] >= index:
             self._run_starts.pop()
             self._run_terms.pop()
@@ -67,16 +67,16 @@
         del self._cache[keep:]
         self.last_index = min(self.last_index, max(index - 1, self.base_index))
 
-    def forget_places(self, index: int) -> None:
-        """Drop the places from ``index`` on, when the truncation is written."""
-        del self._places[max(0, index - self._places_start) :]
+    def drop_locations(self, index: int) -> None:
+        """Drop the locations from ``index`` on, once the truncation is written."""
+        del self._locations[max(0, index - self._locations_start) :]
 
     def retain_after(self, snapshot_index: int, retained_entries: int) -> None:
-        """Drop the entries up to a snapshot's last one, except for the newest of them."""
+        """Drop the entries covered by a snapshot, except for the newest ``retained_entries``."""
         self.drop_until(max(self.base_index, snapshot_index - retained_entries))
 
     def drop_until(self, index: int) -> None:
-        """Drop the entries up to ``index``, which must be held."""
+        """Drop the entries up to ``index``, which must be in the log."""
         self.base_term = self.term_at(index) or 0
         position = bisect_right(self._run_starts, index + 1) - 1
         if position >= 0:
@@ -84,8 +84,8 @@
             self._run_starts[0] = max(self._run_starts[0], index + 1)
         cached = max(0, index + 1 - self.cache_first)
         self._evict(cached)
-        del self._places[: max(0, index + 1 - self._places_start)]
-        self._places_start = max(self._places_start, index + 1)
+        del self._locations[: max(0, index + 1 - self._locations_start)]
+        self._locations_start = max(self._locations_start, index + 1)
         self.base_index = index
         if index == self.last_index:
             self._run_starts.clear()
@@ -93,12 +93,12 @@
 
     @property
     def cache_first(self) -> int:
-        """The index of the first cached entry (``last_index + 1`` when none is)."""
+        """The index of the first cached entry (``last_index + 1`` if the cache is empty)."""
         return self.last_index + 1 - len(self._cache)
 
     @property
     def cached_entries(self) -> int:
-        """How many entries are held in memory."""
+        """The number of cached entries."""
         return len(self._cache)
 
     def cached(self, first: int, last: int) -> list[LogEntry]:
@@ -107,7 +107,7 @@
         return self._cache[start : start + last - first + 1]
 
     def shrink(self, durable_index: int) -> None:
-        """Cut the cache to its bound; entries after ``durable_index`` stay."""
+        """Evict the oldest entries down to the cache limit, but none after ``durable_index``."""
         if self._cached_bytes <= self._bound_bytes + self._bound_bytes // _EVICTION_SHARE:
             return
         limit = min(len(self._cache), durable_index + 1 - self.cache_first)
@@ -123,7 +123,7 @@
         del self._cache[:count]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry or of the one before the first; None elsewhere."""
+        """Return the term of an entry or of the one before the first; None for any other."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
--- a/src/rainsail/storage/recovery.py
+++ b/src/rainsail/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Reads a group's folder back at opening: newest snapshot, segments, and how they fit."""
+"""Reads a group's folder at opening: newest snapshot and segments, checked for consistency."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredGroup:
-    """What a group's folder holds; ``written`` is where the segments by themselves end."""
+    """Contents of a group's folder; ``written`` is the log position of the segments alone."""
 
     segments: list[ScannedSegment]
     written: LogPosition
@@ -46,7 +46,7 @@
     if replayed.is_error():
         return Error(replayed.error)
     written = replayed.ok.position()
-    if not replayed.ok.fit_snapshot(snapshot.ok, settings.retained_entries):
+    if not replayed.ok.align_to_snapshot(snapshot.ok, settings.retained_entries):
         return Error(_gap_fault(replayed.ok, scanned.ok, snapshot.ok, folder))
     return Ok(RecoveredGroup(scanned.ok, written, replayed.ok, snapshot.ok))
 
--- a/src/rainsail/storage/write_queue.py
+++ b/src/rainsail/storage/write_queue.py
@@ -1,7 +1,7 @@
-"""Gathers records and writes them in batches, one sync each.
+"""Group commit: queues records and writes them in batches, with one sync per batch.
 
-While a sync is under way, new records gather for the next batch. A failed write or sync is final:
-every later call answers with the same fault, because what the disk holds is no longer known.
+Records added while a sync is running go into the next batch. A failed write or sync is final: all
+later calls return the same fault, because the content of the disk is unknown after it.
 """
 
 from typing import Protocol
@@ -18,29 +18,29 @@
 
 
 class BatchObserver(Protocol):
-    """What the queue asks and tells the owner of the log."""
+    """Callbacks of the queue to the owner of the log."""
 
     def position(self) -> LogPosition:
-        """Return where the log stands with everything queued so far."""
+        """Return the position of the log including all queued writes."""
         ...
 
-    def batch_begins(self) -> None:
-        """Everything queued so far is being written."""
+    def batch_started(self) -> None:
+        """Called when the queue starts to write everything queued so far."""
         ...
 
-    def record_placed(self, record: PendingRecord, sequence: int, offset: int) -> None:
-        """A record was put at an offset of a segment."""
+    def set_record_location(self, record: PendingRecord, sequence: int, offset: int) -> None:
+        """Called with the segment and offset of a record."""
         ...
 
     def batch_durable(self) -> None:
-        """The batch is on the disk."""
+        """Called when the batch is durable."""
         ...
 
 
 class WriteQueue:
-    """The records that wait for the disk and the callers that wait for them.
+    """The queued records and the callers that wait for their sync.
 
-    ``written`` is where the log on the disk stands.
+    ``written`` is the position of the log on disk.
     """
 
     def __init__(self, log: SegmentLog, observer: BatchObserver, written: LogPosition) -> None:
@@ -49,7 +49,7 @@
         self._written = written
         self._pending: list[PendingRecord] = []
         self._waiters: list[Deferred[SyncResult]] = []
-        self._under_way: list[Deferred[SyncResult]] | None = None
+        self._in_flight: list[Deferred[SyncResult]] | None = None
         self._is_writing = False
         self.fault: Fault | None = None
 
@@ -58,23 +58,23 @@
         self._pending.append(record)
 
     def drop_entries(self) -> None:
-        """Take back queued entries and truncations; queued hard states stay."""
+        """Remove queued entries and truncations; queued hard states stay."""
         self._pending = [each for each in self._pending if each.kind == RecordKind.HARD_STATE]
 
     def fail(self, fault: Fault) -> None:
-        """Refuse everything from now on (the disk failed elsewhere)."""
+        """Make all later calls return ``fault``; for disk failures outside of the queue."""
         if self.fault is None:
             self.fault = fault
 
     def sync(self) -> "Deferred[SyncResult]":
-        """Fire when everything queued so far is durable."""
+        """Return a Deferred that fires when everything queued so far is durable."""
         if self.fault is not None:
             return succeed(Error(self.fault))
         waiter: Deferred[SyncResult] = Deferred()
         if self._pending:
             self._waiters.append(waiter)
-        elif self._under_way is not None:
-            self._under_way.append(waiter)
+        elif self._in_flight is not None:
+            self._in_flight.append(waiter)
         else:
             return succeed(Ok(None))
         if not self._is_writing:
@@ -85,9 +85,9 @@
         self._is_writing = True
         while self._waiters:
             waiters, self._waiters = self._waiters, []
-            self._under_way = waiters
+            self._in_flight = waiters
             result = await self._write_batch()
-            self._under_way = None
+            self._in_flight = None
             if result.is_error():
                 self.fail(result.error)
                 waiters += self._waiters
@@ -102,8 +102,8 @@
         batch, self._pending = self._pending, []
         before = self._written
         self._written = self._observer.position()
-        self._observer.batch_begins()
-        result = await self._log.write(batch, before, self._observer.record_placed)
+        self._observer.batch_started()
+        result = await self._log.write(batch, before, self._observer.set_record_location)
         if result.is_error():
             return result
         self._observer.batch_durable()
