--- a/src/rainsail/consensus/snapshots.py
+++ b/src/rainsail/consensus/snapshots.py
@@ -40,7 +40,9 @@
     return known
 
 
-def finish(state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotChecksum) -> None:
+def finish(
+    state: CoreState, source: str, message: SnapshotChunk, expected: SnapshotChecksum
+) -> None:
     """Install the received chunks if they match the checksum; otherwise drop them.
 
     A refusal gets no reply, so that the leader tries again with its next heartbeat.
