--- a/src/rainsail/cluster/emptying.py
+++ b/src/rainsail/cluster/emptying.py
@@ -65,7 +65,7 @@
             return EmptyingStatus(message.name, False)
         remaining = self._remaining_without(node.address)
         if remaining < voters_for(self._losses):
-            return Fault(FaultCode.CONFLICT, step, f"only {remaining} storage nodes would remain")
+            return Fault(FaultCode.CONFLICT, step, f"only {remaining} storage nodes would stay")
         proposed = self._group.propose(ReleaseNode(node.address))
         return proposed.addCallback(reply_to_proposal, EmptyingStatus(message.name, False))
 
--- a/src/rainsail/cluster/quorum_wait.py
+++ b/src/rainsail/cluster/quorum_wait.py
@@ -34,6 +34,6 @@
             self.done.callback(Ok(None))
         elif self._open < self._needed:
             self._fired = True
-            detail = f"quorum not reached: {self._needed} acknowledgements missing"
+            detail = f"{self._needed} more would have had to answer"
             fault = Fault(FaultCode.UNAVAILABLE, self._step, detail, outcome=Outcome.UNKNOWN)
             self.done.callback(Error(fault))
--- a/src/rainsail/cluster/zone_drain_orders.py
+++ b/src/rainsail/cluster/zone_drain_orders.py
@@ -91,9 +91,7 @@
             # The order may have been stuck here while a newer one was accepted. The revision
             # that was just read does not reveal that, since it already includes the newer order.
             logger.bind(zone=zone, draining=draining).warning("zone_drain_order_dropped")
-            return Error(
-                Fault(FaultCode.UNAVAILABLE, STEP, "the operator has closed the connection")
-            )
+            return Error(Fault(FaultCode.UNAVAILABLE, STEP, "the operator has left"))
         expected = _revision_of(zone, known.ok)
         message = OrderZoneDrain(zone, draining, expected)
         result = await self._calls.call(message, self._order_as_leader, left_s, repeatable=True)
--- a/src/rainsail/consensus/driver.py
+++ b/src/rainsail/consensus/driver.py
@@ -178,7 +178,7 @@
             return succeed(Error(self._not_leader(step)))
         begun, effects = self.core.transfer_leadership(self._clock.seconds())
         if not begun:
-            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter to take over")))
+            return succeed(Error(Fault(FaultCode.UNAVAILABLE, step, "no other voter is there")))
         done: Deferred[Result[None, Fault]] = Deferred()
         self._leadership.call_when_ended(lambda: done.callback(Ok(None)))
         self._take(effects)
--- a/src/rainsail/consensus/proposal_queue.py
+++ b/src/rainsail/consensus/proposal_queue.py
@@ -73,7 +73,7 @@
             return self._not_leader(STEP)
         limit = self._core.state.settings.max_waiting_proposals
         if self._applier.waiting + len(self._waiting) >= limit:
-            return Fault(FaultCode.OVERLOADED, STEP, "too many pending proposals")
+            return Fault(FaultCode.OVERLOADED, STEP, "too many proposals under way")
         return None
 
     def _plan_flush(self) -> None:
--- a/src/rainsail/engine/http_client.py
+++ b/src/rainsail/engine/http_client.py
@@ -235,7 +235,7 @@
     if failure.check(*_NEVER_SENT):
         stream.refuse(describe_failure(failure))
     elif failure.check(CancelledError):
-        stream.lose("the request was cancelled")
+        stream.lose("given up")
     else:
         stream.lose(describe_failure(failure))
 
--- a/src/rainsail/gateway/admission.py
+++ b/src/rainsail/gateway/admission.py
@@ -140,20 +140,14 @@
         if quota_wait_s > 0.0:
             self._quotas.record_shortfall(ticket.tenant, ticket.cost_tokens)
         if quota_wait_s > limit_s:
-            return self._fault(
-                FaultCode.OVER_LIMIT, "the tenant's token quota is used up", quota_wait_s
-            )
+            return self._fault(FaultCode.OVER_LIMIT, "the tenant's tokens are used", quota_wait_s)
         queue_wait_s = estimated_wait_s(
             ticket, queues, slots, self._tenant_limit(ticket.tenant, queues, slots)
         )
         if queue_wait_s > limit_s:
-            return self._fault(
-                FaultCode.OVERLOADED, "the estimated wait exceeds the limit", queue_wait_s
-            )
+            return self._fault(FaultCode.OVERLOADED, "the queue is too long", queue_wait_s)
         if queue.queued(ticket.tenant) >= self._settings.max_queued_per_tenant:
-            return self._fault(
-                FaultCode.OVER_LIMIT, "too many requests of this tenant are waiting", queue_wait_s
-            )
+            return self._fault(FaultCode.OVER_LIMIT, "too many waiting", queue_wait_s)
         if len(queue) >= self._settings.max_queued:
             return self._fault(FaultCode.OVERLOADED, "the queue is full", queue_wait_s)
         return None
@@ -237,9 +231,7 @@
         retry_s = max(queues.mean_hold_s, self._settings.min_retry_after_s)
         self._refuse(
             ticket,
-            self._fault(
-                FaultCode.OVERLOADED, "no slot became free within the allowed wait", retry_s
-            ),
+            self._fault(FaultCode.OVERLOADED, "waited as long as allowed", retry_s),
         )
 
     def _refuse(self, ticket: Ticket, fault: Fault) -> None:
--- a/src/rainsail/gateway/drain.py
+++ b/src/rainsail/gateway/drain.py
@@ -28,7 +28,7 @@
 
 def stopping_fault(retry_after_s: float) -> Fault:
     """Return the fault with which a stopping gateway refuses new work."""
-    detail = "this gateway is stopping; send the request to another gateway"
+    detail = "this gateway is stopping; another takes the request"
     return Fault(FaultCode.UNAVAILABLE, STEP, detail, retry_after_s=retry_after_s)
 
 
--- a/src/rainsail/gateway/openai/authentication.py
+++ b/src/rainsail/gateway/openai/authentication.py
@@ -39,7 +39,7 @@
     def tenant(self, authorization: str | None) -> Result[str, Fault]:
         """Return the name of the tenant whose key is in the Authorization header."""
         if not self._config.ready():
-            detail = "the gateway has not read its configuration yet"
+            detail = "no configuration has been read yet"
             return Error(Fault(FaultCode.UNAVAILABLE, _STEP, detail, retry_after_s=1.0))
         key = bearer_key(authorization)
         if key is None:
--- a/src/rainsail/gateway/openai/batches.py
+++ b/src/rainsail/gateway/openai/batches.py
@@ -95,11 +95,11 @@
         bound = body.token_bound(self._settings.default_max_tokens)
         if bound > self._settings.max_tokens_limit:
             limit = self._settings.max_tokens_limit
-            return _line_fault(number, f"body.max_tokens: at most {limit} are allowed")
+            return _line_fault(number, f"body.max_tokens: at most {limit} are taken")
         if len(prompt) > self._settings.max_prompt_characters:
             return _line_fault(number, "body: the prompt is too long")
         if body.stream:
-            return _line_fault(number, "body.stream: streaming is not supported in a batch")
+            return _line_fault(number, "body.stream: a batch is not streamed")
         if self._model and body.model != self._model:
             return _line_fault(number, f"body.model: expected {self._model} as in line 1")
         if len(self._items) >= self._settings.max_batch_items:
--- a/src/rainsail/gateway/openai/files.py
+++ b/src/rainsail/gateway/openai/files.py
@@ -75,7 +75,7 @@
     if file is None:
         return Error(_invalid("file: the field is missing"))
     if purpose != _PURPOSE:
-        return Error(_invalid(f"purpose: only {_PURPOSE!r} is supported"))
+        return Error(_invalid(f"purpose: only {_PURPOSE!r} is taken"))
     return Ok(Upload(file.filename or "upload.jsonl", purpose, content))
 
 
--- a/src/rainsail/gateway/openai/online_routes.py
+++ b/src/rainsail/gateway/openai/online_routes.py
@@ -136,10 +136,10 @@
 
     def _bounds_fault(self, prompt: str, bound: int) -> Fault | None:
         if bound > self._settings.max_tokens_limit:
-            detail = f"max_tokens: at most {self._settings.max_tokens_limit} are allowed"
+            detail = f"max_tokens: at most {self._settings.max_tokens_limit} are taken"
             return Fault(FaultCode.INVALID, _COMPLETIONS_STEP, detail)
         if len(prompt) > self._settings.max_prompt_characters:
-            detail = f"the prompt is longer than {self._settings.max_prompt_characters} characters"
+            detail = f"more than {self._settings.max_prompt_characters} characters of prompt"
             return Fault(FaultCode.TOO_LARGE, _COMPLETIONS_STEP, detail)
         return None
 
--- a/src/rainsail/gateway/refusals.py
+++ b/src/rainsail/gateway/refusals.py
@@ -8,5 +8,5 @@
 
 def lease_expired(step: str) -> Fault:
     """Return the fault for a request at a gateway whose configuration lease has expired."""
-    detail = "this gateway has lost contact with control; its configuration may be out of date"
+    detail = "this gateway is cut off from control; its configuration may be old"
     return Fault(FaultCode.UNAVAILABLE, step, detail, retry_after_s=NO_LEASE_RETRY_S)
--- a/src/rainsail/gateway/request_attempts.py
+++ b/src/rainsail/gateway/request_attempts.py
@@ -93,7 +93,7 @@
         if decision.runner:
             self._send(decision.runner, self._caller.prompt, 0)
             return
-        detail = "no runner accepts this request now"
+        detail = "no runner takes this request now"
         self._owner.on_not_placed(Failure(FaultCode.UNAVAILABLE, detail))
 
     def _session_placed(self, reply: Result[SessionPlace, Fault]) -> None:
@@ -115,7 +115,7 @@
     def _send(self, runner: str, prompt: str, fence: int) -> None:
         attempt = self._sender.prepare(self, runner, prompt, fence, self._delivery.text)
         if attempt is None:
-            failure = Failure(FaultCode.UNAVAILABLE, "the runner no longer exists", runner)
+            failure = Failure(FaultCode.UNAVAILABLE, "the runner is gone", runner)
             self._owner.on_not_placed(failure)
             return
         self._owner.on_sending()
--- a/src/rainsail/gateway/request_decisions.py
+++ b/src/rainsail/gateway/request_decisions.py
@@ -36,8 +36,8 @@
 class AfterAbandon(StrEnum):
     """What to do with a request whose caller has disconnected."""
 
-    FINISH_RECORDING = "the recording of the complete answer finishes"
-    FINISH_ATTEMPT = "the attempt continues, so that its answer is recorded"
+    FINISH_RECORDING = "the whole answer is recorded to its end"
+    FINISH_ATTEMPT = "the attempt runs on, so that its answer is recorded"
     CANCEL = "the attempt is cancelled at its engine"
 
 
@@ -47,7 +47,7 @@
         return None
     if claim.outcome == Outcome.COMPLETED:
         return RecordedAnswer(claim.response)
-    detail = f"this request id was already claimed by {claim.gateway}"
+    detail = f"an earlier request with this id went through {claim.gateway}"
     return Fault(FaultCode.CONFLICT, STEP, detail, outcome=Outcome.UNKNOWN)
 
 
@@ -63,7 +63,7 @@
         return None
     if last_turn.prompt == caller.prompt:
         return RecordedAnswer(last_turn.answer)
-    return Fault(FaultCode.CONFLICT, STEP, "the session has a different turn with this request id")
+    return Fault(FaultCode.CONFLICT, STEP, "the session has another turn under this request id")
 
 
 def decide_after_abandon(
--- a/src/rainsail/gateway/request_run.py
+++ b/src/rainsail/gateway/request_run.py
@@ -235,7 +235,7 @@
         if next_step is AfterAbandon.FINISH_ATTEMPT:
             self.unpause()
         elif next_step is AfterAbandon.CANCEL:
-            self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller disconnected"))
+            self._fail(Fault(FaultCode.CANCELLED, STEP, "the caller has left"))
 
     def pause(self) -> None:
         """Stop reading from the engine, as back-pressure."""
--- a/src/rainsail/gateway/retry.py
+++ b/src/rainsail/gateway/retry.py
@@ -62,10 +62,10 @@
 class RetryReason(StrEnum):
     """Reason of a retry decision; part of the fault's detail."""
 
-    AGAIN = "the request is retried"
-    NOT_REPEATABLE = "the request is not repeatable"
-    ATTEMPTS = "the maximum number of attempts has failed"
-    DEADLINE = "the deadline leaves no time for a retry"
+    AGAIN = "another attempt follows"
+    NOT_REPEATABLE = "the request may not be repeated"
+    ATTEMPTS = "as many attempts failed as are allowed"
+    DEADLINE = "the deadline leaves no time for another attempt"
     BUDGET = "the retry budget is used up"
 
 
--- a/src/rainsail/gateway/session_placement.py
+++ b/src/rainsail/gateway/session_placement.py
@@ -81,7 +81,7 @@
         fault = Fault(
             FaultCode.CONFLICT,
             STEP,
-            "lost the race for the session to other gateways in every attempt",
+            "others keep taking the session",
         )
         if failed and await self._was_taken_over(session):
             failed = ()
--- a/src/rainsail/gateway/sessions.py
+++ b/src/rainsail/gateway/sessions.py
@@ -72,9 +72,9 @@
         if resource is None or not isinstance(resource.spec, SessionSpec):
             return Fault(FaultCode.NOT_FOUND, STEP, f"no session {caller.session}")
         if resource.spec.tenant != caller.tenant:
-            return Fault(FaultCode.FORBIDDEN, STEP, "the session belongs to another tenant")
+            return Fault(FaultCode.FORBIDDEN, STEP, "the session is another tenant's")
         if resource.spec.service != caller.model:
-            return Fault(FaultCode.INVALID, STEP, "the session belongs to another service")
+            return Fault(FaultCode.INVALID, STEP, "the session is of another service")
         session = self._live.get(caller.session)
         if session is None:
             session = self._live[caller.session] = LiveSession(caller.session, resource.spec)
@@ -96,7 +96,7 @@
     async def _finish(self, session: LiveSession, turn: Turn) -> Result[None, Fault]:
         view = session.view
         if view is None:
-            return Error(Fault(FaultCode.FENCED, STEP, "another gateway holds the session"))
+            return Error(Fault(FaultCode.FENCED, STEP, "the session is held elsewhere"))
         command = AppendTurn(session.name, view.fence, len(view.turns), turn)
         reply = await self._control.propose(command, self._settings.command_timeout_s)
         if reply.is_error():
--- a/src/rainsail/jobs/job_state.py
+++ b/src/rainsail/jobs/job_state.py
@@ -104,7 +104,7 @@
             case NoOperation():
                 pass
             case _:
-                detail = f"{type(command).__name__} is not a ledger command"
+                detail = f"{type(command).__name__} is no command of the ledger"
                 return Fault(FaultCode.INVALID, "jobs.apply", detail)
         return Done()
 
--- a/src/rainsail/jobs/ledger_service.py
+++ b/src/rainsail/jobs/ledger_service.py
@@ -62,7 +62,7 @@
         """Return the fault to answer with if this node does not lead, None if it leads."""
         group = self._group
         if group is None:
-            return Fault(FaultCode.NOT_LEADER, step, "this node has not opened the ledger")
+            return Fault(FaultCode.NOT_LEADER, step, "the ledger is not open here")
         if not group.is_leader():
             return Fault(FaultCode.NOT_LEADER, step, "another node leads", group.leader())
         return None
--- a/src/rainsail/jobs/queue_limits.py
+++ b/src/rainsail/jobs/queue_limits.py
@@ -39,7 +39,7 @@
         job = client_id(message.tenant, message.job)
         log = logger.bind(job=job, tenant=message.tenant, waiting=waiting, limit=limit.tokens)
         log.info("job_over_limit")
-        detail = f"{waiting} tokens are waiting, {asked} more exceed the limit of {limit.tokens}"
+        detail = f"{waiting} tokens wait, {asked} more don't fit {limit.tokens}"
         return Fault(FaultCode.OVER_LIMIT, "jobs.submit", detail)
 
     def _waiting_tokens(self, message: SubmitRelayedJob) -> int:
--- a/src/rainsail/tenancy/tenants.py
+++ b/src/rainsail/tenancy/tenants.py
@@ -84,7 +84,7 @@
         self._by_key: dict[KeyDigest, Tenant] = {}
         for tenant in tenants:
             if tenant.name in self.tenants:
-                raise TenantError(f"two tenants have the name {tenant.name}")
+                raise TenantError(f"two tenants are called {tenant.name}")
             self.tenants[tenant.name] = tenant
             for key in tenant.keys:
                 other = self._by_key.setdefault(key, tenant)
@@ -113,12 +113,12 @@
 ) -> Tenant:
     """Return a validated tenant; raise ``TenantError`` with the reason if it is invalid."""
     if not name or not all(" " <= each <= LAST_VISIBLE for each in name) or name != name.strip():
-        raise TenantError(f"the tenant's name {name!r} is not valid in an HTTP header")
+        raise TenantError(f"the tenant's name {name!r} can't stand in a header")
     if limit.rate_per_s < 0 or limit.burst < 0:
         raise TenantError(f"tenant {name}: a rate or burst is below 0")
     digests = set()
     for key in keys:
         if not key or not all(FIRST_VISIBLE <= each <= LAST_VISIBLE for each in key):
-            raise TenantError(f"tenant {name}: a key is not valid in an HTTP header")
+            raise TenantError(f"tenant {name}: a key can't stand in a header")
         digests.add(digest_of(key.encode()))
     return Tenant(name, frozenset(digests), limit, priority, frozenset(allowed_regions))
--- a/src/rainsail/wire/dialler.py
+++ b/src/rainsail/wire/dialler.py
@@ -50,7 +50,7 @@
         """Queue an envelope; a fault when the queue is full."""
         total = self._queue_bytes + len(queued.data)
         if total > self._settings.connect_queue_bytes:
-            detail = f"{self._queue_bytes} bytes are already queued for the connection"
+            detail = f"{self._queue_bytes} bytes wait for the connection already"
             return Fault(FaultCode.OVERLOADED, STEP, detail)
         self._queue.append(queued)
         self._queue_bytes = total
--- a/src/rainsail/wire/framing.py
+++ b/src/rainsail/wire/framing.py
@@ -67,13 +67,13 @@
     def send_frame(self, data: bytes) -> Fault | None:
         """Send or queue a frame; a fault means that it was not and will not be sent."""
         if len(data) > self._max_frame_bytes:
-            detail = f"{len(data)} bytes exceed the frame limit of {self._max_frame_bytes}"
+            detail = f"{len(data)} bytes are over the frame bound of {self._max_frame_bytes}"
             return Fault(FaultCode.TOO_LARGE, STEP, detail)
         if self._may_write:
             self.sendString(data)
             return None
         if self._waiting_bytes + len(data) > self._buffer_bytes:
-            detail = f"{self._waiting_bytes} bytes are already queued for the peer"
+            detail = f"{self._waiting_bytes} bytes wait for the peer already"
             return Fault(FaultCode.OVERLOADED, STEP, detail)
         self._waiting.append(data)
         self._waiting_bytes += len(data)
--- a/src/rainsail/wire/tcp.py
+++ b/src/rainsail/wire/tcp.py
@@ -143,9 +143,7 @@
         former = self._accepted.get(peer)
         self._accepted[peer] = connection
         if former is not None:
-            former.close(
-                self._fault(FaultCode.UNAVAILABLE, "the peer opened a new connection", peer)
-            )
+            former.close(self._fault(FaultCode.UNAVAILABLE, "the peer connected anew", peer))
 
     def envelope_received(self, peer: ProcessName, envelope: Envelope) -> None:
         """Pass an envelope to the messenger."""
@@ -186,7 +184,7 @@
         if address is None:
             return self._fault(FaultCode.UNAVAILABLE, "not connected", destination)
         if len(queued.data) > self._settings.max_frame_bytes:
-            detail = f"{len(queued.data)} bytes exceed the frame limit"
+            detail = f"{len(queued.data)} bytes are over the frame bound"
             return self._fault(FaultCode.TOO_LARGE, detail, destination)
         state = self._dial_state(destination)
         fault = state.refusal(self._reactor.seconds()) or state.enqueue(queued)
--- a/src/rainsail/wire/tls.py
+++ b/src/rainsail/wire/tls.py
@@ -58,7 +58,7 @@
     if not isinstance(reason.value, SSL.Error):
         return None
     causes = reason.value.args[0] if reason.value.args else ()
-    reasons = "; ".join(str(cause[-1]) for cause in causes) or "the connection was closed"
+    reasons = "; ".join(str(cause[-1]) for cause in causes) or "the connection broke off"
     return Fault(FaultCode.FORBIDDEN, f"{STEP}.handshake", reasons, peer)
 
 
