--- a/features/support/ledger_model.py
+++ b/features/support/ledger_model.py
@@ -179,7 +179,7 @@
         for verdict in outcome.verdicts:
             self.model.committed(holder, result, verdict)
 
-    def give_back(self) -> None:
+    def return_item(self) -> None:
         """Return an item as preempted or failed."""
         if not self.refs:
             return
