--- a/features/steps/control_configuration_steps.py
+++ b/features/steps/control_configuration_steps.py
@@ -63,9 +63,9 @@
 @given('the control fleet has the defect "{defect}"')
 def step_defect(context, defect):
     name, broken = DEFECTS[defect]
-    whole = getattr(config_view, name)
+    original = getattr(config_view, name)
     setattr(config_view, name, broken)
-    context.add_cleanup(setattr, config_view, name, whole)
+    context.add_cleanup(setattr, config_view, name, original)
 
 
 @when("an operator of the control fleet puts a service")
@@ -216,7 +216,7 @@
     context.fleet.wait_until(lambda: marked(context), seconds)
 
 
-def serves_without_the_mark_being_wrong(context, name):
+def mark_waits_for_gateway(context, name):
     """Run past the lease; return whether the mark never came while the gateway could serve."""
     view = context.fleet.gateways[name].view
     assert view.lease_valid(), "the scenario needs a gateway that may still serve"
@@ -232,7 +232,7 @@
 
 @then("the control fleet does not mark that change while gateway {name} may serve")
 def step_not_marked(context, name):
-    assert serves_without_the_mark_being_wrong(context, name)
+    assert mark_waits_for_gateway(context, name)
 
 
 @then("gateway {name} of the control fleet refuses new work")
@@ -269,7 +269,7 @@
 def step_check_fails(context, check, name):
     checks = {
         "keeps what it has": keeps,
-        "does not mark while it may serve": serves_without_the_mark_being_wrong,
+        "does not mark while it may serve": mark_waits_for_gateway,
     }
     assert not checks[check](context, name)
 
--- a/features/steps/control_leases_steps.py
+++ b/features/steps/control_leases_steps.py
@@ -109,17 +109,17 @@
 
 @given('the control fleet has the quota defect "lend-at-once"')
 def step_quota_defect(context):
-    whole = QuotaLender.begin
+    original = QuotaLender.begin
 
     def begin(self, now_s):
-        whole(self, now_s)
+        original(self, now_s)
         self._lends_from_s = now_s
 
     QuotaLender.begin = begin
-    context.add_cleanup(setattr, QuotaLender, "begin", whole)
+    context.add_cleanup(setattr, QuotaLender, "begin", original)
 
 
-class Holder:
+class ShareHolder:
     """A gateway that holds shares by its own clock, counted from when it sent its report."""
 
     def __init__(self, rate):
@@ -137,7 +137,7 @@
     """Return the highest sum of shares over one random run of reports and leader changes."""
     draw = Random(seed)
     names = [f"g{n}" for n in range(draw.randint(2, 6))]
-    holders = {name: Holder(draw.uniform(SLOWEST_CLOCK, 1.0)) for name in names}
+    holders = {name: ShareHolder(draw.uniform(SLOWEST_CLOCK, 1.0)) for name in names}
     lender = QuotaLender(ShareTerms(SHARE_S, MARGIN, RESERVE))
     now_s = 0.0
     lender.begin(now_s)
--- a/features/steps/control_random_steps.py
+++ b/features/steps/control_random_steps.py
@@ -71,7 +71,7 @@
     """Checked at every event of the runs."""
     assert not context.random_failures, context.random_failures[0]
     assert sum(operators.disks_lost for operators, _ in context.random_runs) > 0
-    assert all(operators.marks_checked > MIN_CHECKS for operators, _ in context.random_runs)
+    assert all(operators.in_force_checks > MIN_CHECKS for operators, _ in context.random_runs)
 
 
 @then("the random operators' gateways all have the last state, and never saw a revision fall")
--- a/features/steps/controllers_placement_steps.py
+++ b/features/steps/controllers_placement_steps.py
@@ -216,7 +216,7 @@
 
 
 @then("no runner of the placement was told anything")
-def step_untold(context):
+def step_no_orders(context):
     fences = [context.fleet.status(name).fence for name in context.fleet.engines]
     assert fences == [0, 0], fences
     assert not any(isinstance(each, Fault) for each in fences)
--- a/features/steps/controllers_planning_steps.py
+++ b/features/steps/controllers_planning_steps.py
@@ -47,11 +47,11 @@
 )
 def take_changes(context, count, seconds):
     fleet = context.fleet
-    looks = []
+    times = []
     plain = PlacementPlanner.plan
 
     def counted(planner, state, now_s):
-        looks.append(now_s)
+        times.append(now_s)
         return plain(planner, state, now_s)
 
     before = fleet.state(fleet.leader()).revision
@@ -60,12 +60,12 @@
             _propose(fleet, _change(number))
             fleet.clock.advance(seconds / count)
     assert fleet.state(fleet.leader()).revision >= before + count
-    context.planning_looks = looks
+    context.planning_times = times
 
 
 @then("the placement looked at the runners at most {count:d} times")
-def looked_seldom(context, count):
-    assert 4 <= len(context.planning_looks) <= count, len(context.planning_looks)
+def planned_at_most(context, count):
+    assert 4 <= len(context.planning_times) <= count, len(context.planning_times)
 
 
 def _ready(fleet) -> int:
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -92,7 +92,7 @@
         self.name = name
         self.state = state
         self.lagging = False
-        self.believes_until_s = -1.0
+        self.read_lease_until_s = -1.0
         self._fleet = fleet
         self._applied = 0
         self._open: list[Deferred] = []
@@ -101,10 +101,10 @@
 
     def is_leader(self):
         """Tell whether this replica leads; cut off, it believes so for its read lease only."""
-        if self._fleet.leader_name != self.name and self.believes_until_s < 0:
+        if self._fleet.leader_name != self.name and self.read_lease_until_s < 0:
             return False
         if self._fleet.network.cut.get(self.name):
-            return self._fleet.clock.seconds() < self.believes_until_s
+            return self._fleet.clock.seconds() < self.read_lease_until_s
         return self._fleet.leader_name == self.name
 
     def leader(self):
@@ -161,7 +161,7 @@
         """Note a listener."""
         self._leadership_listeners.append(listener)
 
-    def tell_leadership(self, leading):
+    def set_leading(self, leading):
         """Begin or end a leadership; proposals under way end as unknown."""
         if not leading:
             ended, self._open = self._open, []
@@ -235,24 +235,24 @@
         old = self.leader_name
         self.leader_name = name
         if old and not self.network.cut.get(old):
-            self.groups[old].tell_leadership(False)
+            self.groups[old].set_leading(False)
         self.groups[name].lagging = False
         self.groups[name].catch_up()
-        self.groups[name].tell_leadership(True)
+        self.groups[name].set_leading(True)
 
     def cut_off(self, name: str) -> None:
         """Cut a process off in silence."""
         if name == self.leader_name:
-            self.groups[name].believes_until_s = self.clock.seconds() + READ_LEASE_S
+            self.groups[name].read_lease_until_s = self.clock.seconds() + READ_LEASE_S
         self.network.cut[name] = True
 
     def heal(self, name: str) -> None:
         """Connect a process again."""
         self.network.cut[name] = False
         if name in self.groups:
-            self.groups[name].believes_until_s = -1.0
+            self.groups[name].read_lease_until_s = -1.0
             if name != self.leader_name:
-                self.groups[name].tell_leadership(False)
+                self.groups[name].set_leading(False)
             self.groups[name].follow()
 
     def client(self, name: str) -> LeaderClient:
--- a/features/support/control_history.py
+++ b/features/support/control_history.py
@@ -58,7 +58,7 @@
     seed: int
     snapshot_entries: int = 40
     operations: list[Operation] = field(default_factory=list)
-    marks_checked: int = 0
+    in_force_checks: int = 0
 
     def __post_init__(self) -> None:
         self.fleet = RealGroupFleet(5, self.seed, snapshot_entries=self.snapshot_entries)
@@ -74,7 +74,7 @@
             self._join_gateway()
         for number in range(OPERATORS):
             self._next(self.fleet.client(f"operator{number}"))
-        self.fleet.clock.callLater(FAULT_PERIOD_S, self._trouble)
+        self.fleet.clock.callLater(FAULT_PERIOD_S, self._inject_fault)
 
     def run(self, seconds: float) -> None:
         """Run, holding what is said to be in force against the gateways all the time."""
@@ -128,20 +128,20 @@
 
     # --- trouble -------------------------------------------------------------------------
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         if self.stopping:
             return
-        self.fleet.clock.callLater(self.random.random() * 2 * FAULT_PERIOD_S, self._trouble)
+        self.fleet.clock.callLater(self.random.random() * 2 * FAULT_PERIOD_S, self._inject_fault)
         self.random.choice(
             (
                 self._kill_leader,
                 self._kill_any,
                 self._start_any,
                 self._cut_any,
-                self._mend_any,
-                self._lossy,
+                self._reconnect_any,
+                self._add_message_loss,
                 self._lose_disk,
-                self._trouble_gateway,
+                self._isolate_gateway,
                 self._join_gateway,
                 self._restart_gateway,
             )
@@ -155,11 +155,11 @@
         self._kill(self.random.choice(self.fleet.names))
 
     def _kill(self, name: str) -> None:
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.down.append(name)
             self.fleet.replicas[name].kill()
 
-    def _may_strike(self, name: str) -> bool:
+    def _may_fail(self, name: str) -> bool:
         """At most two machines are in trouble; one with a lost disk is until it is replaced."""
         if self.lost and self._is_healthy():
             self.lost.clear()
@@ -171,7 +171,7 @@
 
     def _lose_disk(self) -> None:
         name = self.random.choice(self.fleet.names)
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.lost.append(name)
             self.disks_lost += 1
             self.fleet.replicas[name].lose_disk()
@@ -183,19 +183,19 @@
 
     def _cut_any(self) -> None:
         name = self.fleet.leader() or self.random.choice(self.fleet.names)
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.cut.append(name)
             self.fleet.network.isolate(name)
 
-    def _mend_any(self) -> None:
+    def _reconnect_any(self) -> None:
         if self.cut:
             self.fleet.network.rejoin(self.cut.pop(0))
 
-    def _lossy(self) -> None:
+    def _add_message_loss(self) -> None:
         loss = self.random.choice((0.0, 0.0, 0.03))
         self.fleet.network.set_conditions(LinkConditions(loss=loss, duplication=loss))
 
-    def _trouble_gateway(self) -> None:
+    def _isolate_gateway(self) -> None:
         name = self.random.choice(sorted(self.fleet.views))
         self.fleet.network.isolate(name)
         self.fleet.clock.callLater(self.random.random() * 20.0, self.fleet.network.rejoin, name)
@@ -221,7 +221,7 @@
         marked = max((each.node.state.in_force_revision for each in running), default=0)
         for name, view in self.fleet.views.items():
             if view.lease_valid():
-                self.marks_checked += 1
+                self.in_force_checks += 1
                 assert view.revision >= marked, f"{name} serves {view.revision}, {marked} in force"
 
 
--- a/features/support/controllers.py
+++ b/features/support/controllers.py
@@ -133,7 +133,7 @@
         self.bad_versions: tuple[str, ...] = ()
         self.most_loads = 0
         self.fewest_answering: dict[str, int] = {}
-        self.group.on_applied(self._own)
+        self.group.on_applied(self._run_owners)
         self.manager.start()
 
     # --- what operators declare ---
@@ -187,13 +187,13 @@
 
     # --- the owners ---
 
-    def _own(self, index: int) -> None:
+    def _run_owners(self, index: int) -> None:
         for name, engine in self.engines.items():
             if self.state.get(ResourceKey(Kind.RUNNER, name)) is not None:
-                self._order(name, engine)
+                self._take_order(name, engine)
         self._note_answering()
 
-    def _order(self, name: str, engine: Engine) -> None:
+    def _take_order(self, name: str, engine: Engine) -> None:
         status = self.status(name)
         assert status.fence >= engine.fence, f"the fence of {name} fell"
         wanted = status.loading_version
--- a/src/rainsail/control/config_view.py
+++ b/src/rainsail/control/config_view.py
@@ -121,7 +121,9 @@
         """Do the next thing that is due; return whether it succeeded."""
         if self._list_due:
             return await self._list()
-        if not self._registration.holds(self._table.get(self._registration.key), self.revision):
+        if not self._registration.is_current(
+            self._table.get(self._registration.key), self.revision
+        ):
             return await self._register()
         return await self._poll()
 
--- a/src/rainsail/control/controllers/drain.py
+++ b/src/rainsail/control/controllers/drain.py
@@ -28,10 +28,10 @@
     def plan(self, state: ReplicatedReader, now_s: float) -> list[Command]:
         """Return a status change for each runner whose mark is missing or no longer true."""
         runners = view_runners(state, self._machines)
-        return [command for runner in runners for command in _mark(runner)]
+        return [command for runner in runners for command in _update_condition(runner)]
 
 
-def _mark(runner: RunnerView) -> list[Command]:
+def _update_condition(runner: RunnerView) -> list[Command]:
     resource = runner.resource
     current = find_condition(resource.conditions, DRAINING)
     marked = current is not None and current.value
--- a/src/rainsail/control/controllers/loop.py
+++ b/src/rainsail/control/controllers/loop.py
@@ -46,7 +46,7 @@
         self._epoch = 0
         self._running = False
         self._in_round = False
-        self._woken = False
+        self._wake_pending = False
 
     def start(self) -> None:
         """Begin a leadership: forget what an earlier one remembered and look at once."""
@@ -60,14 +60,14 @@
         self._epoch += 1
         self._running = False
         self._in_round = False
-        self._woken = False
+        self._wake_pending = False
         self._cancel_timer()
 
     def wake(self) -> None:
         """Look again soon, because something has changed."""
-        if not self._running or self._woken:
+        if not self._running or self._wake_pending:
             return
-        self._woken = True
+        self._wake_pending = True
         if not self._in_round:
             self._cancel_timer()
             self._schedule(self._settings.replan_delay_s)
@@ -82,7 +82,7 @@
 
     def _round(self) -> None:
         self._timer = None
-        self._woken = False
+        self._wake_pending = False
         if not self._group.is_leader():
             self._schedule_next()
             return
@@ -92,7 +92,7 @@
             return
         self._in_round = True
         chosen = commands[: self._settings.max_commands_per_round]
-        self._woken = len(chosen) < len(commands)
+        self._wake_pending = len(chosen) < len(commands)
         epoch = self._epoch
         answers = DeferredList([self._propose(command) for command in chosen])
         answers.addTimeout(self._settings.propose_timeout_s, self._clock)  # type: ignore[arg-type]
@@ -100,16 +100,16 @@
 
     def _propose(self, command: object) -> "Deferred[None]":
         proposed = self._group.propose(command)  # type: ignore[arg-type]
-        proposed.addCallbacks(self._note_answer, self._note_failure)
+        proposed.addCallbacks(self._log_outcome, self._log_failure)
         return proposed  # type: ignore[return-value]
 
-    def _note_answer(self, answer: Proposed) -> None:
+    def _log_outcome(self, answer: Proposed) -> None:
         if answer.is_error():
             logger.debug("{} was not committed: {}", self._planner.name, answer.error)
         elif isinstance(answer.ok[1], Fault):
             logger.debug("{} lost a race: {}", self._planner.name, answer.ok[1])
 
-    def _note_failure(self, failure: object) -> None:
+    def _log_failure(self, failure: object) -> None:
         logger.warning("{} could not propose: {}", self._planner.name, failure)
 
     def _end_round(self, epoch: int) -> None:
@@ -119,7 +119,7 @@
         self._schedule_next()
 
     def _schedule_next(self) -> None:
-        if self._woken:
+        if self._wake_pending:
             self._schedule(self._settings.replan_delay_s)
             return
         jitter = self._settings.period_jitter_fraction * self._random.uniform(-1.0, 1.0)
--- a/src/rainsail/control/controllers/manager.py
+++ b/src/rainsail/control/controllers/manager.py
@@ -21,7 +21,7 @@
 
 PLANNED_KINDS = (Kind.SERVICE, Kind.MODEL_VERSION, Kind.ADAPTER, Kind.RUNNER)
 """Kinds that placement and drain look at."""
-MOST_EVENTS = 100
+MAX_SCANNED_EVENTS = 100
 """Events looked through after a batch of entries; more count as a change."""
 
 
@@ -47,11 +47,11 @@
         def loop(planner: Planner, period_s: float) -> ReconcileLoop:
             return ReconcileLoop(planner, period_s, group, state, clock, random, settings)
 
-        self._prompt_loops = [
+        self._event_driven_loops = [
             loop(PlacementPlanner(settings, machine_list), settings.placement_period_s),
             loop(DrainPlanner(machine_list), settings.placement_period_s),
         ]
-        self._slow_loops = [
+        self._periodic_loops = [
             loop(JobRetentionPlanner(settings), settings.retention_period_s),
             loop(self._gateways, settings.retention_period_s),
         ]
@@ -74,7 +74,7 @@
         self._leadership_changed(False)
 
     def _leadership_changed(self, leading: bool) -> None:
-        for loop in self._prompt_loops + self._slow_loops:
+        for loop in self._event_driven_loops + self._periodic_loops:
             if leading and self._started:
                 loop.start()
             else:
@@ -83,18 +83,18 @@
     def _applied(self, index: int) -> None:
         before = self._revision
         self._revision = self._state.revision
-        if self._revision == before or not self._planned_for(before):
+        if self._revision == before or not self._affects_plans(before):
             return
-        for loop in self._prompt_loops:
+        for loop in self._event_driven_loops:
             loop.wake()
 
-    def _planned_for(self, revision: int) -> bool:
+    def _affects_plans(self, revision: int) -> bool:
         """Tell whether something that the prompt loops plan for has changed after ``revision``.
 
         They look through every runner, which must not happen at each change of a tenant, session
         or gateway. What can't be told counts as a change.
         """
-        events = self._state.events_since(revision, MOST_EVENTS)
-        if events is None or len(events) == MOST_EVENTS:
+        events = self._state.events_since(revision, MAX_SCANNED_EVENTS)
+        if events is None or len(events) == MAX_SCANNED_EVENTS:
             return True
         return any(event.resource.key.kind in PLANNED_KINDS for event in events)
--- a/src/rainsail/control/controllers/placement.py
+++ b/src/rainsail/control/controllers/placement.py
@@ -40,7 +40,7 @@
     """Seconds, under this leadership: of a load, of a runner's silence, of a service's version."""
 
     load_s: dict[str, float]
-    silent_s: dict[str, float]
+    not_serving_s: dict[str, float]
     version_s: dict[str, float]
 
 
@@ -57,14 +57,14 @@
         self._settings = settings
         self._machines = machines
         self._loads = FirstSeen()
-        self._silences = FirstSeen()
+        self._not_serving = FirstSeen()
         self._versions = FirstSeen()
         self._adapter_changes: dict[str, float] = {}
 
     def begin(self) -> None:
         """Count the age of every load afresh."""
         self._loads.clear()
-        self._silences.clear()
+        self._not_serving.clear()
         self._versions.clear()
         self._adapter_changes.clear()
 
@@ -73,10 +73,10 @@
         runners = view_runners(state, self._machines)
         services = state.list_resources(Kind.SERVICE)
         ages = self._observe(runners, services, now_s)
-        places = self._places(runners, ages, now_s)
+        load_slots = self._free_load_slots(runners, ages, now_s)
         commands: list[Command] = []
         for service in services:
-            view = self._rollout_view(service, runners, ages, places)
+            view = self._rollout_view(service, runners, ages, load_slots)
             problem = version_problem(state, service.key.name, view.version)
             if problem:
                 commands += _report(service, 0, False, problem)
@@ -84,9 +84,9 @@
             adapters = wanted_adapters(state, service.key.name)
             switches = choose_switches(view)
             commands += [_switch(runner, view.version, adapters) for runner in switches]
-            places -= sum(1 for runner in switches if not runner.loading)
-            changes = self._adapter_commands(view, adapters, places, now_s)
-            places -= len(changes)
+            load_slots -= sum(1 for runner in switches if not runner.loading)
+            changes = self._adapter_commands(view, adapters, load_slots, now_s)
+            load_slots -= len(changes)
             commands += changes
             commands += report_rollout(service, view)
         return commands
@@ -100,12 +100,12 @@
         version_ages_s = self._versions.ages_s(versions, now_s)
         return _Ages(
             dict(zip(names, load_ages_s, strict=True)),
-            dict(zip(names, self._silences.ages_s(names, now_s), strict=True)),
+            dict(zip(names, self._not_serving.ages_s(names, now_s), strict=True)),
             dict(zip((name for name, _ in versions), version_ages_s, strict=True)),
         )
 
     def _rollout_view(
-        self, service: Resource, runners: list[RunnerView], ages: _Ages, places: int
+        self, service: Resource, runners: list[RunnerView], ages: _Ages, load_slots: int
     ) -> RolloutView:
         spec = _spec(service)
         own = tuple(each for each in runners if each.spec.service == service.key.name)
@@ -115,15 +115,17 @@
             spec.runners,
             own,
             frozenset(each.name for each in own if self._is_stalled(each, ages)),
-            frozenset(each.name for each in own if ages.silent_s.get(each.name, 0) > version_age_s),
-            places,
+            frozenset(
+                each.name for each in own if ages.not_serving_s.get(each.name, 0) > version_age_s
+            ),
+            load_slots,
             self._settings.max_concurrent_loads,
         )
 
     def _is_stalled(self, runner: RunnerView, ages: _Ages) -> bool:
         return ages.load_s.get(runner.name, 0.0) >= self._settings.load_stall_s
 
-    def _places(self, runners: list[RunnerView], ages: _Ages, now_s: float) -> int:
+    def _free_load_slots(self, runners: list[RunnerView], ages: _Ages, now_s: float) -> int:
         """Return how many further loads the weight store may be asked for."""
         pacing_s = self._settings.adapter_pacing_s
         self._adapter_changes = {
@@ -135,14 +137,14 @@
         return self._settings.max_concurrent_loads - loading - len(self._adapter_changes)
 
     def _adapter_commands(
-        self, view: RolloutView, adapters: tuple[str, ...], places: int, now_s: float
+        self, view: RolloutView, adapters: tuple[str, ...], load_slots: int, now_s: float
     ) -> list[Command]:
         outdated = [
             runner
             for runner in view.runners
             if runner.serving == view.version and runner.status.adapters != adapters
         ]
-        chosen = outdated[: max(0, places)]
+        chosen = outdated[: max(0, load_slots)]
         for runner in chosen:
             self._adapter_changes[runner.name] = now_s
         return [_put(runner, replace(runner.status, adapters=adapters)) for runner in chosen]
--- a/src/rainsail/control/controllers/rollout.py
+++ b/src/rainsail/control/controllers/rollout.py
@@ -2,7 +2,7 @@
 
 Rules: free runners first; at most so many loads at a time; the next runners wait until those
 already switched are ready; a runner that answers is switched only while another one answers; a
-runner on its way to another version is turned round at once, since it answers nobody.
+runner on its way to another version is redirected at once, since it answers nobody.
 """
 
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 class RolloutView:
     """One service's wish and its runners.
 
-    ``stalled`` names runners whose load takes too long, ``ill`` those that answered nobody
-    already when the version was chosen, so that they prove nothing about it. ``places`` is how
-    many further loads the whole fleet may begin, ``max_loads`` how many of this service may be
-    under way at a time.
+    ``stalled`` names the runners whose load takes too long. ``not_serving_before`` names those
+    that already served no requests when the version was chosen, so their state says nothing about
+    that version. ``load_slots`` is the number of further loads that the whole fleet may start,
+    ``max_loads`` the number of this service's loads that may run at a time.
     """
 
     version: str
     wanted: int
     runners: tuple[RunnerView, ...]
     stalled: frozenset[str]
-    ill: frozenset[str]
-    places: int
+    not_serving_before: frozenset[str]
+    load_slots: int
     max_loads: int
 
 
@@ -33,16 +33,16 @@
     """Return the runners to switch now, in the order of choice."""
     usable = [runner for runner in view.runners if runner.usable]
     others = [runner for runner in usable if runner.target != view.version]
-    turned = [runner for runner in others if runner.loading]
-    switched = turned + [runner for runner in usable if runner.target == view.version]
-    places = min(view.places, view.max_loads - _gating(view, turned))
+    redirected = [runner for runner in others if runner.loading]
+    switched = redirected + [runner for runner in usable if runner.target == view.version]
+    load_slots = min(view.load_slots, view.max_loads - _count_blocking_loads(view, redirected))
     free = [runner for runner in others if not runner.target]
-    chosen = free[: max(0, min(places, view.wanted - len(switched)))]
-    replaced = _replaceable(view, others, places - len(chosen))
-    return turned + chosen + replaced
+    chosen = free[: max(0, min(load_slots, view.wanted - len(switched)))]
+    replaced = _choose_replaced(view, others, load_slots - len(chosen))
+    return redirected + chosen + replaced
 
 
-def _gating(view: RolloutView, turned: list[RunnerView]) -> int:
+def _count_blocking_loads(view: RolloutView, redirected: list[RunnerView]) -> int:
     """Count the loads that further ones have to wait for.
 
     A stalled load stands in the way only while it may be the version's fault: while another
@@ -51,19 +51,25 @@
     pending = [
         runner
         for runner in view.runners
-        if runner.target == view.version and runner.loading and runner.name not in view.ill
+        if runner.target == view.version
+        and runner.loading
+        and runner.name not in view.not_serving_before
     ]
     served = {runner.serving: None for runner in view.runners if runner.serving}
-    suspicious = bool(served) and view.version not in served
-    if not suspicious:
+    version_suspect = bool(served) and view.version not in served
+    if not version_suspect:
         pending = [runner for runner in pending if runner.name not in view.stalled]
-    return len(pending) + sum(1 for runner in turned if runner.name not in view.ill)
+    return len(pending) + sum(
+        1 for runner in redirected if runner.name not in view.not_serving_before
+    )
 
 
-def _replaceable(view: RolloutView, others: list[RunnerView], places: int) -> list[RunnerView]:
+def _choose_replaced(
+    view: RolloutView, others: list[RunnerView], load_slots: int
+) -> list[RunnerView]:
     """Return runners that answer with another version, leaving at least one that answers."""
     answering = sum(1 for runner in view.runners if runner.serving)
-    bound = max(0, min(places, answering - 1))
+    bound = max(0, min(load_slots, answering - 1))
     return [runner for runner in others if runner.serving][:bound]
 
 
--- a/src/rainsail/control/gateway_registration.py
+++ b/src/rainsail/control/gateway_registration.py
@@ -20,7 +20,7 @@
         self._attempts = 0
         self._registered_revision = 0
 
-    def holds(self, current: Resource | None, revision: int) -> bool:
+    def is_current(self, current: Resource | None, revision: int) -> bool:
         """Tell whether the view at ``revision`` names this incarnation, or will soon."""
         if revision < self._registered_revision:
             return True
--- a/src/rainsail/control/group_control.py
+++ b/src/rainsail/control/group_control.py
@@ -51,7 +51,7 @@
             state, clock, settings.poll_coalesce_s, settings.max_events_per_poll
         )
         self.shared_pages = SharedPages()
-        self._polls.guard(self._poll_fault)
+        self._polls.set_check(self._poll_fault)
         self._in_force = InForceLoop(
             group, state, self._config_leases, clock, settings.in_force_period_s, self.serving
         )
@@ -110,7 +110,7 @@
             return not_leader("control.renew_item_leases", self.group)
         now_s = self._clock.seconds()
         lease_s = self._item_leases.renew(request.holder, now_s)
-        self._give_back_orphans(request, now_s)
+        self._return_orphans(request, now_s)
         stop = items_to_stop(self.state, request.holder, request.running)
         return RenewItemLeasesReply(stop, lease_s, self.state.backlogs())
 
@@ -119,7 +119,7 @@
         if isinstance(command, LeaseItems):
             self._item_leases.renew(command.holder, self._clock.seconds())
 
-    def _give_back_orphans(self, request: RenewItemLeases, now_s: float) -> None:
+    def _return_orphans(self, request: RenewItemLeases, now_s: float) -> None:
         leased = self.state.held_by(request.holder)
         orphans = self._orphans.renewed(request.holder, leased, request.running, now_s)
         if orphans:
--- a/src/rainsail/control/leader_client.py
+++ b/src/rainsail/control/leader_client.py
@@ -89,11 +89,11 @@
             answer = await self._messenger.call(target, request, attempt_s)
             if answer.is_ok():
                 self._leaders.answered(request.group, target)
-                return _opened(answer.ok)
+                return _decoded(answer.ok)
             fault: Fault = answer.error
             may_have_run = may_have_run or fault.outcome != Outcome.NOT_RUN
             if fault.code in FINAL_CODES or (may_have_run and not repeatable):
-                return Error(_with_truth(fault, may_have_run))
+                return Error(_with_outcome(fault, may_have_run))
             now_s = self._clock.seconds()
             redirected = self._leaders.failed(request.group, target, fault, now_s)
             wait_s = (
@@ -103,7 +103,7 @@
             )
             failures += 1
             if self._clock.seconds() + wait_s >= deadline_s:
-                return Error(_with_truth(fault, may_have_run))
+                return Error(_with_outcome(fault, may_have_run))
             if wait_s > 0:
                 await sleep(self._clock, wait_s)
 
@@ -119,7 +119,7 @@
         return self._settings.attempt_timeout_s
 
 
-def _opened(reply: Any) -> Result[Any, Fault]:
+def _decoded(reply: Any) -> Result[Any, Fault]:
     """Return the reply, decoded when it came as one encoded for many receivers."""
     if not isinstance(reply, EncodedReply):
         return Ok(reply)
@@ -129,7 +129,7 @@
         return Error(Fault(FaultCode.INTERNAL, "leader_client.decode", str(error)))
 
 
-def _with_truth(fault: Fault, may_have_run: bool) -> Fault:
+def _with_outcome(fault: Fault, may_have_run: bool) -> Fault:
     """Return the fault, saying UNKNOWN when an earlier attempt may have taken effect."""
     if may_have_run and fault.outcome == Outcome.NOT_RUN:
         return replace(fault, outcome=Outcome.UNKNOWN)
--- a/src/rainsail/control/leader_directory.py
+++ b/src/rainsail/control/leader_directory.py
@@ -7,40 +7,40 @@
 from rainsail.errors import Fault, FaultCode
 from rainsail.state.commands import GroupId
 
-SILENT_CODES = (FaultCode.TIMEOUT, FaultCode.UNAVAILABLE)
+NO_REPLY_CODES = (FaultCode.TIMEOUT, FaultCode.UNAVAILABLE)
 """Faults of a replica that gave no answer at all."""
 
 
 @dataclass(frozen=True, slots=True)
-class _SilentReplica:
-    """A replica that gave no answer; until then nobody's word for it counts."""
+class _UnresponsiveReplica:
+    """A replica that did not reply; leader hints that name it are ignored until ``until_s``."""
 
     replica: str
     until_s: float
 
 
 class LeaderDirectory:
-    """The leader of each group as last heard, and whom to ask when none is known.
+    """Tracks the last known leader of each group and picks the replica to ask when none is known.
 
-    Followers name a lost leader until they have elected another. A replica that has just given
-    no answer is therefore not asked on their word for ``distrust_s``; the others are asked in
-    turn, so that a new leader is found as soon as there is one.
+    Followers keep naming a failed leader until they have elected another. Their hints to a replica
+    that has just failed to reply are therefore ignored for ``unresponsive_period_s``; the members
+    are asked round-robin, so that a new leader is found as soon as it is elected.
     """
 
     def __init__(
         self,
         replicas: tuple[str, ...],
         random: random_module.Random,
-        distrust_s: float,
+        unresponsive_period_s: float,
         replicas_per_group: int,
     ) -> None:
         self._replicas = replicas
         self._replicas_per_group = replicas_per_group
         self._random = random
-        self._distrust_s = distrust_s
+        self._unresponsive_period_s = unresponsive_period_s
         self._leaders: dict[GroupId, str] = {}
-        self._turns: dict[GroupId, int] = {}
-        self._silent: dict[GroupId, _SilentReplica] = {}
+        self._next_turns: dict[GroupId, int] = {}
+        self._unresponsive: dict[GroupId, _UnresponsiveReplica] = {}
 
     def target(self, group: GroupId, now_s: float) -> str:
         """Return the replica to ask: the known leader, else the next one in turn."""
@@ -48,7 +48,7 @@
         if known is not None:
             return known
         found = self._next(group)
-        if self._replicas_per_group > 1 and self._is_silent(group, found, now_s):
+        if self._replicas_per_group > 1 and self._is_unresponsive(group, found, now_s):
             return self._next(group)
         return found
 
@@ -58,29 +58,35 @@
 
     def _next(self, group: GroupId) -> str:
         members = self.members(group)
-        turn = self._turns.get(group)
+        turn = self._next_turns.get(group)
         if turn is None:
             turn = self._random.randrange(len(members))
-        self._turns[group] = turn + 1
+        self._next_turns[group] = turn + 1
         return members[turn % len(members)]
 
     def answered(self, group: GroupId, target: str) -> None:
         """Note that a replica answered as the leader."""
         self._leaders[group] = target
-        self._silent.pop(group, None)
+        self._unresponsive.pop(group, None)
 
     def failed(self, group: GroupId, target: str, fault: Fault, now_s: float) -> bool:
         """Note a fault that doesn't settle the request; True when it names another leader."""
-        if fault.code in SILENT_CODES:
-            self._silent[group] = _SilentReplica(target, now_s + self._distrust_s)
-        named = fault.code == FaultCode.NOT_LEADER and fault.peer not in ("", target)
-        believed = named and not self._is_silent(group, fault.peer, now_s)
-        if believed and fault.peer in self._replicas:
+        if fault.code in NO_REPLY_CODES:
+            self._unresponsive[group] = _UnresponsiveReplica(
+                target, now_s + self._unresponsive_period_s
+            )
+        has_hint = fault.code == FaultCode.NOT_LEADER and fault.peer not in ("", target)
+        hint_accepted = has_hint and not self._is_unresponsive(group, fault.peer, now_s)
+        if hint_accepted and fault.peer in self._replicas:
             self._leaders[group] = fault.peer
             return True
         self._leaders.pop(group, None)
         return False
 
-    def _is_silent(self, group: GroupId, replica: str, now_s: float) -> bool:
-        silent = self._silent.get(group)
-        return silent is not None and silent.replica == replica and now_s < silent.until_s
+    def _is_unresponsive(self, group: GroupId, replica: str, now_s: float) -> bool:
+        unresponsive = self._unresponsive.get(group)
+        return (
+            unresponsive is not None
+            and unresponsive.replica == replica
+            and now_s < unresponsive.until_s
+        )
--- a/src/rainsail/control/list_pages.py
+++ b/src/rainsail/control/list_pages.py
@@ -15,7 +15,7 @@
 from rainsail.state.interface import ReplicatedReader
 from rainsail.wire.codec import encode
 
-MOST_PAGES = 128
+MAX_CACHED_PAGES = 128
 """Pages kept; a full list of 20,000 resources has about 41."""
 
 
@@ -24,7 +24,7 @@
     resources: tuple[Resource, ...]
     body: bytes
 
-    def holds(self, resources: tuple[Resource, ...]) -> bool:
+    def matches(self, resources: tuple[Resource, ...]) -> bool:
         """Tell whether the page is still of exactly these (immutable) resources."""
         same_length = len(resources) == len(self.resources)
         return same_length and all(map(is_, resources, self.resources))
@@ -44,10 +44,10 @@
 
     def _body(self, request: ListRequest, resources: tuple[Resource, ...]) -> bytes:
         page = self._pages.get(request)
-        if page is None or not page.holds(resources):
+        if page is None or not page.matches(resources):
             page = _EncodedPage(resources, encode(ResourcePage(resources)))
             self._pages[request] = page
         self._pages.move_to_end(request)
-        if len(self._pages) > MOST_PAGES:
+        if len(self._pages) > MAX_CACHED_PAGES:
             self._pages.popitem(last=False)
         return page.body
--- a/src/rainsail/control/long_poll.py
+++ b/src/rainsail/control/long_poll.py
@@ -16,7 +16,7 @@
 from rainsail.state.interface import ReplicatedReader
 from rainsail.wire.codec import encode
 
-LEAST_SHARERS = 2
+MIN_SHARED_RECEIVERS = 2
 """From how many receivers on a reply is encoded once for all."""
 
 PollAnswer = ConfigPollReply | EncodedReply | Fault
@@ -47,7 +47,7 @@
         self._flush_timer: Any = None
         self._check: Callable[[], Fault | None] = lambda: None
 
-    def guard(self, check: Callable[[], Fault | None]) -> None:
+    def set_check(self, check: Callable[[], Fault | None]) -> None:
         """Set the function asked before each reply; a fault is answered in place of it."""
         self._check = check
 
@@ -61,7 +61,7 @@
             return done
         number = self._next_number
         self._next_number += 1
-        timer = self._clock.callLater(wait_s, self._release, number)
+        timer = self._clock.callLater(wait_s, self._wait_expired, number)
         self._parked[number] = ParkedPoll(applied_revision, lease_s, done, timer)
         return done
 
@@ -92,12 +92,12 @@
             shared.setdefault((poll.applied_revision, poll.lease_s), []).append(poll)
         for key, polls in shared.items():
             reply = self._reply(*key)
-            if len(polls) >= LEAST_SHARERS and isinstance(reply, ConfigPollReply):
+            if len(polls) >= MIN_SHARED_RECEIVERS and isinstance(reply, ConfigPollReply):
                 reply = EncodedReply(encode(reply))
             for poll in polls:
                 poll.done.callback(reply)
 
-    def _release(self, number: int) -> None:
+    def _wait_expired(self, number: int) -> None:
         poll = self._parked.pop(number)
         poll.done.callback(self._reply(poll.applied_revision, poll.lease_s))
 
--- a/src/rainsail/control/operator_api.py
+++ b/src/rainsail/control/operator_api.py
@@ -23,7 +23,7 @@
 from rainsail.control.operator_auth import Authenticator, KeyAuthenticator
 from rainsail.control.operator_gate import OperatorGate
 from rainsail.control.resource_endpoints import ResourceEndpoints
-from rainsail.control.resource_json import plain
+from rainsail.control.resource_json import json_value
 from rainsail.control.resource_routes import ResourceRoutes
 from rainsail.control.settings import ControlSettings
 from rainsail.control.watch_routes import WatchRoutes
@@ -83,8 +83,8 @@
         caller = self._gate.operator(request)
         if caller.is_error():
             return answer_fault(request, caller.error)
-        status = plain(self._group.status())
-        status["ledger_groups"] = [plain(group.status()) for group in self._ledger_groups]
+        status = json_value(self._group.status())
+        status["ledger_groups"] = [json_value(group.status()) for group in self._ledger_groups]
         return answer_json(request, status)
 
     def _healthz(self, request: Any) -> bytes:
--- a/src/rainsail/control/paged_list.py
+++ b/src/rainsail/control/paged_list.py
@@ -42,10 +42,10 @@
         answer: Result[SharedListReply, Fault] = await client.call(request, timeout_s)
         if answer.is_error():
             return Error(answer.error)
-        opened = _opened(answer.ok)
-        if opened.is_error():
-            return Error(opened.error)
-        page = opened.ok
+        decoded = _decoded(answer.ok)
+        if decoded.is_error():
+            return Error(decoded.error)
+        page = decoded.ok
         if pages and page.revision < pages[-1].revision:
             detail = f"a page at revision {page.revision} after one at {pages[-1].revision}"
             return Error(Fault(FaultCode.CONFLICT, STEP, detail))
@@ -55,7 +55,7 @@
         request = next_page(request, page.resources[-1].key)
 
 
-def _opened(reply: SharedListReply) -> Result[ListReply, Fault]:
+def _decoded(reply: SharedListReply) -> Result[ListReply, Fault]:
     try:
         page: ResourcePage = decode(reply.page)
     except CodecError as error:
--- a/src/rainsail/control/resource_json.py
+++ b/src/rainsail/control/resource_json.py
@@ -34,7 +34,7 @@
     return Error(Fault(FaultCode.INVALID, STEP, f"kind: {text!r} is none of {names}"))
 
 
-def plain(value: Any) -> Any:
+def json_value(value: Any) -> Any:
     """Return a record as plain JSON values."""
     return dataclasses.asdict(value) if dataclasses.is_dataclass(value) else value  # type: ignore[arg-type]
 
@@ -44,7 +44,7 @@
 
     With ``in_force_revision`` the conditions say whether its spec is in force everywhere.
     """
-    conditions = [plain(condition) for condition in resource.conditions]
+    conditions = [json_value(condition) for condition in resource.conditions]
     if in_force_revision is not None:
         conditions.append(_in_force_condition(resource, in_force_revision))
     return {
@@ -52,8 +52,8 @@
         "name": resource.key.name,
         "revision": resource.revision,
         "generation": resource.generation,
-        "spec": plain(resource.spec),
-        "status": None if resource.status is None else plain(resource.status),
+        "spec": json_value(resource.spec),
+        "status": None if resource.status is None else json_value(resource.status),
         "conditions": conditions,
     }
 
@@ -81,7 +81,7 @@
 
 def fault_to_json(fault: Fault) -> JsonObject:
     """Return a fault as the body of an error answer."""
-    return {"error": {key: value for key, value in plain(fault).items() if value is not None}}
+    return {"error": {key: value for key, value in json_value(fault).items() if value is not None}}
 
 
 def spec_from_json(kind: Kind, body: Any, path: str = "spec") -> Result[Spec, Fault]:
@@ -103,7 +103,7 @@
 
 def merged_spec_json(spec: Spec, patch: JsonObject) -> JsonObject:
     """Return a spec's JSON with the keys of ``patch`` replaced; null takes the default."""
-    merged = dict(plain(spec))
+    merged = dict(json_value(spec))
     for key, value in patch.items():
         if value is None:
             merged.pop(key, None)
--- a/src/rainsail/control/watcher.py
+++ b/src/rainsail/control/watcher.py
@@ -16,7 +16,7 @@
 from rainsail.state.interface import ReplicatedReader
 
 STEP = "operator_api.watch"
-READ_EVENTS = 100
+EVENT_BATCH_SIZE = 100
 """Events read from the state at a time."""
 
 
@@ -78,7 +78,7 @@
         self._revision = revision
         self._kinds = kinds
         self._on_end = on_end
-        self._told_in_force = 0
+        self._sent_in_force_revision = 0
         self._paused = False
         self._ended = False
         self._timer: Any = None
@@ -104,8 +104,8 @@
         if not self._paused:
             self._send_events()
         if self._paused:
-            self._cut_when_too_slow()
-        elif not self._ended and self._state.in_force_revision > self._told_in_force:
+            self._disconnect_if_too_slow()
+        elif not self._ended and self._state.in_force_revision > self._sent_in_force_revision:
             self._send_bookmark()
 
     def stop(self) -> None:
@@ -119,9 +119,9 @@
 
     def _send_events(self) -> None:
         while not self._paused:
-            events = self._state.events_since(self._revision, READ_EVENTS)
+            events = self._state.events_since(self._revision, EVENT_BATCH_SIZE)
             if events is None:
-                self._end_with("revision_compacted", self._compacted())
+                self._end_with("revision_compacted", self._compacted_fault())
                 return
             if not events:
                 return
@@ -136,13 +136,13 @@
             self._sink.write_line(self._lines.line(event))
 
     def _send_bookmark(self) -> None:
-        self._told_in_force = self._state.in_force_revision
+        self._sent_in_force_revision = self._state.in_force_revision
         self._sink.write_line(
             json_line(
                 {
                     "type": "bookmark",
                     "revision": self._revision,
-                    "in_force_revision": self._told_in_force,
+                    "in_force_revision": self._sent_in_force_revision,
                 }
             )
         )
@@ -157,13 +157,13 @@
             self._send_bookmark()
         self._schedule_bookmark()
 
-    def _cut_when_too_slow(self) -> None:
+    def _disconnect_if_too_slow(self) -> None:
         waiting = self._state.revision - self._revision
         if waiting > self._settings.watch_buffer_events:
             detail = f"{waiting} events wait for this watcher; go on from the last revision read"
             self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), cut=True)
 
-    def _compacted(self) -> Fault:
+    def _compacted_fault(self) -> Fault:
         detail = f"events after revision {self._revision} are gone: list again"
         return Fault(
             FaultCode.REVISION_COMPACTED, STEP, detail, current_revision=self._state.revision
