--- a/features/controllers/departures.feature
+++ b/features/controllers/departures.feature
@@ -1,6 +1,6 @@
 Feature: Drained runners, finished jobs and departed gateways
 
-  Scenario: A drained runner is marked and its mark is taken away again
+  Scenario: A drained runner is marked as draining until the drain is undone
     Given a placement whose 3 runners answer with v1
     When the placement's first runner is drained
     And 2 seconds pass for the placement
@@ -9,7 +9,7 @@
     And 2 seconds pass for the placement
     Then the placement's first runner is no longer marked as draining
 
-  Scenario: A machine that leaves is no copy to count on
+  Scenario: A runner whose machine is leaving does not count as serving
     Given a placement whose 2 runners answer with v1
     And the placement's machine list says that the first runner's machine is leaving
     When the placement's service moves to version v2
@@ -17,7 +17,7 @@
     Then every runner of the placement answers with v1
     And the placement's first runner is marked as draining and not ready
 
-  Scenario: A machine list that lags is followed when it catches up
+  Scenario: An outdated machine list is followed once it is updated
     Given a placement whose 3 runners answer with v1
     When the placement's first runner dies and the machine list still calls it live
     And the placement's service moves to version v2
@@ -38,7 +38,7 @@
     When 600 seconds pass for the controllers
     Then the controllers' state has the accepted job only
 
-  Scenario: A new leader counts ages afresh
+  Scenario: A new leader restarts the retention periods
     Given controllers that keep finished jobs 1000 seconds and open ones 500 seconds
     And the controllers' state has a finished, a cancelled, an open and an accepted job
     When 400 seconds pass for the controllers
@@ -54,8 +54,8 @@
     When 400 seconds pass for the controllers
     Then the controllers' state has only the gateway that is heard
 
-  Scenario: Gateways are kept while nobody can say when they were heard
+  Scenario: Gateways are kept while their last contact is unknown
     Given controllers that keep silent gateways 300 seconds
-    And two gateways and no word of when the controllers heard them
+    And two gateways whose last contact the controllers don't know
     When 4000 seconds pass for the controllers
     Then the controllers' state has both gateways
--- a/features/controllers/placement.feature
+++ b/features/controllers/placement.feature
@@ -1,15 +1,15 @@
 Feature: Placement and roll-out of model versions
-  The leader tells runners what to load, in step with the weight store, and never drops the
-  last copy that answers.
+  The leader orders runners to load versions at a limited rate, and never takes away the
+  last runner that serves.
 
-  Scenario: Free runners are loaded in step
+  Scenario: Runners without a version are loaded a few at a time
     Given a placement with 6 runners of service reports wanting version v1
     When 60 seconds pass for the placement
     Then every runner of the placement answers with v1
     And the placement never had more than 2 loads under way
     And the placement reports service reports as ready at its generation
 
-  Scenario: Only as many free runners are loaded as the service wants
+  Scenario: Only as many runners are loaded as the service wants
     Given a placement with 6 runners of service reports of which 4 are wanted at version v1
     When 60 seconds pass for the placement
     Then 4 runners of the placement answer with v1
@@ -32,14 +32,14 @@
     Then every runner of the placement answers with v2
     And at least 1 runners of the placement answered at every moment
 
-  Scenario: The only copy is never dropped
+  Scenario: The only runner that serves is never switched
     Given a placement whose 1 runners answer with v1
     When the placement's service moves to version v2
     And 60 seconds pass for the placement
     Then every runner of the placement answers with v1
     And the placement reports a roll-out of the service's generation
 
-  Scenario: A free runner is preferred to one that answers
+  Scenario: A runner without a version is preferred to one that serves
     Given a placement whose 1 runners answer with v1
     When one more runner is declared to the placement
     And the placement's service moves to version v2
@@ -48,7 +48,7 @@
     When 60 seconds pass for the placement
     Then every runner of the placement answers with v2
 
-  Scenario: A starved weight store holds the roll-out, not the service
+  Scenario: A slow weight store stalls the roll-out, not the service
     Given a placement whose 6 runners answer with v1
     And the placement's weight store takes 100000 seconds for a load
     When the placement's service moves to version v2
@@ -79,19 +79,19 @@
     And 900 seconds pass for the placement
     Then 2 runners of the placement answer with v2
 
-  Scenario: The operator turns back in the middle of a roll-out
+  Scenario: The operator reverts to the old version in the middle of a roll-out
     Given a placement whose 6 runners answer with v1
     When the placement's service moves to version v2
     And 15 seconds pass for the placement
     Then some but not all runners of the placement answer with v2
     When the placement's service moves to version v1
     And 1 seconds pass for the placement
-    Then no runner of the placement is on its way to v2
+    Then no runner of the placement is loading v2
     When 60 seconds pass for the placement
     Then every runner of the placement answers with v1
     And at least 3 runners of the placement answered at every moment
 
-  Scenario: A lost race is planned anew
+  Scenario: A command refused because of a concurrent change is planned again
     Given a placement whose 6 runners answer with v1
     And another writer gets ahead of the placement's next 3 commands
     When the placement's service moves to version v2
@@ -103,19 +103,19 @@
     Given a placement with 2 runners of service reports wanting version v1
     And the placement's service names a version that is not declared
     When 60 seconds pass for the placement
-    Then no runner of the placement was told anything
+    Then no runner of the placement was ordered to load anything
     And the placement reports service reports as not ready
 
-  Scenario: Adapters follow, a few runners at a time
+  Scenario: Adapters are changed on a few runners at a time
     Given a placement whose 6 runners answer with v1
     When adapter customs is declared to the placement
     And 2 seconds pass for the placement
-    Then 2 runners of the placement are told to have the adapter
+    Then 2 runners of the placement are ordered to have the adapter
     When 60 seconds pass for the placement
-    Then 6 runners of the placement are told to have the adapter
+    Then 6 runners of the placement are ordered to have the adapter
     And at least 6 runners of the placement answered at every moment
 
-  Scenario: Nothing is told once the leadership is lost
+  Scenario: No orders are sent once the leadership is lost
     Given a placement whose 6 runners answer with v1
     When the placement's replica loses the leadership
     And the placement's service moves to version v2
--- a/features/steps/controllers_departures_steps.py
+++ b/features/steps/controllers_departures_steps.py
@@ -124,7 +124,7 @@
     )
 
 
-@given("two gateways and no word of when the controllers heard them")
+@given("two gateways whose last contact the controllers don't know")
 def step_two_unheard(context):
     for name in ("heard", "silent"):
         context.fleet.put(Kind.GATEWAY, name, GatewaySpec("south", "south-a", "1"))
--- a/features/steps/controllers_placement_steps.py
+++ b/features/steps/controllers_placement_steps.py
@@ -196,7 +196,7 @@
     assert 0 < context.fleet.versions(SERVICE).count(version) < 6, context.fleet.versions(SERVICE)
 
 
-@then("no runner of the placement is on its way to {version}")
+@then("no runner of the placement is loading {version}")
 def step_turned(context, version):
     loading = [engine.loading for engine in context.fleet.engines.values()]
     assert version not in loading, loading
@@ -215,14 +215,14 @@
     return is_order and command.expected_revision in revisions
 
 
-@then("no runner of the placement was told anything")
+@then("no runner of the placement was ordered to load anything")
 def step_no_orders(context):
     fences = [context.fleet.status(name).fence for name in context.fleet.engines]
     assert fences == [0, 0], fences
     assert not any(isinstance(each, Fault) for each in fences)
 
 
-@then("{count:d} runners of the placement are told to have the adapter")
+@then("{count:d} runners of the placement are ordered to have the adapter")
 def step_adapters(context, count):
-    told = [context.fleet.status(name).adapters for name in context.fleet.engines]
-    assert told.count(("customs",)) == count, told
+    adapters = [context.fleet.status(name).adapters for name in context.fleet.engines]
+    assert adapters.count(("customs",)) == count, adapters
--- a/features/steps/controllers_planning_steps.py
+++ b/features/steps/controllers_planning_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how often the placement looks through the runners."""
+"""Steps on how often the placement planner scans the runners."""
 
 from unittest import mock
 
@@ -63,7 +63,7 @@
     context.planning_times = times
 
 
-@then("the placement looked at the runners at most {count:d} times")
+@then("the placement scanned the runners at most {count:d} times")
 def planned_at_most(context, count):
     assert 4 <= len(context.planning_times) <= count, len(context.planning_times)
 
--- a/features/support/controllers.py
+++ b/features/support/controllers.py
@@ -1,4 +1,4 @@
-"""A group in memory, owners of runners and a weight store, all on the virtual clock."""
+"""Controllers over an in-memory group, simulated runners and a weight store, in virtual time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -58,7 +58,7 @@
         self._leadership.append(listener)
 
     def lead(self, leads: bool) -> None:
-        """Win or lose the leadership."""
+        """Gain or lose the leadership."""
         self._leads = leads
         for listener in self._leadership:
             listener(leads)
@@ -87,7 +87,7 @@
 
 @dataclass
 class Engine:
-    """The truth about one runner's engine: what it answers with, and the load under way."""
+    """The actual state of one runner's engine: the version it serves and the load in progress."""
 
     version: str = ""
     loading: str = ""
@@ -96,21 +96,22 @@
 
 
 class MachineList:
-    """A machine list that tells the states it was given."""
+    """A machine list whose states the test sets."""
 
     def __init__(self) -> None:
         self.states: dict[str, WatchedMachineState] = {}
 
     def machine_state(self, name: str) -> WatchedMachineState | None:
-        """Return the stated state."""
+        """Return the state that was set, or None."""
         return self.states.get(name)
 
 
 class Fleet:
-    """Controllers over a state, with owners that load what runners are told.
+    """Controllers over a state, with simulated gateways that carry out the load orders of runners.
 
-    An engine answers nobody from its order on until the weights are there: the worst case for
-    the last ready copy. ``load_s`` is how long a load takes, ``bad_versions`` never get ready.
+    An engine serves no requests from the load order until the weights are loaded: the worst case
+    for the last ready runner. ``load_s`` is how long a load takes, ``bad_versions`` never become
+    ready.
     """
 
     def __init__(self, **settings: float) -> None:
@@ -143,7 +144,7 @@
         self.group.apply(PutResource("", ResourceKey(kind, name), spec))
 
     def declare_service(self, service: str, version: str, runners: int) -> None:
-        """Declare a service at a version, and the version."""
+        """Declare a service with its active version, and the version itself."""
         self.put(Kind.MODEL_VERSION, version, ModelVersionSpec(service, "file", VERSION_BYTES))
         self.put(Kind.SERVICE, service, ServiceSpec(version, runners))
 
@@ -165,7 +166,7 @@
     # --- reads ---
 
     def resource(self, kind: Kind, name: str) -> Resource:
-        """Return a resource that is there."""
+        """Return a resource that must exist."""
         resource = self.state.get(ResourceKey(kind, name))
         assert resource is not None, f"no {kind} {name}"
         return resource
@@ -181,11 +182,11 @@
         return {each.type: (each.value, each.revision) for each in resource.conditions}
 
     def versions(self, service: str) -> list[str]:
-        """Return what each engine of a service answers with, in name order."""
+        """Return the version that each engine of a service serves, in name order."""
         own = [name for name in sorted(self.engines) if name.startswith(f"{service}-")]
         return [self.engines[name].version for name in own]
 
-    # --- the owners ---
+    # --- the gateways that own the runners ---
 
     def _run_owners(self, index: int) -> None:
         for name, engine in self.engines.items():
@@ -219,7 +220,7 @@
         self.report(name)
 
     def report(self, name: str, reachable: bool = True) -> None:
-        """Report an engine's truth as its owner does."""
+        """Report an engine's actual state, as the gateway that owns it does."""
         engine = self.engines[name]
         resource = self.resource(Kind.RUNNER, name)
         loading = self.status(name).loading_version
--- a/src/rainsail/control/controllers/drain.py
+++ b/src/rainsail/control/controllers/drain.py
@@ -1,7 +1,7 @@
-"""Marks runners that take no new work: drained ones and those whose machine is going away.
+"""Sets the ``Draining`` condition of runners that are drained or whose machine is leaving.
 
-Gateways react to ``spec.drain`` by themselves; the mark is for operators and watches, and for
-gateways that learn of a leaving machine through it.
+Gateways react to ``spec.drain`` by themselves. The condition informs operators and watches, and
+tells gateways that a runner's machine is leaving.
 """
 
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 class DrainPlanner:
-    """Keeps the ``Draining`` condition of runners true to their spec and the machine list."""
+    """Keeps the ``Draining`` condition of runners in line with their spec and the machine list."""
 
     name = "drain"
 
@@ -23,10 +23,10 @@
         self._machines = machines
 
     def begin(self) -> None:
-        """Nothing is remembered."""
+        """Do nothing: this planner keeps no state."""
 
     def plan(self, state: ReplicatedReader, now_s: float) -> list[Command]:
-        """Return a status change for each runner whose mark is missing or no longer true."""
+        """Return a status change for each runner whose condition is missing or outdated."""
         runners = view_runners(state, self._machines)
         return [command for runner in runners for command in _update_condition(runner)]
 
--- a/src/rainsail/control/controllers/loop.py
+++ b/src/rainsail/control/controllers/loop.py
@@ -1,7 +1,7 @@
-"""Runs one planner round by round on the leader: plan, propose, wait for the answers, again.
+"""Runs one planner in rounds on the leader: plan, propose, wait for the outcomes, repeat.
 
-Rounds never overlap. A command that lost a race is not repeated: the next round plans anew on
-what is stored by then.
+Rounds never overlap. A command that meets a conflict is not retried: the next round plans again
+from the state stored by then.
 """
 
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class ReconcileLoop:
-    """One planner's rounds: every period, and soon after ``wake``."""
+    """Runs one planner every period, and shortly after each ``wake``."""
 
     def __init__(
         self,
@@ -49,14 +49,14 @@
         self._wake_pending = False
 
     def start(self) -> None:
-        """Begin a leadership: forget what an earlier one remembered and look at once."""
+        """Start a leadership term: reset the planner and run a round at once."""
         self.stop()
         self._running = True
         self._planner.begin()
         self._schedule(0.0)
 
     def stop(self) -> None:
-        """End the leadership; a round under way has no further effect on the loop."""
+        """End the leadership term; a round in progress no longer affects the loop."""
         self._epoch += 1
         self._running = False
         self._in_round = False
@@ -64,7 +64,7 @@
         self._cancel_timer()
 
     def wake(self) -> None:
-        """Look again soon, because something has changed."""
+        """Schedule a round soon, because the state has changed."""
         if not self._running or self._wake_pending:
             return
         self._wake_pending = True
@@ -105,12 +105,12 @@
 
     def _log_outcome(self, answer: Proposed) -> None:
         if answer.is_error():
-            logger.debug("{} was not committed: {}", self._planner.name, answer.error)
+            logger.debug("{}: command not committed: {}", self._planner.name, answer.error)
         elif isinstance(answer.ok[1], Fault):
-            logger.debug("{} lost a race: {}", self._planner.name, answer.ok[1])
+            logger.debug("{}: command refused: {}", self._planner.name, answer.ok[1])
 
     def _log_failure(self, failure: object) -> None:
-        logger.warning("{} could not propose: {}", self._planner.name, failure)
+        logger.warning("{}: could not propose a command: {}", self._planner.name, failure)
 
     def _end_round(self, epoch: int) -> None:
         if epoch != self._epoch:
--- a/src/rainsail/control/controllers/machines.py
+++ b/src/rainsail/control/controllers/machines.py
@@ -1,11 +1,11 @@
-"""The part of the machine list that the controllers read. The list lags behind the truth."""
+"""The controllers' view of the platform's machine list, which may be out of date."""
 
 from enum import StrEnum
 from typing import Protocol
 
 
 class WatchedMachineState(StrEnum):
-    """What the platform says of a machine."""
+    """A machine's state as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -13,8 +13,8 @@
 
 
 class MachineView(Protocol):
-    """The latest known machine list, by the name of the runner or process on the machine."""
+    """The latest known machine list, keyed by the runner or process on each machine."""
 
     def machine_state(self, name: str) -> WatchedMachineState | None:
-        """Return a machine's state, or None when the list does not name it."""
+        """Return a machine's state, or None when the list does not contain it."""
         ...
--- a/src/rainsail/control/controllers/manager.py
+++ b/src/rainsail/control/controllers/manager.py
@@ -20,13 +20,13 @@
 from rainsail.state.interface import ReplicatedReader
 
 PLANNED_KINDS = (Kind.SERVICE, Kind.MODEL_VERSION, Kind.ADAPTER, Kind.RUNNER)
-"""Kinds that placement and drain look at."""
+"""Kinds that the placement and drain planners read."""
 MAX_SCANNED_EVENTS = 100
-"""Events looked through after a batch of entries; more count as a change."""
+"""Most events scanned after a batch of log entries; with more, the loops plan without a scan."""
 
 
 class ControllerManager:
-    """Starts every loop when this replica begins to lead and stops them when that ends."""
+    """Starts every loop when this replica becomes leader and stops them when it steps down."""
 
     def __init__(
         self,
@@ -59,11 +59,11 @@
         group.on_applied(self._applied)
 
     def set_gateway_last_seen(self, last_seen: GatewayLastSeen) -> None:
-        """Say how to find out when a gateway was last heard of (monotonic seconds)."""
+        """Set the lookup of when a gateway last made contact (monotonic seconds)."""
         self._gateways.set_last_seen(last_seen)
 
     def start(self) -> None:
-        """Run the loops whenever this replica leads."""
+        """Run the loops whenever this replica is the leader."""
         self._started = True
         if self._group.is_leader():
             self._leadership_changed(True)
@@ -89,10 +89,10 @@
             loop.wake()
 
     def _affects_plans(self, revision: int) -> bool:
-        """Tell whether something that the prompt loops plan for has changed after ``revision``.
+        """Tell whether a resource that the event-driven loops read has changed after ``revision``.
 
-        They look through every runner, which must not happen at each change of a tenant, session
-        or gateway. What can't be told counts as a change.
+        Those loops scan every runner, which is too expensive for each change of a tenant, session
+        or gateway. Returns True when the events since ``revision`` are not all available.
         """
         events = self._state.events_since(revision, MAX_SCANNED_EVENTS)
         if events is None or len(events) == MAX_SCANNED_EVENTS:
--- a/src/rainsail/control/controllers/placement.py
+++ b/src/rainsail/control/controllers/placement.py
@@ -1,10 +1,11 @@
-"""Placement and roll-out: tells runners which version and adapters to load, in step.
-
-The controller writes ``loading_version``, ``adapters`` and a raised ``fence`` into the status of a
-runner; the gateway that owns the runner sends the order under that fence and reports back, also
-whether it is ready: an engine may answer with its old version while it fetches the next. Here it
-counts as answering nobody from the order on. Every write expects the revision that the decision
-was made on, so a lost race is planned anew.
+"""Placement and roll-out: orders runners to load versions and adapters, a few at a time.
+
+The controller writes ``loading_version``, ``adapters`` and a higher ``fence`` into a runner's
+status. The gateway that owns the runner sends the order to the engine under that fence and
+reports the result, including readiness. An engine may serve its old version while it fetches the
+next one; this controller counts the runner as not serving from the order on. Every write expects
+the revision that the decision was based on, so a conflicting change makes the next round plan
+again.
 """
 
 from dataclasses import dataclass, replace
@@ -37,7 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Ages:
-    """Seconds, under this leadership: of a load, of a runner's silence, of a service's version."""
+    """Ages in seconds, counted under this leadership.
+
+    ``load_s`` is how long a runner's current load has run, ``not_serving_s`` how long a runner
+    has been loading without a break, and ``version_s`` how long a service has had its active
+    version.
+    """
 
     load_s: dict[str, float]
     not_serving_s: dict[str, float]
@@ -49,7 +55,7 @@
 
 
 class PlacementPlanner:
-    """Plans loads for every service and reports how far each has come."""
+    """Plans loads for every service and reports the progress of each roll-out."""
 
     name = "placement"
 
@@ -62,7 +68,7 @@
         self._adapter_changes: dict[str, float] = {}
 
     def begin(self) -> None:
-        """Count the age of every load afresh."""
+        """Reset all ages."""
         self._loads.clear()
         self._not_serving.clear()
         self._versions.clear()
@@ -126,7 +132,7 @@
         return ages.load_s.get(runner.name, 0.0) >= self._settings.load_stall_s
 
     def _free_load_slots(self, runners: list[RunnerView], ages: _Ages, now_s: float) -> int:
-        """Return how many further loads the weight store may be asked for."""
+        """Return how many further loads may start, to limit the load on the weight store."""
         pacing_s = self._settings.adapter_pacing_s
         self._adapter_changes = {
             name: since_s
@@ -151,7 +157,7 @@
 
 
 def version_problem(state: ReplicatedReader, service: str, version: str) -> str:
-    """Return why a version can't be loaded, or an empty string."""
+    """Return the reason why a version can't be loaded, or an empty string."""
     if not version:
         return "no active version"
     resource = state.get(ResourceKey(Kind.MODEL_VERSION, version))
@@ -163,7 +169,7 @@
 
 
 def wanted_adapters(state: ReplicatedReader, service: str) -> tuple[str, ...]:
-    """Return the names of a service's adapters in order."""
+    """Return the names of a service's adapters in name order."""
     return tuple(
         resource.key.name
         for resource in state.list_resources(Kind.ADAPTER)
@@ -172,7 +178,7 @@
 
 
 def _switch(runner: RunnerView, version: str, adapters: tuple[str, ...]) -> PutStatus:
-    """Return the order; a runner that is turned round counts again once its owner says so."""
+    """Return the load order; a redirected runner is ready only once its owner reports so."""
     ready = runner.status.ready and not runner.loading
     status = replace(runner.status, loading_version=version, adapters=adapters, ready=ready)
     return _put(runner, status)
@@ -185,7 +191,7 @@
 
 
 def report_rollout(service: Resource, view: RolloutView) -> list[Command]:
-    """Return the report of a service's progress, or nothing when it is stored already."""
+    """Return the status change that reports a service's progress, or nothing if unchanged."""
     ready = ready_count(view)
     complete = is_complete(view)
     reason = f"{ready} of {view.wanted} runners ready with {view.version}"
--- a/src/rainsail/control/controllers/retention.py
+++ b/src/rainsail/control/controllers/retention.py
@@ -1,7 +1,7 @@
-"""Forgets what nobody needs any more: finished and never accepted jobs, departed gateways.
+"""Deletes finished jobs, jobs that were never accepted, and resources of departed gateways.
 
-Ages count from when this leader first saw the thing, so that a change of leader keeps it longer,
-never shorter, and no replica needs to agree on a clock.
+Ages count from when this leader first saw the job or gateway. A change of leader can therefore
+only extend the retention, and replicas need no common clock.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 from rainsail.state.interface import ReplicatedReader
 
 GatewayLastSeen = Callable[[str], float | None]
-"""Returns when a gateway was last heard of in the leader's monotonic seconds, if ever."""
+"""Returns when a gateway last made contact, in the leader's monotonic seconds, or None."""
 
 
 class JobRetentionPlanner:
-    """Forgets jobs a while after they have finished, or when they were never accepted."""
+    """Deletes jobs that have finished or were never accepted, after their retention period."""
 
     name = "job_retention"
 
@@ -26,7 +26,7 @@
         self._seen = FirstSeen()
 
     def begin(self) -> None:
-        """Start counting ages afresh."""
+        """Reset all ages."""
         self._seen.clear()
 
     def plan(self, state: ReplicatedReader, now_s: float) -> list[Command]:
@@ -46,7 +46,7 @@
 
 
 class GatewayRetentionPlanner:
-    """Deletes Gateway resources of gateways that have not been heard of for long."""
+    """Deletes the Gateway resources of gateways that have made no contact for a long time."""
 
     name = "gateway_retention"
 
@@ -56,11 +56,11 @@
         self._seen = FirstSeen()
 
     def set_last_seen(self, last_seen: GatewayLastSeen) -> None:
-        """Say how to find out when a gateway was last heard of; without it none is deleted."""
+        """Set the lookup of a gateway's last contact; without it no gateway is deleted."""
         self._last_seen = last_seen
 
     def begin(self) -> None:
-        """Start counting ages afresh."""
+        """Reset all ages."""
         self._seen.clear()
 
     def plan(self, state: ReplicatedReader, now_s: float) -> list[Command]:
--- a/src/rainsail/control/controllers/rollout.py
+++ b/src/rainsail/control/controllers/rollout.py
@@ -1,8 +1,12 @@
-"""Which runners of one service to switch to its active version now. Pure.
+"""Chooses which runners of one service to switch to its active version. Pure functions.
 
-Rules: free runners first; at most so many loads at a time; the next runners wait until those
-already switched are ready; a runner that answers is switched only while another one answers; a
-runner on its way to another version is redirected at once, since it answers nobody.
+Rules:
+
+- Runners without a version are loaded first.
+- The number of concurrent loads is limited, and further runners wait until those already switched
+  are ready.
+- A runner that serves requests is switched only while another runner serves too.
+- A runner that is loading another version is redirected at once, since it serves no requests.
 """
 
 from dataclasses import dataclass
@@ -12,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """One service's wish and its runners.
+    """One service's desired version and runner count, and its runners.
 
     ``stalled`` names the runners whose load takes too long. ``not_serving_before`` names those
     that already served no requests when the version was chosen, so their state says nothing about
@@ -30,7 +34,7 @@
 
 
 def choose_switches(view: RolloutView) -> list[RunnerView]:
-    """Return the runners to switch now, in the order of choice."""
+    """Return the runners to switch now, in order of preference."""
     usable = [runner for runner in view.runners if runner.usable]
     others = [runner for runner in usable if runner.target != view.version]
     redirected = [runner for runner in others if runner.loading]
@@ -43,10 +47,10 @@
 
 
 def _count_blocking_loads(view: RolloutView, redirected: list[RunnerView]) -> int:
-    """Count the loads that further ones have to wait for.
+    """Count the loads that must finish before further ones start.
 
-    A stalled load stands in the way only while it may be the version's fault: while another
-    version still answers and none has become ready with this one.
+    A stalled load blocks others only while the version may be the cause: while another version is
+    still served and no runner has become ready with this one.
     """
     pending = [
         runner
@@ -67,19 +71,19 @@
 def _choose_replaced(
     view: RolloutView, others: list[RunnerView], load_slots: int
 ) -> list[RunnerView]:
-    """Return runners that answer with another version, leaving at least one that answers."""
+    """Return runners that serve another version, leaving at least one runner that serves."""
     answering = sum(1 for runner in view.runners if runner.serving)
     bound = max(0, min(load_slots, answering - 1))
     return [runner for runner in others if runner.serving][:bound]
 
 
 def ready_count(view: RolloutView) -> int:
-    """Return how many runners answer with the wanted version."""
+    """Return how many runners serve the wanted version."""
     return sum(1 for runner in view.runners if runner.serving == view.version)
 
 
 def is_complete(view: RolloutView) -> bool:
-    """Tell whether enough runners answer with the version and none is left with another."""
+    """Tell whether enough runners serve the version and no usable one has another version."""
     left = [runner for runner in view.runners if runner.usable and runner.target]
     settled = all(runner.target == view.version for runner in left)
     return settled and ready_count(view) >= view.wanted
--- a/src/rainsail/control/controllers/runner_view.py
+++ b/src/rainsail/control/controllers/runner_view.py
@@ -1,4 +1,4 @@
-"""What the controllers make of a Runner resource: what it serves, loads and may take."""
+"""Derives from a Runner resource what the runner serves and loads, and whether it is usable."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerView:
-    """A runner as the placement sees it.
+    """A Runner resource with its spec and status.
 
-    ``leaving`` means that it takes no new work: it is drained or its machine is going away.
+    ``leaving`` means that it takes no new work: it is drained, or its machine is leaving or gone.
     """
 
     resource: Resource
@@ -26,12 +26,12 @@
 
     @property
     def target(self) -> str:
-        """The version that it was last told to load, or the one it has."""
+        """The version it was last ordered to load, else the one it has loaded."""
         return self.status.loading_version or self.status.loaded_version
 
     @property
     def serving(self) -> str:
-        """The version that it answers with now, or an empty string."""
+        """The version it serves requests with now, or an empty string."""
         status = self.status
         settled = status.loading_version in ("", status.loaded_version)
         usable = status.ready and status.reachable and not self.leaving
@@ -39,12 +39,12 @@
 
     @property
     def loading(self) -> bool:
-        """Whether it was told to load something and is expected to become ready."""
+        """Whether it has a target version, can become ready and serves no requests yet."""
         return bool(self.target) and self.usable and not self.serving
 
     @property
     def usable(self) -> bool:
-        """Whether it may be told to load something."""
+        """Whether it may be ordered to load a version."""
         return self.status.reachable and not self.leaving
 
 
