--- a/features/control/http.feature
+++ b/features/control/http.feature
@@ -18,7 +18,7 @@
     When the operator GETs /v1/resources/Service/assistant
     Then the operator API answers 404 with error.code = "not_found"
 
-  Scenario Outline: What is wrong is answered with its code, and the key that is wrong is named
+  Scenario Outline: An invalid request is answered with its fault code and the name of the invalid key
     When the operator <method>s <path> with <body>
     Then the operator API answers <status> with error.code = "<code>"
     And the operator API's error names "<detail>"
@@ -41,11 +41,11 @@
       | GET    | /v1/jobs/nothing                | {}                                                | 404    | not_found | nothing                  |
       | POST   | /v1/jobs                        | {"job_key": "a"}                                  | 400    | invalid   | service                  |
 
-  Scenario: A body over the bound is refused
-    When the operator PUTs a body over the bound to the operator API
+  Scenario: A body over the size limit is refused
+    When the operator PUTs a body over the size limit to the operator API
     Then the operator API answers 413 with error.code = "too_large"
 
-  Scenario: Unknown keys are refused, tenants' keys reach their own jobs only
+  Scenario: Unknown API keys are refused, tenants' keys give access to their own jobs only
     When the operator's key is "wrong" and the operator GETs /v1/resources
     Then the operator API answers 401 with error.code = "unauthenticated"
     When the operator's key is "north-key" and the operator GETs /v1/resources
@@ -65,14 +65,14 @@
     When the job's results are read from the operator API 2 at a time
     Then the operator API has given 3 rows in index order
 
-  Scenario: A watch streams lines, and a client that stops reading is told and cut
+  Scenario: A watch streams lines, and a client that stops reading gets an error line and is disconnected
     When the operator watches over the operator API
     And 10 services are put in the control fleet
     Then the operator API's watch has 10 changes in order
     When the operator's connection stops reading and 40 services are put in the control fleet
-    Then the operator API's watch ends with a "too_slow" line and the connection is cut
+    Then the operator API's watch ends with a "too_slow" line and the connection is closed
 
-  Scenario: A client that goes away leaves no watcher behind
+  Scenario: A client that disconnects leaves no watcher behind
     When the operator watches over the operator API
     And the operator's connection is lost
     Then the operator API has no watcher
@@ -87,7 +87,7 @@
     When the operator GETs /metrics
     Then the operator API's answer contains "rainsail_up 1"
 
-  Scenario: A replica without a leader says so, as not run
+  Scenario: A request to a replica that has lost its leader has an unknown outcome
     When every replica of the control fleet but r2 is cut off
     And the operator PUTs /v1/resources/Service/assistant with {"spec": {}}
-    Then the operator API answers 503 or 504 and says truly that it may have run or not
+    Then the operator API answers 503 or 504 with an unknown outcome
--- a/features/control/leases.feature
+++ b/features/control/leases.feature
@@ -1,4 +1,4 @@
-Feature: Batch leases and quota shares that the leader keeps in its memory
+Feature: Batch item leases and quota shares in the leader's memory
 
   Background:
     Given a control fleet of 3 replicas with gateways g1
@@ -8,7 +8,7 @@
     When holders h1 and h2 lease 3 items each from the control fleet
     And only h1 renews its item leases for 15 seconds
     Then the control fleet has revoked the items of h2 but not those of h1
-    And holder h2 is told by the control fleet to stop all its items
+    And holder h2 is ordered by the control fleet to stop all its items
 
   Scenario: A new leader gives every holder a full period
     When holders h1 and h2 lease 3 items each from the control fleet
@@ -22,24 +22,24 @@
   Scenario: A renewal tells a holder to stop the items of a cancelled job
     When holders h1 and h2 lease 3 items each from the control fleet
     And the control fleet's job is cancelled
-    Then holder h1 is told by the control fleet to stop all its items
+    Then holder h1 is ordered by the control fleet to stop all its items
 
   Scenario: Items whose lease answer was lost are given back though their holder renews
     When holders h1 and h2 lease 3 items each from the control fleet
-    And h1 renews for 15 seconds but knows nothing of its items
+    And h1 renews for 15 seconds without naming its items
     Then the control fleet has given back the items of h1
 
-  Scenario: A quota's lent and minimum shares never sum to more than the rate
-    Then over many control reports, lost replies and leader changes no share passes the rate
+  Scenario: A tenant's granted and minimum shares never sum to more than its rate
+    Then over many control reports, lost replies and leader changes no sum of shares exceeds the rate
 
-  Scenario: The check of quota sums notices a new leader that lends at once
+  Scenario: The check of quota sums detects a new leader that grants shares at once
     Given the control fleet has the quota defect "lend-at-once"
     Then the check of control quota sums fails
 
   Scenario: Shares follow demand
     When gateway a reports 300 tokens a second to the control fleet and gateway b 100
-    Then the control fleet lends a about 3 times what it lends b, and together the lendable rate
+    Then the control fleet grants a about 3 times the share of b, in sum the grantable rate
 
-  Scenario: A new leader lends nothing until earlier shares have run out
+  Scenario: A new leader grants no shares until earlier shares have expired
     When the control fleet elects r2
-    Then the control fleet lends nothing for a whole share period, and then lends
+    Then the control fleet grants nothing for a whole share period, and then grants shares
--- a/features/steps/control_configuration_steps.py
+++ b/features/steps/control_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration leases, InForce and the gateways' views."""
+"""Steps on configuration leases, the in-force revision and the gateways' views."""
 
 from behave import given, then, when
 from features.support.control import READ_LEASE_S, ControlFleet
@@ -26,7 +26,7 @@
 
 
 def start_fleet(context, names, **options):
-    """Start a fleet with leased gateways."""
+    """Start a fleet in which every gateway holds a configuration lease."""
     fleet = ControlFleet(**options)
     context.fleet = fleet
     for name in names.split(", "):
@@ -112,7 +112,7 @@
     fleet.elect(name)
 
 
-@when("gateway {name} of the control fleet starts while services change, come and go")
+@when("gateway {name} of the control fleet starts while services are changed, added and deleted")
 def step_start_amid_changes(context, name):
     fleet = context.fleet
     client = fleet.client("busy")
@@ -130,7 +130,9 @@
     assert number > 5, "nothing changed while the pages were read"
 
 
-@then("gateway {name} of the control fleet has every lasting service once it may serve")
+@then(
+    "gateway {name} of the control fleet has every service that was not deleted once it may serve"
+)
 def step_lasting(context, name):
     names = {resource.key.name for resource in context.at_start}
     assert names >= {f"s{number}" for number in range(20)}, names
@@ -217,7 +219,7 @@
 
 
 def mark_waits_for_gateway(context, name):
-    """Run past the lease; return whether the mark never came while the gateway could serve."""
+    """Run past the lease; return False if the change is marked while the gateway may serve."""
     view = context.fleet.gateways[name].view
     assert view.lease_valid(), "the scenario needs a gateway that may still serve"
     for _ in range(int(2 * context.fleet.settings.config_lease_s / CHECK_STEP_S)):
@@ -255,7 +257,7 @@
 
 
 def keeps(context, name):
-    """Tell whether a view is as it was before the stale answers."""
+    """Tell whether a view is unchanged since before the stale replies."""
     view = context.fleet.gateways[name].view
     return context.before == (view.revision, view.list_resources(Kind.GATEWAY))
 
--- a/features/steps/control_group_steps.py
+++ b/features/steps/control_group_steps.py
@@ -1,4 +1,4 @@
-"""Steps on control over real replicated groups."""
+"""Steps on the control plane over real replicated groups."""
 
 from behave import given, then, when
 from features.support.control import service_change
@@ -10,7 +10,7 @@
 
 
 def start(context, replicas, views, **options):
-    """Start replicas and leased views."""
+    """Start replicas, and gateway views that hold a configuration lease."""
     fleet = context.fleet = RealGroupFleet(replicas, seed=7, **options)
     for number in range(views):
         fleet.start_view(f"g{number}", "a")
@@ -50,7 +50,7 @@
 
 
 def put(context, number):
-    """Put one change; keep its answer."""
+    """Put one change; store its answer."""
     command = service_change(f"c{number}", f"s{number}", number)
     answer = context.fleet.finish(context.user.propose(command, 20.0))
     assert answer.is_ok(), answer
@@ -97,7 +97,7 @@
     context.fleet.wait_until(lambda: bool(context.fleet.leader()))
 
 
-@when("the leader of the real control replicas is cut off in silence and another is elected")
+@when("the leader of the real control replicas is partitioned and another is elected")
 def step_cut(context):
     fleet = context.fleet
     context.old = fleet.leader()
@@ -109,17 +109,17 @@
     fleet.wait_until(lambda: fleet.leader() not in ("", context.old))
 
 
-@then("the leader that was cut off answers nothing, also not to a client beside it")
+@then("the partitioned leader answers nothing, not even a client on its side")
 def step_answers_nothing(context):
     fleet = context.fleet
     old_group = fleet.replicas[context.old].node.group
     assert not old_group.is_leader()
     messenger = context.beside._messenger
     answer = fleet.finish(messenger.call(context.old, ListRequest(ROOT_GROUP, ()), 1.0))
-    assert answer.is_error(), "a list was answered by a leader that was cut off"
+    assert answer.is_error(), "a partitioned leader answered a list request"
 
 
-@when("{count:d} changes are put while two of the real control replicas die one after the other")
+@when("{count:d} changes are put while two of the real control replicas are killed in turn")
 def step_two_losses(context, count):
     fleet = context.fleet
     for number in range(count):
@@ -128,7 +128,7 @@
             fleet.replicas[fleet.leader()].kill()
 
 
-@then("every change that was answered is there once at the real control replicas")
+@then("every acknowledged change is stored once at the real control replicas")
 def step_there(context):
     state = context.fleet.state(context.fleet.leader())
     events = [event.resource for event in state.events_since(0, 100_000)]
--- a/features/steps/control_http_steps.py
+++ b/features/steps/control_http_steps.py
@@ -17,7 +17,7 @@
 
 
 def ask(context, method, path, body=None):
-    """Send a request and keep its answer."""
+    """Send a request and store its response."""
     context.status, raw = context.http.request(method, path, body)
     context.raw = raw
     context.body = json.loads(raw) if raw.startswith(b"{") else None
@@ -62,7 +62,7 @@
     assert text.encode() in context.raw
 
 
-@when("the operator PUTs a body over the bound to the operator API")
+@when("the operator PUTs a body over the size limit to the operator API")
 def step_large(context):
     body = {"spec": {"active_version": "v" * 5000}}
     ask(context, "PUT", "/v1/resources/Service/assistant", body)
@@ -138,7 +138,7 @@
     context.fleet.clock.advance(0.1)
 
 
-@then('the operator API\'s watch ends with a "{kind}" line and the connection is cut')
+@then('the operator API\'s watch ends with a "{kind}" line and the connection is closed')
 def step_cut(context, kind):
     lines = context.http.watch_lines()
     assert lines[-1]["type"] == kind, lines[-1]
@@ -164,7 +164,7 @@
             context.fleet.cut_off(other)
 
 
-@then("the operator API answers 503 or 504 and says truly that it may have run or not")
+@then("the operator API answers 503 or 504 with an unknown outcome")
 def step_no_leader(context):
     assert context.status in (503, 504), context.raw
     assert context.body["error"]["outcome"] in ("unknown", "not_run")
--- a/features/steps/control_leases_steps.py
+++ b/features/steps/control_leases_steps.py
@@ -1,4 +1,4 @@
-"""Steps on batch leases and quota shares."""
+"""Steps on batch item leases and quota shares."""
 
 from random import Random
 
@@ -69,7 +69,7 @@
         context.fleet.clock.advance(RENEWAL_PERIOD_S)
 
 
-@when("{holder} renews for {seconds:g} seconds but knows nothing of its items")
+@when("{holder} renews for {seconds:g} seconds without naming its items")
 def step_renews_unknowing(context, holder, seconds):
     for _ in range(int(seconds / RENEWAL_PERIOD_S)):
         assert context.fleet.leader.state.held_by(holder)
@@ -102,7 +102,7 @@
     propose(context, CancelJob("job-1", "cancel"))
 
 
-@then("holder {holder} is told by the control fleet to stop all its items")
+@then("holder {holder} is ordered by the control fleet to stop all its items")
 def step_stop(context, holder):
     assert renew(context, holder, context.leased[holder]).stop == context.leased[holder]
 
@@ -120,14 +120,14 @@
 
 
 class ShareHolder:
-    """A gateway that holds shares by its own clock, counted from when it sent its report."""
+    """A gateway that counts its share's validity on its own clock from when it sent its report."""
 
     def __init__(self, rate):
         self.rate = rate
         self.held = (0.0, 0.0)
 
     def share(self, now_s, gateways):
-        """Return what the gateway may use now."""
+        """Return the token rate that the gateway may use now."""
         rate, until_s = self.held
         lent = rate if now_s * self.rate < until_s else 0.0
         return lent + minimum_share(RATE, gateways, RESERVE)
@@ -159,11 +159,13 @@
     return highest
 
 
-@then("over many control reports, lost replies and leader changes no share passes the rate")
+@then(
+    "over many control reports, lost replies and leader changes no sum of shares exceeds the rate"
+)
 def step_quota_sums(context):
     sums = [highest_sum(seed) for seed in range(60)]
     assert max(sums) <= RATE * (1 + 1e-9), max(sums)
-    assert max(sums) > 0.7 * RATE, "the run lent next to nothing"
+    assert max(sums) > 0.7 * RATE, "the run granted too little for the check to mean anything"
 
 
 @then("the check of control quota sums fails")
@@ -187,14 +189,14 @@
         context.fleet.clock.advance(1.0)
 
 
-@then("the control fleet lends a about 3 times what it lends b, and together the lendable rate")
+@then("the control fleet grants a about 3 times the share of b, in sum the grantable rate")
 def step_shares(context):
     a, b = context.rates
     assert 2.9 < a / b < 3.1, (a, b)
     assert abs(a + b - RATE * (1 - RESERVE)) < 1e-6
 
 
-@then("the control fleet lends nothing for a whole share period, and then lends")
+@then("the control fleet grants nothing for a whole share period, and then grants shares")
 def step_lends_later(context):
     for _ in range(int(SHARE_S)):
         assert report_quota(context, "a", 100.0).shares == ()
--- a/features/steps/control_list_pages_steps.py
+++ b/features/steps/control_list_pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the encoded pages that first lists share."""
+"""Steps on the encoded list pages that nodes share."""
 
 from unittest import mock
 
@@ -15,7 +15,7 @@
 
 
 class CountedPages:
-    """A state, its shared pages, and a count of encodings."""
+    """A state and its shared pages, with a counter of encodings."""
 
     def __init__(self, size: FleetSize) -> None:
         self.state = ReplicatedState()
@@ -32,7 +32,7 @@
         self.state.apply(self._index, command)
 
     def read_all(self, page_resources: int) -> list:
-        """Read every page as a node does."""
+        """Read all pages as a node does."""
         request = ListRequest(ROOT_GROUP, (), limit=page_resources, shared=True)
         found: list = []
         while True:
--- a/features/steps/control_many_gateways_steps.py
+++ b/features/steps/control_many_gateways_steps.py
@@ -1,4 +1,4 @@
-"""Steps on control among many gateways over links between regions."""
+"""Steps on the control plane with many gateways over links between regions."""
 
 from dataclasses import dataclass
 
@@ -18,12 +18,12 @@
 REGION_DELAY_S = 0.02
 REGION_JITTER_S = 0.002
 SETTLE_S = 12.0
-"""Longer than a configuration lease and than a new leader's wait for those of the old one."""
+"""Longer than a configuration lease, and than a new leader's wait for the old one's leases."""
 CHANGE_PERIOD_S = 1.037
-"""No multiple of any period of control, so that changes meet every phase of them."""
+"""Not a multiple of any control period, so that changes fall on different phases of them."""
 COMMIT_LIMIT_S = 60.0
 AWAY_S = 2.0
-"""How long a killed gateway stays away."""
+"""How long a killed gateway stays down."""
 IDLE_S = 6.0
 
 
@@ -45,7 +45,7 @@
 
 
 def operator_change(number: int) -> PutResource:
-    """Return a change of a tenant's limits, or every other time of a runner's slots."""
+    """Return a change of a tenant's limits (even numbers) or of a runner's slots (odd ones)."""
     size = FleetSize(0, 24, 2, 20, 2)
     change_id = f"change-{number}"
     if number % 2:
@@ -66,7 +66,7 @@
 
 
 def in_force(fleet: RealGroupFleet, revision: int) -> bool:
-    """Tell whether a replica that leads has marked a revision as in force."""
+    """Tell whether there is a leader that has marked a revision as in force."""
     name = fleet.leader()
     return bool(name) and fleet.state(name).in_force_revision >= revision
 
@@ -135,7 +135,7 @@
     return (str(resource.key.kind), resource.key.name)
 
 
-@when("one gateway of the regions is cut off in silence and a change is made")
+@when("one gateway of the regions is partitioned and a change is made")
 def step_cut_gateway(context):
     fleet = context.fleet
     fleet.cut_off("g2")
@@ -143,7 +143,7 @@
     context.in_force_s = make_change(fleet, 1).in_force_s
 
 
-@when("the leader of the regions is cut off in silence and a change is made")
+@when("the leader of the regions is partitioned and a change is made")
 def step_cut_leader(context):
     fleet = context.fleet
     start_s = fleet.clock.seconds()
@@ -190,14 +190,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CostPerGateway:
-    """What a change added to one gateway's idle traffic, both ways."""
+    """The traffic that a change adds to one gateway's idle traffic, both directions."""
 
     messages: float
     bytes: float
 
 
 def change_cost(gateways: int, changes: int) -> CostPerGateway:
-    """Measure what a change costs one of so many gateways beyond the idle rate."""
+    """Measure the traffic per change and gateway beyond the idle traffic."""
     fleet = start(5, gateways, 48, 24)
     begun = fleet.view_traffic()
     fleet.clock.advance(IDLE_S)
--- a/features/steps/control_operators_steps.py
+++ b/features/steps/control_operators_steps.py
@@ -125,12 +125,12 @@
 
 
 def start_watch(context, name, revision, kinds):
-    """Start a watch with a small buffer."""
+    """Start a watch at a replica."""
     context.watched_from = revision
     context.client = WatchClient(context.fleet, name, revision, kinds)
 
 
-@when("replica {name} of the control fleet dies and the watch goes on at lagging replica {other}")
+@when("replica {name} of the control fleet fails and the watch resumes at lagging replica {other}")
 def step_watch_moves(context, name, other):
     fleet = context.fleet
     fleet.clock.advance(0.1)
@@ -202,7 +202,9 @@
     assert (stored.spec.runners, stored.status) == (7, ServiceStatus(1, "v1"))
 
 
-@when("an operator of the control fleet patches it, another changes it, and the first sends again")
+@when(
+    "an operator of the control fleet patches it, another changes it, and the patch is sent again"
+)
 def step_patch_again(context):
     fleet = context.fleet
     endpoints = ResourceEndpoints(fleet.client("operator"), 9.0)
--- a/features/steps/control_random_steps.py
+++ b/features/steps/control_random_steps.py
@@ -1,4 +1,4 @@
-"""Steps on random operators, watches across restarts and late repeats, on real replicas."""
+"""Steps on random operators, watches across restarts and late retries, on real replicas."""
 
 import json
 
@@ -22,7 +22,7 @@
     "under {seeds:d} seeds"
 )
 def run_random_operators(context, count, seconds, seeds):
-    """Run each seed; a check that fails during a run is kept for the steps that follow."""
+    """Run each seed; store the failures of checks during a run for the following steps."""
     assert count == history.OPERATORS
     context.random_runs, context.random_failures = [], []
     for seed in range(1, seeds + 1):
@@ -34,9 +34,9 @@
         context.random_runs.append((operators, history.events_of(operators)))
 
 
-@then("each acknowledged change of the random operators took effect once, each refused one never")
+@then("each acknowledged change of the random operators took effect once, and no refused one did")
 def changes_once(context):
-    """And enough were acknowledged and refused to tell."""
+    """Also require enough acknowledged and refused changes for the check to be meaningful."""
     for operators, events in context.random_runs:
         history.check_changes(operators, events)
         changed = [each for each in operators.operations if each.changed() is not None]
@@ -46,29 +46,29 @@
 
 @then("every expected revision of the random operators was the one replaced")
 def expected_replaced(context):
-    """Checked with the changes; here that there were some."""
+    """Require enough such changes; ``check_changes`` has compared their revisions."""
     for operators, _ in context.random_runs:
         changed = [each for each in operators.operations if each.changed() is not None]
         assert sum(each.command.expected_revision >= 0 for each in changed) > 10
 
 
-@then("the random operators' answers are in the order of real time")
+@then("the random operators' answers agree with the order of real time")
 def in_real_time(context):
-    """What began after an answer is later than it."""
+    """A call that starts after an answer sees no older revision."""
     for operators, events in context.random_runs:
         history.check_real_time(operators, events)
 
 
 @then("each list that the random operators read is exactly the store at its revision")
 def lists_exact(context):
-    """Never a mixture of two revisions."""
+    """No list mixes two revisions."""
     for operators, events in context.random_runs:
         assert history.check_reads(operators, events) > 20
 
 
-@then("what was said to be in force for the random operators was so at every moment")
+@then("no gateway of the random operators served below the in-force revision at any moment")
 def in_force_true(context):
-    """Checked at every event of the runs."""
+    """The check runs during the runs; here its failures and its coverage are asserted."""
     assert not context.random_failures, context.random_failures[0]
     assert sum(operators.disks_lost for operators, _ in context.random_runs) > 0
     assert all(operators.in_force_checks > MIN_CHECKS for operators, _ in context.random_runs)
@@ -76,7 +76,7 @@
 
 @then("the random operators' gateways all have the last state, and never saw a revision fall")
 def views_agree(context):
-    """After everything has healed."""
+    """Compare the views after all faults have ended."""
     for operators, _ in context.random_runs:
         history.check_views(operators)
 
@@ -100,9 +100,9 @@
     context.add_cleanup(setattr, owner, name, original)
 
 
-@given("control replicas that answer lists without asking whether they lead")
+@given("control replicas that answer lists without checking their leadership")
 def lists_anywhere(context):
-    """Every replica reads its own state as it stands."""
+    """Make every replica read its own state without a read barrier."""
 
     async def at_once(control, step):
         return Ok(None)
@@ -110,29 +110,29 @@
     _patch(context, GroupControl, "linearizable_read", at_once)
 
 
-@given("a control state that forgets the answers of changes at once")
+@given("a control state that does not remember the outcomes of changes")
 def forget_answers(context):
-    """A change sent again counts as new."""
+    """Make a re-sent change count as a new one."""
     _patch(context, ChangeWindow, "remember", lambda window, command, outcome: None)
 
 
 class LineList:
-    """A watcher's lines, as objects."""
+    """A line sink that decodes and stores a watch's lines."""
 
     def __init__(self):
         self.lines = []
 
     def write_line(self, line):
-        """Keep one line."""
+        """Store one line."""
         self.lines.append(json.loads(line))
 
     def end(self, cut):
-        """The watch is over."""
+        """Ignore the end of the watch."""
 
 
 @when("a watcher follows {which} of the real control replicas while it is restarted 3 times")
 def follow_restarts(context, which):
-    """Resume at the same replica from the last revision read, each time."""
+    """Resume at the same replica from the last revision read after each restart."""
     fleet = context.fleet
     leader = fleet.leader()
     name = leader if which == "the leader" else next(n for n in fleet.names if n != leader)
@@ -161,20 +161,20 @@
 
 @then("that watcher of the real control replicas has seen every revision once, in order")
 def watched_all(context):
-    """No gap and no repeat."""
+    """The watch has no gap and no duplicate."""
     last = context.fleet.state(context.fleet.leader()).revision
     assert context.watched == list(range(context.watched_from + 1, last + 1)), context.watched
 
 
 @given("{replicas:d} real control replicas that remember {count:d} changes")
 def few_remembered(context, replicas, count):
-    """A short window."""
+    """Start replicas with a short change window."""
     start(context, replicas, 0, remembered_changes=count)
 
 
 @when("a change that expects a revision is put to the real control replicas")
 def put_expecting(context):
-    """It creates the service."""
+    """Create the service with an expected revision of 0."""
     context.late_change = service_change("late", "assistant", 1, 0)
     _propose(context, context.late_change)
 
@@ -185,7 +185,7 @@
 
 @when("{count:d} further changes of the same service are put to the real control replicas")
 def put_later(context, count):
-    """More than the window remembers."""
+    """Put more changes than the change window remembers."""
     for number in range(2, count + 2):
         assert _propose(context, service_change(f"l{number}", "assistant", number)).is_ok()
         context.late_last = number
@@ -193,22 +193,22 @@
 
 @when("that change is sent again to the real control replicas")
 def send_late(context):
-    """The same change id and expected revision."""
+    """Send the same change id and expected revision again."""
     context.late_answer = _propose(context, context.late_change)
 
 
 @then("it gets a conflict that names the current revision of the real control replicas")
 def late_conflict(context):
-    """Typed, with the revision to go on from."""
+    """The fault is typed and has the current revision."""
     fault = context.late_answer.error
     current = context.fleet.state(context.fleet.leader()).get(context.late_change.key)
     assert fault.code == FaultCode.CONFLICT, fault
     assert fault.current_revision == current.revision, fault
 
 
-@then("the last change of that service stands at every real control replica")
+@then("the last change of that service is stored at every real control replica")
 def last_stands(context):
-    """Nothing went back."""
+    """The late retry has reverted nothing."""
     fleet = context.fleet
     fleet.clock.advance(2.0)
     key = ResourceKey(Kind.SERVICE, "assistant")
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -1,4 +1,4 @@
-"""A small control plane on the virtual clock: replicas in memory, a network, gateways."""
+"""A small control plane in virtual time: in-memory replicas, a network, and gateways."""
 
 import json
 import random
@@ -35,7 +35,7 @@
 
 
 class MemoryNetwork:
-    """Carries encoded envelopes after a fixed delay; processes can be cut off in silence."""
+    """Carries encoded envelopes with a fixed delay; drops those of partitioned processes."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
@@ -46,7 +46,7 @@
         self._receivers: dict[str, Callable] = {}
 
     def send(self, source: str, destination: str, envelope) -> Fault | None:
-        """Carry one envelope; what a cut process sends or should get is lost."""
+        """Carry one envelope; envelopes from and to a partitioned process are lost."""
         if destination not in self._receivers:
             return Fault(FaultCode.UNAVAILABLE, "network.send", "no such process", destination)
         data = encode_envelope(envelope)
@@ -79,7 +79,7 @@
         return self._network.send(self.name, destination, envelope)
 
     def listen(self, deliver):
-        """Receive what comes for this process."""
+        """Register the receiver of this process's envelopes."""
         self._network.attach(self.name, deliver)
 
 
@@ -100,7 +100,7 @@
         self._leadership_listeners: list[Callable[[bool], None]] = []
 
     def is_leader(self):
-        """Tell whether this replica leads; cut off, it believes so for its read lease only."""
+        """Tell whether this replica leads; a partitioned leader does so until its lease expires."""
         if self._fleet.leader_name != self.name and self.read_lease_until_s < 0:
             return False
         if self._fleet.network.cut.get(self.name):
@@ -108,11 +108,11 @@
         return self._fleet.leader_name == self.name
 
     def leader(self):
-        """Return the leader's name, as far as a replica that is not cut off knows."""
+        """Return the leader's name; empty on a partitioned replica."""
         return "" if self._fleet.network.cut.get(self.name) else self._fleet.leader_name
 
     def propose(self, command):
-        """Commit after the delay; while cut off nothing commits."""
+        """Commit after the delay; on a partitioned replica nothing commits."""
         if not self.is_leader():
             return succeed(
                 Error(Fault(FaultCode.NOT_LEADER, "group.propose", "not leader", self.leader()))
@@ -135,12 +135,12 @@
         done.callback(Ok((index, outcomes[-1])))
 
     def follow(self):
-        """Apply what is committed unless cut off or lagging."""
+        """Apply the committed commands unless partitioned or lagging."""
         if not self.lagging and not self._fleet.network.cut.get(self.name):
             self.catch_up()
 
     def catch_up(self):
-        """Apply everything committed; return the outcomes."""
+        """Apply all committed commands; return the outcomes."""
         outcomes = []
         while self._applied < len(self._fleet.log):
             self._applied += 1
@@ -150,7 +150,7 @@
         return outcomes
 
     def read_barrier(self):
-        """Fire at once: the leader of this double has applied what is committed."""
+        """Fire at once, because this test double's leader has applied all committed commands."""
         return succeed(Ok(self._applied))
 
     def on_applied(self, listener):
@@ -162,7 +162,7 @@
         self._leadership_listeners.append(listener)
 
     def set_leading(self, leading):
-        """Begin or end a leadership; proposals under way end as unknown."""
+        """Start or end a leadership term; at its end, open proposals fail with outcome UNKNOWN."""
         if not leading:
             ended, self._open = self._open, []
             for done in ended:
@@ -174,7 +174,7 @@
             listener(leading)
 
     def status(self):
-        """Return a plain view."""
+        """Return a healthy group's status."""
         return GroupStatusReply(
             self.name,
             self.leader(),
@@ -190,7 +190,7 @@
 
 @dataclass(eq=False)
 class GatewayProcess:
-    """A gateway's configuration view with its own clock, and what it applied."""
+    """A gateway's configuration view with its own clock, and the revisions it applied."""
 
     name: str
     clock: SkewedClock
@@ -231,7 +231,7 @@
         return self.groups[self.leader_name]
 
     def elect(self, name: str) -> None:
-        """Make a replica leader; the old one, unless cut off, learns of it at once."""
+        """Make a replica the leader; the old leader steps down at once, unless partitioned."""
         old = self.leader_name
         self.leader_name = name
         if old and not self.network.cut.get(old):
@@ -241,13 +241,13 @@
         self.groups[name].set_leading(True)
 
     def cut_off(self, name: str) -> None:
-        """Cut a process off in silence."""
+        """Partition a process from all others; its messages are dropped without an error."""
         if name == self.leader_name:
             self.groups[name].read_lease_until_s = self.clock.seconds() + READ_LEASE_S
         self.network.cut[name] = True
 
     def heal(self, name: str) -> None:
-        """Connect a process again."""
+        """End a process's partition."""
         self.network.cut[name] = False
         if name in self.groups:
             self.groups[name].read_lease_until_s = -1.0
@@ -294,7 +294,7 @@
         return wait_until(self.clock, condition, limit_s)
 
     def change(self, name: str = "assistant", runners: int = 1, expected: int = ANY_REVISION):
-        """Return a change of a service with its own change id."""
+        """Return a change of a service with a unique change id."""
         change_id = f"{name}/{runners}/{expected}/{len(self.log)}"
         return service_change(change_id, name, runners, expected)
 
@@ -306,7 +306,7 @@
 
 
 class WatchClient:
-    """A watcher's client that reads lines as they come."""
+    """A watch client that reads lines as they arrive."""
 
     def __init__(self, fleet: ControlFleet, replica: str, revision: int, kinds) -> None:
         group = fleet.groups[replica]
@@ -324,15 +324,15 @@
         self.lines.append(json.loads(line))
 
     def end(self, cut: bool) -> None:
-        """The watch ended."""
+        """Record the end of the watch."""
         self.ended = True
 
     def close(self) -> None:
-        """Go away."""
+        """Disconnect."""
         self.watcher.stop()
 
     def last_revision(self) -> int:
-        """Return the last revision read of a change or a bookmark."""
+        """Return the revision of the last change or bookmark read."""
         read = [line["revision"] for line in self.lines if "error" not in line]
         return read[-1] if read else self._revision
 
@@ -379,7 +379,7 @@
         self.channel.dataReceived("\r\n".join([*lines, "", ""]).encode() + data)
 
     def request(self, method: str, path: str, body=None):
-        """Send a request; return status and body once it is answered whole."""
+        """Send a request; return status and body once the response is complete."""
         self.send(method, path, body)
         self._fleet.wait_until(self._answered)
         head, _, rest = self.transport.value().partition(b"\r\n\r\n")
@@ -404,7 +404,7 @@
 
 
 def chunks(data: bytes):
-    """Yield the chunks of a chunked body as far as they are there."""
+    """Yield the chunks of a chunked body received so far."""
     while data:
         size, _, data = data.partition(b"\r\n")
         length = int(size, 16)
--- a/features/support/control_group.py
+++ b/features/support/control_group.py
@@ -1,4 +1,4 @@
-"""Real replicas on simulated disks and network, with gateways' views and an operator's client."""
+"""Real replicas on simulated disks and network, with gateway views and an operator's client."""
 
 import random
 from collections.abc import Callable
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewTraffic:
-    """Messages and bytes of all gateways' views, both ways."""
+    """Messages and bytes sent and received by all gateway views."""
 
     messages: int
     bytes: int
 
 
 class RealGroupFleet:
-    """Replicas r1 to rN as assembled in daemons, on the virtual clock."""
+    """Replicas r1 to rN, assembled as in the daemons, in virtual time."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         return ReplicaConfig(name, "fleet", self.names, consensus, state=state)
 
     def leader(self) -> str:
-        """Return the name of the replica that leads under a lease now; empty when none does."""
+        """Return the replica that leads and holds its read lease now; empty when there is none."""
         for name, replica in self.replicas.items():
             group = replica.node.group if replica.running and replica.node else None
             if group is not None and group.is_leader():
@@ -98,7 +98,7 @@
         return LeaderClient(messenger, self.names, clock, random.Random(name), self.settings)
 
     def start_view(self, name: str, incarnation: str) -> ConfigView:
-        """Start a gateway's view; one of the same name before it is ended."""
+        """Start a gateway's view; replaces an earlier one of the same name."""
         if name in self.clocks:
             self.clocks[name].stop()
         clock = self.clocks[name] = SkewedClock(self.clock)
@@ -121,13 +121,13 @@
         return view
 
     def kill_view(self, name: str) -> None:
-        """End a gateway's process without notice."""
+        """Kill a gateway's process; its lease is not released."""
         del self.views[name]
         self.clocks[name].stop()
         self.transports.pop(name).close()
 
     def cut_off(self, name: str) -> None:
-        """Cut a process off from the replicas and the gateways' views in silence."""
+        """Partition a process from the replicas and the gateway views without an error."""
         for other in [*self.names, *self.views]:
             if other != name:
                 self.network.cut(name, other)
@@ -144,7 +144,7 @@
         assert all(answer.is_ok() for answer in answers)
 
     def view_traffic(self) -> ViewTraffic:
-        """Return what the gateways' views have sent and received so far."""
+        """Return the traffic that the gateway views have sent and received so far."""
         counts = [transport.traffic for transport in self.transports.values()]
         return ViewTraffic(
             sum(each.messages_sent + each.messages_received for each in counts),
--- a/features/support/control_history.py
+++ b/features/support/control_history.py
@@ -1,4 +1,4 @@
-"""Random operators on real control replicas under faults, and the checks of what they saw."""
+"""Random operators on real control replicas under faults, and checks of their history."""
 
 import random
 from dataclasses import dataclass, field
@@ -31,7 +31,7 @@
 
 @dataclass
 class Operation:
-    """One call of an operator: what it asked, when, and what it was answered."""
+    """One call of an operator: the command (None: a read), start and end time, and the answer."""
 
     command: PutResource | DeleteResource | None
     started_s: float
@@ -53,7 +53,7 @@
 
 @dataclass
 class RandomOperators:
-    """Operators, each with one call at a time, on a fleet to which random things happen."""
+    """Operators, each with one call at a time, on a fleet with random faults."""
 
     seed: int
     snapshot_entries: int = 40
@@ -77,7 +77,7 @@
         self.fleet.clock.callLater(FAULT_PERIOD_S, self._inject_fault)
 
     def run(self, seconds: float) -> None:
-        """Run, holding what is said to be in force against the gateways all the time."""
+        """Run the operators; check the in-force revision against the gateways all the time."""
         fleet = self.fleet
         until_s = fleet.clock.seconds() + seconds
         checked_s = 0.0
@@ -126,7 +126,7 @@
             self.known_revisions = {each.key.name: each.revision for each in reply.resources}
         self._next(client)
 
-    # --- trouble -------------------------------------------------------------------------
+    # --- faults --------------------------------------------------------------------------
 
     def _inject_fault(self) -> None:
         if self.stopping:
@@ -160,7 +160,7 @@
             self.fleet.replicas[name].kill()
 
     def _may_fail(self, name: str) -> bool:
-        """At most two machines are in trouble; one with a lost disk is until it is replaced."""
+        """Allow faults on at most two machines; a lost disk counts until the group is healthy."""
         if self.lost and self._is_healthy():
             self.lost.clear()
         return len({*self.down, *self.cut, *self.lost, name}) <= 2
@@ -216,7 +216,7 @@
         self.fleet.network.set_conditions(LinkConditions())
 
     def _check_in_force(self) -> None:
-        """No gateway that may serve lacks what any replica says is in force."""
+        """Check that every gateway that may serve has applied the highest in-force revision."""
         running = [each for each in self.fleet.replicas.values() if each.running and each.node]
         marked = max((each.node.state.in_force_revision for each in running), default=0)
         for name, view in self.fleet.views.items():
@@ -229,13 +229,13 @@
 
 
 def events_of(operators: RandomOperators) -> list[WatchEvent]:
-    """Return every event of the fleet's life, as the leader has them."""
+    """Return all events since the fleet's start, as stored at the leader."""
     fleet = operators.fleet
     return fleet.state(fleet.leader()).events_since(0, 1_000_000)
 
 
 def check_changes(operators: RandomOperators, events: list[WatchEvent]) -> None:
-    """Acknowledged changes are there once; refused ones not at all; expectations held."""
+    """Check that acknowledged changes took effect once, refused ones never, as expected."""
     numbers = [_number(event) for event in events if _is_put(event)]
     for operation in operators.operations:
         if not isinstance(operation.command, PutResource):
@@ -244,10 +244,10 @@
         changed = operation.changed()
         assert times <= 1, f"{operation.command} took effect {times} times"
         if changed is not None:
-            assert times == 1, f"acknowledged and not there: {operation}"
+            assert times == 1, f"acknowledged, but not stored: {operation}"
             _check_expected(operation, changed, events)
         elif operation.answer is not None and operation.answer.error.code == FaultCode.CONFLICT:
-            assert times == 0, f"refused and there: {operation}"
+            assert times == 0, f"refused, but stored: {operation}"
     assert numbers, "no change took effect"
 
 
@@ -275,7 +275,10 @@
 
 
 def check_real_time(operators: RandomOperators, events: list[WatchEvent]) -> None:
-    """The one order of revisions agrees with the order in which calls ended and began."""
+    """Check that the order of revisions agrees with the order of calls in real time.
+
+    A call that starts after another one has ended must not see or make an older revision.
+    """
     points = sorted(operators.operations, key=lambda each: each.started_s)
     for operation in points:
         low, high = _revision_bounds(operation)
@@ -283,9 +286,9 @@
             continue
         earlier = [other for other in points if other.ended_s < operation.started_s]
         seen = max((_revision_bounds(other)[1] or 0 for other in earlier), default=0)
-        assert high >= seen, f"{operation} is older than an answer before it: {seen}"
+        assert high >= seen, f"{operation} is older than an earlier answer: {seen}"
         if operation.changed() is not None:
-            assert high > seen, f"{operation} changed at {high}, but {seen} was answered before"
+            assert high > seen, f"{operation} changed at {high}, but an earlier answer had {seen}"
 
 
 def _revision_bounds(operation: Operation) -> tuple[int | None, int | None]:
@@ -298,7 +301,7 @@
 
 
 def check_reads(operators: RandomOperators, events: list[WatchEvent]) -> int:
-    """Every list is exactly the store at its revision; returns how many were checked."""
+    """Check that every list equals the store at its revision; return the number of lists."""
     checked = 0
     for operation in operators.operations:
         reply = operation.read()
@@ -318,7 +321,7 @@
 
 
 def check_views(operators: RandomOperators) -> None:
-    """At the end every gateway has the leader's services; none ever saw a revision fall."""
+    """Check that every gateway has the leader's services and never saw a revision fall."""
     fleet = operators.fleet
     wanted = fleet.state(fleet.leader()).list_resources(Kind.SERVICE)
     for name, view in fleet.views.items():
--- a/src/rainsail/control/__init__.py
+++ b/src/rainsail/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control: the operator API, watches, configuration leases and the reconcile loops."""
+"""Control plane: the operator API, watches, configuration leases and the reconcile loops."""
--- a/src/rainsail/control/config_leases.py
+++ b/src/rainsail/control/config_leases.py
@@ -1,9 +1,10 @@
-"""Configuration leases as the leader sees them: pure, time is handed in.
+"""Configuration leases on the leader's side. Pure: time is passed in.
 
-A gateway serves under a lease counted from the moment it SENT its poll; the leader counts from
-the moment it RECEIVED the poll and adds a margin for the difference of clock rates, so the leader
-always believes a lease to last at least as long as its holder does. A new leader does not know
-the leases that the old one granted: it trusts no expiry before one full lease has passed.
+A gateway counts its lease from the moment at which it SENT its poll. The leader counts from the
+moment at which it RECEIVED the poll and adds a margin for the difference of clock rates, so the
+lease never expires earlier on the leader than on the gateway. A new leader does not know the
+leases that the old one granted: it assumes that all gateways hold one until a full lease period
+has passed.
 """
 
 from dataclasses import dataclass
@@ -18,7 +19,7 @@
 
     @property
     def trusted_after_s(self) -> float:
-        """Seconds after which the granting side may rely on the lease's end."""
+        """Seconds after which the granting side may rely on the lease's expiry."""
         return self.lease_s * (1.0 + self.clock_rate_margin)
 
 
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class ConfigLease:
-    """What a holder has acknowledged, and when its lease has surely run out (leader's clock)."""
+    """The revision a holder has acknowledged, and its lease's safe expiry on the leader's clock."""
 
     acknowledged_revision: int
     expires_s: float
@@ -47,7 +48,7 @@
         self._trusted_from_s = 0.0
 
     def begin(self, now_s: float) -> None:
-        """Start a leadership: forget everything and wait out what an earlier leader granted."""
+        """Start a leadership term: drop all leases and wait until an earlier leader's expire."""
         self._leases.clear()
         self._trusted_from_s = now_s + self._terms.trusted_after_s
 
@@ -56,8 +57,8 @@
     ) -> float:
         """Record a poll and return the lease granted in seconds.
 
-        A holder that is behind ``floor_revision`` (what is or may become marked as in force)
-        gets 0: it must catch up before it serves.
+        A holder that is behind ``floor_revision`` (the highest revision that is marked as in force
+        or may become so) gets 0: it must catch up before it serves.
         """
         lease = self._leases.get(holder)
         if applied_revision < floor_revision:
@@ -71,21 +72,21 @@
         return self._terms.lease_s
 
     def release(self, holder: LeaseHolder) -> None:
-        """Forget a holder that said it has stopped serving."""
+        """Remove a holder that has reported that it stopped serving."""
         self._leases.pop(holder, None)
 
     def holders(self, now_s: float) -> list[LeaseHolder]:
-        """Return the holders whose lease may still hold, sorted; drop the others."""
+        """Return the holders whose lease may still be valid, sorted; drop the others."""
         for holder in [each for each, lease in self._leases.items() if lease.expires_s <= now_s]:
             del self._leases[holder]
         return sorted(self._leases)
 
     def trusted(self, now_s: float) -> bool:
-        """Tell whether every lease of an earlier leader has run out."""
+        """Tell whether every lease of an earlier leader has expired."""
         return now_s >= self._trusted_from_s
 
     def in_force_revision(self, revision: int, now_s: float) -> int | None:
-        """Return the highest revision that every holder has applied; None while not known."""
+        """Return the highest revision that every holder has applied; None while unknown."""
         if not self.trusted(now_s):
             return None
         acknowledged = [
--- a/src/rainsail/control/config_view.py
+++ b/src/rainsail/control/config_view.py
@@ -1,4 +1,4 @@
-"""A gateway's local copy of the configuration, kept fresh by long polls to the leader."""
+"""A gateway's local copy of the configuration, kept up to date by long polls to the leader."""
 
 import random as random_module
 from collections.abc import Callable
@@ -28,17 +28,17 @@
 
 
 def revision_admitted(current: int, offered: int) -> bool:
-    """Tell whether a view at ``current`` may move to ``offered``: revisions never fall."""
+    """Tell whether a view at ``current`` may move to ``offered``: a view's revision never falls."""
     return offered >= current
 
 
 def lease_holds(now_s: float, sent_s: float, lease_s: float) -> bool:
-    """Tell whether a lease of ``lease_s``, counted from the poll's sending, holds now."""
+    """Tell whether a lease of ``lease_s``, counted from when the poll was sent, is valid now."""
     return now_s < sent_s + lease_s
 
 
 class ConfigView:
-    """Registers the gateway, lists once through the leader, then follows (``ConfigReader``)."""
+    """Implements ``ConfigReader``: lists through the leader, registers the gateway, then polls."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
         self._listed = False
 
     def start(self) -> None:
-        """Begin to follow the configuration; ``ready`` turns true after the first list."""
+        """Start to follow the configuration; ``ready`` becomes true after the first list."""
         if not self._running:
             self._running = True
             Deferred.fromCoroutine(self._follow())
 
     def stop(self) -> None:
-        """Stop serving and polling, and give the lease back so that nobody waits for it."""
+        """Stop serving and polling, and release the lease so that the leader does not wait."""
         if not self._running:
             return
         self._running = False
@@ -87,11 +87,11 @@
         self._client.call(release, self._settings.attempt_timeout_s)
 
     def ready(self) -> bool:
-        """Tell whether a first full list has been read, and what changed while it was read."""
+        """Tell whether a full list and the changes made while it was read have been applied."""
         return self._listed and self.revision >= self._complete_revision
 
     def lease_valid(self) -> bool:
-        """Tell whether the configuration lease holds now."""
+        """Tell whether the configuration lease is valid now."""
         return self.ready() and lease_holds(
             self._clock.seconds(), self._lease_sent_s, self._lease_s
         )
@@ -118,7 +118,7 @@
             await sleep(self._clock, self._retry_wait_s(failures))
 
     async def _step(self) -> bool:
-        """Do the next thing that is due; return whether it succeeded."""
+        """List, register or poll, whichever is due next; return whether it succeeded."""
         if self._list_due:
             return await self._list()
         if not self._registration.is_current(
@@ -153,12 +153,12 @@
         return True
 
     def _lease_lasts(self, now_s: float) -> bool:
-        """Tell whether the lease outlasts a poll that waits its whole time."""
+        """Tell whether the lease outlasts a poll that waits for its full time."""
         needed_s = self._settings.poll_wait_s + self._settings.poll_grace_s
         return lease_holds(now_s + needed_s, self._lease_sent_s, self._lease_s)
 
     def apply_reply(self, reply: ConfigPollReply, sent_s: float) -> None:
-        """Take the reply to a poll sent at ``sent_s``; one at a lower revision is refused."""
+        """Apply the reply to a poll sent at ``sent_s``; a lower revision is ignored."""
         if not revision_admitted(self.revision, reply.revision):
             return
         if reply.compacted:
@@ -183,7 +183,7 @@
             listener(event)
 
     def apply_list(self, full: PagedList) -> bool:
-        """Take a full list; one at a lower revision is refused."""
+        """Apply a full list; returns False for one at a lower revision, which is ignored."""
         if not revision_admitted(self.revision, full.revision):
             return False
         if not self._listed:
@@ -197,9 +197,9 @@
         return True
 
     def _changes_to(self, full: PagedList) -> list[WatchEvent]:
-        """Return what the list changes, in revision order.
+        """Return the changes that the list makes to this view, in revision order.
 
-        Resources ahead of the list's revision are left to the events that follow it.
+        Resources newer than the list's revision are skipped: they arrive as events later.
         """
         listed = {resource.key: resource for resource in full.resources}
         deleted = [
--- a/src/rainsail/control/gateway_registration.py
+++ b/src/rainsail/control/gateway_registration.py
@@ -1,4 +1,4 @@
-"""Registers a gateway's own resource under its incarnation."""
+"""Registers a gateway's own resource with its current incarnation."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 
 
 class GatewayRegistration:
-    """Puts the Gateway resource until the configuration names this incarnation."""
+    """Puts the Gateway resource until the configuration view has this incarnation."""
 
     def __init__(
         self, client: ControlClient, gateway: str, spec: GatewaySpec, timeout_s: float
@@ -21,7 +21,7 @@
         self._registered_revision = 0
 
     def is_current(self, current: Resource | None, revision: int) -> bool:
-        """Tell whether the view at ``revision`` names this incarnation, or will soon."""
+        """Tell whether the view at ``revision`` has this incarnation, or will after catching up."""
         if revision < self._registered_revision:
             return True
         return (
@@ -31,7 +31,7 @@
         )
 
     async def register(self, current: Resource | None) -> bool:
-        """Put the resource over the one that the view has; False when it must list again."""
+        """Replace the resource in the view; returns False when the view must list again."""
         self._attempts += 1
         command = PutResource(
             f"{self.key.name}/{self._spec.incarnation}/{self._attempts}",
@@ -45,7 +45,7 @@
         return answer.is_ok()
 
     def _spec_over(self, current: Resource | None) -> GatewaySpec:
-        """Return this process's spec; an operator's drain outlasts a restart."""
+        """Return this process's spec; an operator's drain is kept across a restart."""
         if current is not None and isinstance(current.spec, GatewaySpec):
             return replace(self._spec, drain=self._spec.drain or current.spec.drain)
         return self._spec
--- a/src/rainsail/control/group_control.py
+++ b/src/rainsail/control/group_control.py
@@ -1,4 +1,4 @@
-"""What the leader of one group keeps in memory, and how it serves gateways' requests."""
+"""The leader's in-memory state of one group, and the gateway requests served from it."""
 
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred
@@ -31,7 +31,7 @@
 
 
 class GroupControl:
-    """The leader's duties for one group; idle on a replica that does not lead."""
+    """The leader's tasks for one group; idle on a follower."""
 
     def __init__(
         self, group: Group, state: ReplicatedReader, clock: Clock, settings: ControlSettings
@@ -61,22 +61,22 @@
         self._leading = False
 
     def start(self) -> None:
-        """Follow the group's leadership and what it applies."""
+        """Subscribe to the group's leadership changes and applied entries."""
         self.group.on_leadership(self._leadership_changed)
         self.group.on_applied(lambda index: self._polls.state_applied())
         if self.group.is_leader():
             self._leadership_changed(True)
 
     def stop(self) -> None:
-        """End the leader's duties and refuse what is parked."""
+        """Stop the leader's tasks and refuse parked polls."""
         self._leadership_changed(False)
 
     def serving(self) -> bool:
-        """Tell whether this replica leads now, with its read lease."""
+        """Tell whether this replica is the leader now and holds its read lease."""
         return self._leading and self.group.is_leader()
 
     async def linearizable_read(self, step: str) -> Result[None, Fault]:
-        """Make sure that a read of the state now sees everything committed before the call."""
+        """Ensure that a later read of the state sees everything committed before the call."""
         if not self.serving():
             return Error(not_leader(step, self.group))
         barrier = await self.group.read_barrier()
@@ -87,7 +87,7 @@
         return Ok(None)
 
     def config_poll(self, poll: ConfigPoll) -> "Fault | Deferred[PollAnswer]":
-        """Grant or renew a configuration lease and answer with news, now or later."""
+        """Grant or renew a configuration lease and answer with new events, now or later."""
         if not self.serving():
             return not_leader("control.config_poll", self.group)
         holder = LeaseHolder(poll.gateway, poll.incarnation)
@@ -98,14 +98,14 @@
         return self._polls.answer(poll.applied_revision, lease_s, wait_s)
 
     def config_release(self, request: ConfigRelease) -> Fault | ConfigReleased:
-        """Forget the lease of a gateway that has stopped serving."""
+        """Remove the lease of a gateway that has stopped serving."""
         if not self.serving():
             return not_leader("control.config_release", self.group)
         self._config_leases.release(LeaseHolder(request.gateway, request.incarnation))
         return ConfigReleased()
 
     def renew_item_leases(self, request: RenewItemLeases) -> Fault | RenewItemLeasesReply:
-        """Renew a holder's batch leases; tell it what to stop and what waits."""
+        """Renew a holder's item leases; return the items to stop and the backlog per service."""
         if not self.serving():
             return not_leader("control.renew_item_leases", self.group)
         now_s = self._clock.seconds()
@@ -115,7 +115,7 @@
         return RenewItemLeasesReply(stop, lease_s, self.state.backlogs())
 
     def note_proposal(self, command: Command) -> None:
-        """Count a lease command as a renewal: its holder is alive."""
+        """Count a LeaseItems command as a renewal, as it shows that its holder is alive."""
         if isinstance(command, LeaseItems):
             self._item_leases.renew(command.holder, self._clock.seconds())
 
@@ -127,7 +127,7 @@
             self.group.propose(ReturnItems(request.holder, returned))
 
     def quota_report(self, report: QuotaReport) -> Fault | QuotaShares:
-        """Lend the reporting gateway its shares of the tenants' rates."""
+        """Grant the reporting gateway its shares of the tenants' rates."""
         if not self.serving():
             return not_leader("control.quota_report", self.group)
         limits = {}
--- a/src/rainsail/control/http_bodies.py
+++ b/src/rainsail/control/http_bodies.py
@@ -1,4 +1,4 @@
-"""Reads bounded JSON bodies and writes JSON answers and typed faults over HTTP."""
+"""Reads size-limited JSON bodies and writes JSON responses and typed faults over HTTP."""
 
 import json
 from typing import Any
@@ -16,28 +16,28 @@
 
 
 def answer_json(request: Any, body: Any, status: int = 200) -> bytes:
-    """Set status and type and return the encoded body."""
+    """Set the status and content type, and return the encoded body."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     return json.dumps(body).encode() + b"\n"
 
 
 def answer_fault(request: Any, fault: Fault) -> bytes:
-    """Answer with a typed fault and its status; ``Retry-After`` when the fault has a hint."""
+    """Answer with a typed fault and its HTTP status; sets ``Retry-After`` if the fault has one."""
     if fault.retry_after_s is not None:
         request.setHeader(b"retry-after", str(max(1, round(fault.retry_after_s))).encode())
     return answer_json(request, fault_to_json(fault), fault.http_status)
 
 
 def answer_no_route(request: Any, failure: Failure) -> bytes:
-    """Answer a path or method that is not served."""
+    """Answer a request for an unknown path or an unsupported method."""
     error: Any = failure.value
     code = FaultCode.NOT_FOUND if error.code == NOT_FOUND_STATUS else FaultCode.INVALID
     return answer_fault(request, Fault(code, ROUTE_STEP, f"{error.code} {error.name}"))
 
 
 def answer_failed(request: Any, failure: Failure) -> bytes:
-    """Answer an error that nobody expected; what came of the call is not known."""
+    """Answer an unexpected exception; the outcome of the request is unknown."""
     if isinstance(failure.value, RainsailError):
         return answer_fault(request, failure.value.fault)
     detail = f"{failure.type.__name__ if failure.type else 'error'}: {failure.value}"
@@ -58,12 +58,12 @@
     except ValueError as error:
         return Error(Fault(FaultCode.INVALID, STEP, f"the body is not JSON: {error}"))
     if not isinstance(body, dict):
-        return Error(Fault(FaultCode.INVALID, STEP, "the body: expected an object"))
+        return Error(Fault(FaultCode.INVALID, STEP, "body: expected an object"))
     return Ok(body)
 
 
 def query_integer(request: Any, name: str, default: int, least: int = 0) -> Result[int, Fault]:
-    """Read an integer argument of the query string."""
+    """Read an integer parameter of the query string."""
     text = query_text(request, name)
     if text == "":
         return Ok(default)
@@ -78,7 +78,7 @@
 
 
 def query_text(request: Any, name: str) -> str:
-    """Read an argument of the query string; empty when it is not there."""
+    """Read a parameter of the query string; empty when it is absent."""
     values = request.args.get(name.encode(), [])
     return values[0].decode("utf-8", "replace") if values else ""
 
--- a/src/rainsail/control/in_force.py
+++ b/src/rainsail/control/in_force.py
@@ -1,7 +1,7 @@
-"""The leader's loop that marks revisions as in force, at a bounded rate and batched.
+"""The leader's loop that marks revisions as in force: applied by every gateway that may serve.
 
-At most one MarkInForce is under way, and at most one starts per period, so a burst of changes
-costs few marks: each covers everything acknowledged so far.
+At most one MarkInForce command is in flight, and at most one starts per period. Each command
+covers all revisions acknowledged so far, so a burst of changes needs few commands.
 """
 
 from collections.abc import Callable
@@ -38,17 +38,17 @@
     def floor_revision(self) -> int:
         """Return the revision below which no gateway may get a lease.
 
-        It covers marks that are proposed and may still be committed.
+        It includes MarkInForce commands that are proposed and may still be committed.
         """
         return max(self._state.in_force_revision, self._proposed_revision)
 
     def begin(self) -> None:
-        """Start with a leadership."""
+        """Start a leadership term."""
         self._proposed_revision = 0
         self.start(self._period_s)
 
     def run_once(self) -> None:
-        """Mark what was acknowledged, if no mark is under way."""
+        """Mark the acknowledged revision as in force, if no MarkInForce is in flight."""
         if self._under_way or not self._serving():
             return
         if self._state.in_force_revision >= self._state.revision:
--- a/src/rainsail/control/interface.py
+++ b/src/rainsail/control/interface.py
@@ -1,4 +1,4 @@
-"""What gateways and operators' front ends see of control.
+"""Client interfaces of the control plane for gateways and operator APIs.
 
 ``rainsail.control.leader_client.LeaderClient`` implements ``ControlClient`` over a Messenger;
 ``rainsail.control.config_view.ConfigView`` is the gateway's local copy of the resources.
@@ -16,7 +16,7 @@
 
 
 class ControlClient(Protocol):
-    """Finds a group's leader, follows it, and retries what is safe to retry.
+    """Finds a group's leader, follows leader changes, and retries what is safe to retry.
 
     Commands with a change id, request id or fence are safe to send again; ``propose`` does so
     until ``timeout_s`` has passed. A TIMEOUT fault has outcome UNKNOWN.
@@ -34,7 +34,7 @@
 
 
 class ConfigReader(Protocol):
-    """A gateway's local copy of the configuration: soft, fed by ``ConfigPoll``."""
+    """A gateway's local copy of the configuration: not persisted, updated by ``ConfigPoll``."""
 
     revision: int
 
@@ -43,7 +43,7 @@
         ...
 
     def lease_valid(self) -> bool:
-        """Tell whether the configuration lease holds now; without it new work is refused."""
+        """Tell whether the configuration lease is valid now; without it new work is refused."""
         ...
 
     def get(self, key: ResourceKey) -> Resource | None:
--- a/src/rainsail/control/item_lease_loop.py
+++ b/src/rainsail/control/item_lease_loop.py
@@ -1,4 +1,4 @@
-"""The leader's loop that revokes the batch leases of holders that stopped renewing."""
+"""The leader's loop that revokes the batch item leases of holders that stopped renewing."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class ItemLeaseLoop(LeaderLoop):
-    """Proposes RevokeLeases for lapsed holders while this replica leads."""
+    """Proposes RevokeLeases for holders with expired leases while this replica leads."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self._under_way: dict[str, bool] = {}
 
     def begin(self) -> None:
-        """Start with a leadership; every holder gets a full period."""
+        """Start a leadership term; every holder gets a full lease period."""
         self._leases.begin()
         self.start(0.0)
 
     def run_once(self) -> None:
-        """Revoke the leases of holders that have lapsed."""
+        """Revoke the leases of holders whose lease has expired."""
         if not self._serving():
             return
         for holder in self._leases.lapsed(self._state.holders(), self._clock.seconds()):
--- a/src/rainsail/control/item_leases.py
+++ b/src/rainsail/control/item_leases.py
@@ -1,7 +1,7 @@
-"""Leases of batch items as the leader sees them: pure, time is handed in.
+"""Batch item leases on the leader's side. Pure: time is passed in.
 
-Who holds what is replicated; only the renewal times live in the leader's memory. A new leader
-gives every holder a full period before it calls one lapsed.
+The holder of each item is replicated state; only the renewal times are kept in the leader's
+memory. A new leader gives every holder a full lease period before it treats a lease as expired.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
         self._expires_s: dict[str, float] = {}
 
     def begin(self) -> None:
-        """Start a leadership: each holder gets a full period from when it is first seen."""
+        """Start a leadership term: each holder gets a full period from when it is first seen."""
         self._expires_s.clear()
 
     def renew(self, holder: str, now_s: float) -> float:
@@ -27,7 +27,7 @@
         return self._terms.lease_s
 
     def lapsed(self, holders: Iterable[str], now_s: float) -> list[str]:
-        """Return the holders whose lease has run out; those first seen start a full period."""
+        """Return the holders whose lease has expired; holders seen first start a full period."""
         current = list(holders)
         for holder in current:
             self._expires_s.setdefault(holder, now_s + self._terms.trusted_after_s)
@@ -39,11 +39,11 @@
 
 
 class OrphanedItems:
-    """Items that a holder has on the books but does not know of.
+    """Tracks items that are leased to a holder but missing from its renewals.
 
-    When the answer to a lease command is lost for good, its items would stay leased for as long
-    as the holder renews. Items that a holder leaves out of its renewals for a full lease are
-    given back.
+    When the reply to a lease command is lost, the holder doesn't know of the leased items, and
+    they would stay leased for as long as it renews. Items that a holder leaves out of its renewals
+    for a full lease period are therefore returned to the backlog.
     """
 
     def __init__(self, terms: LeaseTerms) -> None:
@@ -51,13 +51,13 @@
         self._missing_since_s: dict[str, dict[ItemRef, float]] = {}
 
     def begin(self) -> None:
-        """Start a leadership."""
+        """Start a leadership term."""
         self._missing_since_s.clear()
 
     def renewed(
         self, holder: str, leased: Iterable[ItemRef], running: Iterable[ItemRef], now_s: float
     ) -> list[ItemRef]:
-        """Take a renewal; return the items that were missing from renewals for a full lease."""
+        """Record a renewal; return the items missing from renewals for a full lease period."""
         known = dict.fromkeys(running)
         before = self._missing_since_s.get(holder, {})
         missing = {ref: before.get(ref, now_s) for ref in leased if ref not in known}
--- a/src/rainsail/control/job_endpoints.py
+++ b/src/rainsail/control/job_endpoints.py
@@ -1,4 +1,4 @@
-"""Batch jobs for the operator API, apart from HTTP."""
+"""Batch job operations of the operator API, independent of HTTP."""
 
 import dataclasses
 import json
@@ -35,7 +35,7 @@
 
 
 class JobEndpoints:
-    """Submits, reads and cancels jobs; a tenant's key sees that tenant's jobs only."""
+    """Submits, reads and cancels jobs; a tenant's key gives access to that tenant's jobs only."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._timeout_s = timeout_s
 
     async def submit(self, caller: AuthenticatedCaller, body: JsonObject) -> Result[JobView, Fault]:
-        """Store and accept a job; the same key with the same content is the same job."""
+        """Store and accept a job; resubmitting the same key and content returns the same job."""
         try:
             job = JobBody.model_validate_json(json.dumps(body), strict=True)
         except ValidationError as error:
@@ -61,7 +61,9 @@
             return Error(Fault(FaultCode.INVALID, STEP, f"{where}: {first['msg']}"))
         tenant = job.tenant or caller.tenant
         if not may_use_tenant(caller, tenant):
-            return Error(Fault(FaultCode.FORBIDDEN, STEP, f"tenant: not a key of {tenant!r}"))
+            return Error(
+                Fault(FaultCode.FORBIDDEN, STEP, f"tenant: this key has no access to {tenant!r}")
+            )
         deadline_unix_s = self._wall_clock() + job.deadline_s
         return await self._intake.submit(
             tenant, job.job_key, job.service, job.items, deadline_unix_s, job.adapter
@@ -103,7 +105,7 @@
     async def cancel(
         self, caller: AuthenticatedCaller, job_id: str, change_id: str
     ) -> Result[JobView, Fault]:
-        """Cancel a job; cancelling again is the same change."""
+        """Cancel a job; the operation is idempotent."""
         job = await self.read_one(caller, job_id)
         if job.is_error():
             return job
@@ -114,7 +116,7 @@
 
 
 def job_to_json(job: JobView) -> JsonObject:
-    """Return a job as a JSON object, its spec's fields beside its counts."""
+    """Return a job as a JSON object in which its spec's fields and its counts are one level."""
     flat = dataclasses.asdict(job)
     spec = flat.pop("spec")
     return {**spec, **flat}
--- a/src/rainsail/control/leader_client.py
+++ b/src/rainsail/control/leader_client.py
@@ -1,4 +1,4 @@
-"""Finds the leader of a group, follows it, and retries what is safe to send again."""
+"""Finds the leader of a group, follows leader changes, and retries what is safe to retry."""
 
 import random as random_module
 from dataclasses import replace
@@ -31,7 +31,7 @@
         FaultCode.CANCELLED,
     }
 )
-"""Codes that another attempt would meet again."""
+"""Fault codes that are not retried, because another attempt would get the same fault."""
 
 
 class LeaderClient:
@@ -56,11 +56,11 @@
     def propose(
         self, command: Command, timeout_s: float, group: GroupId = ROOT_GROUP
     ) -> "Deferred[Result[CommandOutcome, Fault]]":
-        """Commit a command at the leader; a fault outcome of the command is an Error too."""
+        """Commit a command at the leader; a fault outcome of the command is also an Error."""
         return Deferred.fromCoroutine(self._propose(command, timeout_s, group))
 
     def call(self, request: Any, timeout_s: float) -> "Deferred[Result[Any, Fault]]":
-        """Send a request record to its group's leader; reads are always sent again."""
+        """Send a request record to its group's leader; these requests are always retried."""
         return Deferred.fromCoroutine(self._attempts(request, timeout_s, True))
 
     async def _propose(
@@ -120,7 +120,7 @@
 
 
 def _decoded(reply: Any) -> Result[Any, Fault]:
-    """Return the reply, decoded when it came as one encoded for many receivers."""
+    """Return the reply, decoded if it is an ``EncodedReply``."""
     if not isinstance(reply, EncodedReply):
         return Ok(reply)
     try:
@@ -130,7 +130,7 @@
 
 
 def _with_outcome(fault: Fault, may_have_run: bool) -> Fault:
-    """Return the fault, saying UNKNOWN when an earlier attempt may have taken effect."""
+    """Return the fault, with outcome UNKNOWN if an earlier attempt may have taken effect."""
     if may_have_run and fault.outcome == Outcome.NOT_RUN:
         return replace(fault, outcome=Outcome.UNKNOWN)
     return fault
--- a/src/rainsail/control/leader_directory.py
+++ b/src/rainsail/control/leader_directory.py
@@ -1,4 +1,4 @@
-"""What a client knows of who leads each group: pure, time and randomness are handed in."""
+"""A client's knowledge of each group's leader. Pure: time and randomness are passed in."""
 
 import random as random_module
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from rainsail.state.commands import GroupId
 
 NO_REPLY_CODES = (FaultCode.TIMEOUT, FaultCode.UNAVAILABLE)
-"""Faults of a replica that gave no answer at all."""
+"""Fault codes that mean that a replica did not reply at all."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         self._unresponsive: dict[GroupId, _UnresponsiveReplica] = {}
 
     def target(self, group: GroupId, now_s: float) -> str:
-        """Return the replica to ask: the known leader, else the next one in turn."""
+        """Return the replica to ask: the known leader, else the next member round-robin."""
         known = self._leaders.get(group)
         if known is not None:
             return known
@@ -53,7 +53,7 @@
         return found
 
     def members(self, group: GroupId) -> tuple[str, ...]:
-        """Return the replicas that keep a group."""
+        """Return the replicas that are members of a group."""
         return members_of_group(group, self._replicas, self._replicas_per_group)
 
     def _next(self, group: GroupId) -> str:
@@ -65,12 +65,12 @@
         return members[turn % len(members)]
 
     def answered(self, group: GroupId, target: str) -> None:
-        """Note that a replica answered as the leader."""
+        """Record that a replica answered as the leader."""
         self._leaders[group] = target
         self._unresponsive.pop(group, None)
 
     def failed(self, group: GroupId, target: str, fault: Fault, now_s: float) -> bool:
-        """Note a fault that doesn't settle the request; True when it names another leader."""
+        """Record a retryable fault; returns True when it names another leader to ask at once."""
         if fault.code in NO_REPLY_CODES:
             self._unresponsive[group] = _UnresponsiveReplica(
                 target, now_s + self._unresponsive_period_s
--- a/src/rainsail/control/leader_loop.py
+++ b/src/rainsail/control/leader_loop.py
@@ -1,4 +1,4 @@
-"""A timer of the leader's: what it does each period, from the begin of a leadership to its end."""
+"""A periodic task that runs on the leader during a leadership term."""
 
 from typing import Any
 
@@ -14,16 +14,16 @@
         self._timer: Any = None
 
     def run_once(self) -> None:
-        """Do what is due."""
+        """Run the task once."""
         raise NotImplementedError
 
     def start(self, first_after_s: float) -> None:
-        """Start with a leadership, anew if it was started already."""
+        """Start the timer; restarts it if it runs already."""
         self.end()
         self._timer = self._clock.callLater(first_after_s, self._tick)
 
     def end(self) -> None:
-        """Stop with the leadership."""
+        """Stop the timer at the end of a leadership term."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
--- a/src/rainsail/control/list_pages.py
+++ b/src/rainsail/control/list_pages.py
@@ -1,8 +1,8 @@
-"""Pages of the nodes' first lists, encoded once for all who read the same resources.
+"""A cache of encoded list pages, shared by all nodes that list the same resources.
 
-A page is encoded anew only when one of its resources has changed. Its revision is no part of the
-encoded bytes, so a change elsewhere leaves them as they are. When many nodes start at once, all
-but the first cost the leader little more than the sending.
+A page is encoded again only when one of its resources has changed. The revision is not part of
+the encoded bytes, so a change of another resource leaves them valid. When many nodes start at
+once, the leader encodes each page once and only sends it to the others.
 """
 
 from collections import OrderedDict
@@ -16,7 +16,7 @@
 from rainsail.wire.codec import encode
 
 MAX_CACHED_PAGES = 128
-"""Pages kept; a full list of 20,000 resources has about 41."""
+"""Number of pages kept; a full list of 20,000 resources takes about 41 pages."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     body: bytes
 
     def matches(self, resources: tuple[Resource, ...]) -> bool:
-        """Tell whether the page is still of exactly these (immutable) resources."""
+        """Tell whether the page was encoded from exactly these (immutable) resource objects."""
         same_length = len(resources) == len(self.resources)
         return same_length and all(map(is_, resources, self.resources))
 
@@ -37,7 +37,7 @@
         self._pages: OrderedDict[ListRequest, _EncodedPage] = OrderedDict()
 
     def reply(self, state: ReplicatedReader, request: ListRequest) -> SharedListReply:
-        """Return the page asked for, at the state's revision."""
+        """Return the requested page, at the state's revision."""
         listed = read_list(state, request)
         body = self._body(request, listed.resources)
         return SharedListReply(listed.revision, listed.in_force_revision, body, listed.more)
--- a/src/rainsail/control/listing.py
+++ b/src/rainsail/control/listing.py
@@ -1,4 +1,4 @@
-"""Answers list requests from a replica's state: whole, by name, or page by page."""
+"""Answers list requests from a replica's state: all resources, by name, or in pages."""
 
 from bisect import bisect_right
 from dataclasses import replace
@@ -9,7 +9,7 @@
 
 
 def read_list(state: ReplicatedReader, request: ListRequest) -> ListReply:
-    """Return the resources asked for, at the state's revision."""
+    """Return the requested resources, at the state's revision."""
     found = _resources(state, request)
     more = 0 < request.limit < len(found)
     page = found[: request.limit] if more else found
--- a/src/rainsail/control/long_poll.py
+++ b/src/rainsail/control/long_poll.py
@@ -1,7 +1,7 @@
-"""Parks the gateways' configuration polls until there are events or their wait is over.
+"""Parks the gateways' configuration polls until there are events or the wait time has passed.
 
-Replies are shared: gateways that are at the same revision get the same encoded reply, so reading
-the events and encoding them costs once per change, not once per gateway.
+Gateways at the same revision get the same encoded reply, so the events are read and encoded once
+per change, not once per gateway.
 """
 
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 from rainsail.wire.codec import encode
 
 MIN_SHARED_RECEIVERS = 2
-"""From how many receivers on a reply is encoded once for all."""
+"""Least number of receivers for which a reply is encoded once and shared."""
 
 PollAnswer = ConfigPollReply | EncodedReply | Fault
 
 
 @dataclass(eq=False, slots=True)
 class ParkedPoll:
-    """One poll on hold."""
+    """One parked poll."""
 
     applied_revision: int
     lease_s: float
@@ -48,13 +48,13 @@
         self._check: Callable[[], Fault | None] = lambda: None
 
     def set_check(self, check: Callable[[], Fault | None]) -> None:
-        """Set the function asked before each reply; a fault is answered in place of it."""
+        """Set the check made before each reply; if it returns a fault, that is the reply."""
         self._check = check
 
     def answer(
         self, applied_revision: int, lease_s: float, wait_s: float
     ) -> "Deferred[PollAnswer]":
-        """Answer at once when there are events (or no lease was granted), else park."""
+        """Answer at once when there are events, no lease or no wait time; else park the poll."""
         done: Deferred[PollAnswer] = Deferred()
         if self._state.revision > applied_revision or lease_s == 0.0 or wait_s <= 0:
             done.callback(self._reply(applied_revision, lease_s))
@@ -66,12 +66,12 @@
         return done
 
     def state_applied(self) -> None:
-        """Note that the state may have moved; parked polls are answered soon."""
+        """Handle applied entries; parked polls behind the new revision are answered soon."""
         if self._flush_timer is None and self._parked:
             self._flush_timer = self._clock.callLater(self._coalesce_s, self._flush)
 
     def refuse_all(self, fault: Fault) -> None:
-        """Answer every parked poll with a fault (leadership has ended)."""
+        """Answer every parked poll with a fault, when the leadership term has ended."""
         parked = list(self._parked.values())
         self._parked.clear()
         for poll in parked:
--- a/src/rainsail/control/messages.py
+++ b/src/rainsail/control/messages.py
@@ -1,7 +1,8 @@
-"""Messages between gateways, operators' front ends and replicas.
+"""Messages between gateways, operator APIs and replicas.
 
 Every request is served by the leader of its group; another replica answers ``Fault`` with code
-NOT_LEADER and the leader's name in ``peer`` (empty when unknown). ``LeaderClient`` follows it.
+NOT_LEADER and the leader's name in ``peer`` (empty when unknown). ``LeaderClient`` follows this
+hint.
 """
 
 from dataclasses import dataclass
@@ -16,7 +17,7 @@
 @wire_record("ProposeRequest")
 @dataclass(frozen=True, slots=True)
 class ProposeRequest:
-    """Commit and apply a command. A TIMEOUT leaves it open whether it took effect."""
+    """Commit and apply a command. After a TIMEOUT it is unknown whether it took effect."""
 
     group: GroupId
     command: Command
@@ -25,7 +26,7 @@
 @wire_record("ProposeReply")
 @dataclass(frozen=True, slots=True)
 class ProposeReply:
-    """What applying the command returned (possibly a typed fault), and its log index."""
+    """The outcome of applying the command (possibly a typed fault), and its log index."""
 
     outcome: CommandOutcome
     index: int
@@ -34,11 +35,11 @@
 @wire_record("ListRequest")
 @dataclass(frozen=True, slots=True)
 class ListRequest:
-    """Read resources at the leader, under its read lease. Empty kinds: all kinds.
+    """Read resources at the leader, under its read lease. Empty ``kinds`` selects all kinds.
 
-    With ``name`` only resources of that name. With ``limit`` above 0 at most so many, in order
-    of kind and name, after the key (``after_kind``, ``after_name``) when that is set. With
-    ``shared`` the answer is a ``SharedListReply``.
+    With ``name``, only resources of that name are returned. With a ``limit`` above 0, at most that
+    many are returned, in order of kind and name, after the key (``after_kind``, ``after_name``)
+    when it is set. With ``shared``, the reply is a ``SharedListReply``.
     """
 
     group: GroupId
@@ -53,10 +54,10 @@
 @wire_record("ListReply")
 @dataclass(frozen=True, slots=True)
 class ListReply:
-    """The resources asked for, and the revision they were read at.
+    """The requested resources, and the revision at which they were read.
 
-    ``more`` says that a limit cut the list: the next page starts after the last resource and is
-    read at its own revision.
+    ``more`` means that the limit truncated the list: the next page starts after the last resource
+    and is read at its own revision.
     """
 
     revision: int
@@ -68,7 +69,7 @@
 @wire_record("ResourcePage")
 @dataclass(frozen=True, slots=True)
 class ResourcePage:
-    """Resources encoded once for many readers, without a revision of the whole."""
+    """Resources encoded once for many readers; the list's revision is not part of the page."""
 
     resources: tuple[Resource, ...]
 
@@ -87,10 +88,11 @@
 @wire_record("ConfigPoll")
 @dataclass(frozen=True, slots=True)
 class ConfigPoll:
-    """Long poll of a gateway: acknowledges a revision, renews its lease, waits for news.
+    """Long poll of a gateway: acknowledges a revision, renews its lease, waits for new events.
 
-    ``incarnation`` is new with every start of the gateway. The reply comes at once when there
-    are events after ``applied_revision``, else after ``wait_s``.
+    ``incarnation`` differs for every start of the gateway. The reply comes at once when there
+    are events after ``applied_revision``, else as soon as there are some, at the latest after
+    ``wait_s``.
     """
 
     group: GroupId
@@ -105,8 +107,8 @@
 class ConfigPollReply:
     """Events after the poll's revision; ``compacted`` asks the gateway to list again.
 
-    The configuration lease holds ``lease_s`` seconds from the moment that the gateway SENT the
-    poll, on the gateway's own monotonic clock.
+    The configuration lease is valid for ``lease_s`` seconds from the moment at which the gateway
+    SENT the poll, on the gateway's own monotonic clock.
     """
 
     events: tuple[WatchEvent, ...]
@@ -119,7 +121,7 @@
 @wire_record("EncodedReply")
 @dataclass(frozen=True, slots=True)
 class EncodedReply:
-    """A reply encoded once for many receivers; ``LeaderClient`` hands out what is inside."""
+    """A reply encoded once for many receivers; ``LeaderClient`` returns the decoded reply."""
 
     body: bytes
 
@@ -127,7 +129,7 @@
 @wire_record("ConfigRelease")
 @dataclass(frozen=True, slots=True)
 class ConfigRelease:
-    """A gateway that has stopped serving gives its configuration lease back."""
+    """Sent by a gateway that has stopped serving, to release its configuration lease."""
 
     group: GroupId
     gateway: str
@@ -137,13 +139,13 @@
 @wire_record("ConfigReleased")
 @dataclass(frozen=True, slots=True)
 class ConfigReleased:
-    """The lease is no longer waited for."""
+    """Acknowledges a ``ConfigRelease``."""
 
 
 @wire_record("RenewItemLeases")
 @dataclass(frozen=True, slots=True)
 class RenewItemLeases:
-    """Renew all item leases of a holder; sent every ITEM_LEASE_RENEWAL_PERIOD_S."""
+    """Renew all item leases of a holder; sent every ``batch.lease_renewal_period_s``."""
 
     group: GroupId
     holder: str
@@ -153,7 +155,7 @@
 @wire_record("RenewItemLeasesReply")
 @dataclass(frozen=True, slots=True)
 class RenewItemLeasesReply:
-    """``stop`` lists those that the holder must cancel: revoked, cancelled or finished."""
+    """``stop`` lists the items that the holder must cancel: revoked, cancelled or finished."""
 
     stop: tuple[ItemRef, ...]
     lease_s: float
@@ -163,7 +165,7 @@
 @wire_record("JobsRequest")
 @dataclass(frozen=True, slots=True)
 class JobsRequest:
-    """Read one job, or with an empty id all jobs of a tenant (empty tenant: all)."""
+    """Read one job, or, with an empty id, all jobs of a tenant (empty: of all tenants)."""
 
     group: GroupId
     job_id: str
@@ -192,7 +194,7 @@
 @wire_record("ResultsReply")
 @dataclass(frozen=True, slots=True)
 class ResultsReply:
-    """A page of results, and the index to go on from (-1: no more)."""
+    """A page of results, and the first index of the next page (-1: no more)."""
 
     rows: tuple[ResultRow, ...]
     next_index: int
@@ -201,7 +203,7 @@
 @wire_record("SessionRequest")
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """Read a session's place and transcript."""
+    """Read a session's location and transcript."""
 
     group: GroupId
     session: str
@@ -210,7 +212,7 @@
 @wire_type("TenantDemand")
 @dataclass(frozen=True, slots=True)
 class TenantDemand:
-    """Tokens that a tenant used and was refused at one gateway since its last report."""
+    """Tokens that a tenant used, and tokens refused to it, at one gateway since its last report."""
 
     tenant: str
     used_tokens: float
@@ -220,7 +222,7 @@
 @wire_record("QuotaReport")
 @dataclass(frozen=True, slots=True)
 class QuotaReport:
-    """A gateway's demand per tenant over ``period_s``; the reply lends it shares."""
+    """A gateway's demand per tenant over ``period_s``; the reply grants it quota shares."""
 
     group: GroupId
     gateway: str
@@ -231,7 +233,7 @@
 @wire_type("QuotaShare")
 @dataclass(frozen=True, slots=True)
 class QuotaShare:
-    """The part of a tenant's token rate lent to one gateway until ``QuotaShares.valid_s``."""
+    """The part of a tenant's token rate granted to one gateway for ``QuotaShares.valid_s``."""
 
     tenant: str
     tokens_per_second: float
@@ -241,7 +243,7 @@
 @wire_record("QuotaShares")
 @dataclass(frozen=True, slots=True)
 class QuotaShares:
-    """Shares lent to the reporting gateway, valid ``valid_s`` from when the report was sent."""
+    """Shares granted to the reporting gateway, valid for ``valid_s`` after the report was sent."""
 
     shares: tuple[QuotaShare, ...]
     valid_s: float
--- a/src/rainsail/control/operator_api.py
+++ b/src/rainsail/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: JSON over klein, served by every replica."""
+"""The operator API: JSON over HTTP (klein), served by every replica."""
 
 import random as random_module
 import time
@@ -37,9 +37,10 @@
 class OperatorApi:
     """Routes of the operator API; ``app`` is the klein application.
 
-    ``authenticate`` takes a bearer token (by default: the keys of the settings and of the
-    tenants), ``metrics`` returns the text of ``/metrics``. ``random`` spreads the retries of
-    job submissions, ``wall_clock`` (Unix seconds) turns callers' deadlines into points in time.
+    ``authenticate`` checks a bearer token (by default against the keys of the settings and of the
+    tenants), ``metrics`` returns the text of ``/metrics``. ``random`` adds jitter to the retries
+    of job submissions, ``wall_clock`` (Unix seconds) converts callers' relative deadlines to
+    absolute ones.
     """
 
     def __init__(
--- a/src/rainsail/control/operator_auth.py
+++ b/src/rainsail/control/operator_auth.py
@@ -1,4 +1,4 @@
-"""Who calls the operator API: bearer tokens checked against key hashes."""
+"""Authenticates callers of the operator API: checks bearer tokens against key hashes."""
 
 import hashlib
 import hmac
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedCaller:
-    """An authenticated caller: its tenant (empty for a fleet operator), and whether it operates."""
+    """A caller's tenant (empty for a fleet operator), and whether it has operator rights."""
 
     tenant: str
     operator: bool
 
 
 Authenticator = Callable[[str], AuthenticatedCaller | None]
-"""Takes a bearer token; None when it is unknown."""
+"""Returns the caller of a bearer token, or None when the token is unknown."""
 
 
 def key_hash(token: str) -> str:
-    """Return the hex SHA-256 of a key, as kept in a TenantSpec."""
+    """Return the hex SHA-256 of a key, as stored in a TenantSpec."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 class KeyAuthenticator:
-    """Knows operator keys from the settings and tenants' keys from the replicated state."""
+    """Checks operator keys from the settings and tenants' keys from the replicated state."""
 
     def __init__(self, state: ReplicatedReader, operator_key_hashes: tuple[str, ...]) -> None:
         self._state = state
--- a/src/rainsail/control/operator_gate.py
+++ b/src/rainsail/control/operator_gate.py
@@ -1,4 +1,4 @@
-"""Lets callers of the operator API in: who may see and change what."""
+"""Access control of the operator API: which callers may read and change what."""
 
 from typing import Any
 
@@ -12,20 +12,20 @@
 
 
 class OperatorGate:
-    """Authenticates requests; operators may do everything, tenants see their own jobs."""
+    """Authenticates requests; operators may do everything, tenants access their own jobs only."""
 
     def __init__(self, authenticate: Authenticator) -> None:
         self._authenticate = authenticate
 
     def caller(self, request: Any) -> Result[AuthenticatedCaller, Fault]:
-        """Return who calls, or UNAUTHENTICATED."""
+        """Return the caller, or UNAUTHENTICATED."""
         caller = self._authenticate(bearer_token(request))
         if caller is None:
-            return Error(Fault(FaultCode.UNAUTHENTICATED, STEP, "the bearer token is not known"))
+            return Error(Fault(FaultCode.UNAUTHENTICATED, STEP, "unknown bearer token"))
         return Ok(caller)
 
     def operator(self, request: Any) -> Result[AuthenticatedCaller, Fault]:
-        """Return who calls when it is an operator, else FORBIDDEN."""
+        """Return the caller if it is an operator, else FORBIDDEN."""
         caller = self.caller(request)
         if caller.is_ok() and not caller.ok.operator:
             return Error(Fault(FaultCode.FORBIDDEN, STEP, "only operators may do this"))
@@ -33,5 +33,5 @@
 
 
 def may_use_tenant(caller: AuthenticatedCaller, tenant: str) -> bool:
-    """Tell whether the caller may see and change that tenant's jobs."""
+    """Tell whether the caller may read and change that tenant's jobs."""
     return caller.operator or caller.tenant == tenant
--- a/src/rainsail/control/operator_site.py
+++ b/src/rainsail/control/operator_site.py
@@ -1,4 +1,4 @@
-"""The web site of the operator API: heads that are no text are refused before a handler runs."""
+"""The operator API's HTTP site; refuses requests whose head is not valid text."""
 
 from typing import Any
 
@@ -13,10 +13,10 @@
 
 
 class OperatorRequest(UnframedAnswerRequest):
-    """A request whose method, path and headers are text."""
+    """A request that is refused unless its method, path and headers are valid text."""
 
     def process(self) -> None:
-        """Hand the request on, or answer what is wrong with its head."""
+        """Process the request, or answer with a fault that describes the invalid head."""
         problem = head_problem(self)
         if not problem:
             super().process()
--- a/src/rainsail/control/paged_list.py
+++ b/src/rainsail/control/paged_list.py
@@ -1,7 +1,7 @@
-"""Reads all resources through the leader in pages, so that no message grows with the fleet.
+"""Reads all resources through the leader in pages, to bound the message size for large fleets.
 
-Each page is read at its own revision. The list as a whole stands at the revision of the first
-page; what changed between the pages is followed from there by events.
+Each page is read at its own revision. The list as a whole has the revision of the first page;
+changes made between the pages arrive later as events.
 """
 
 from dataclasses import dataclass
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PagedList:
-    """All resources; those above ``revision`` are ahead of the list and come again as events.
+    """All resources; those newer than ``revision`` arrive again as events.
 
-    From ``complete_revision`` on, a reader that follows the events misses nothing.
+    A reader that has applied the events up to ``complete_revision`` has a complete view.
     """
 
     revision: int
@@ -35,7 +35,7 @@
 async def read_all_pages(
     client: ControlClient, page_resources: int, timeout_s: float
 ) -> Result[PagedList, Fault]:
-    """Read every page; ``timeout_s`` bounds each of them."""
+    """Read every page; ``timeout_s`` applies to each page."""
     request = ListRequest(ROOT_GROUP, (), limit=page_resources, shared=True)
     pages: list[ListReply] = []
     while True:
@@ -47,7 +47,9 @@
             return Error(decoded.error)
         page = decoded.ok
         if pages and page.revision < pages[-1].revision:
-            detail = f"a page at revision {page.revision} after one at {pages[-1].revision}"
+            detail = (
+                f"page at revision {page.revision} follows a page at revision {pages[-1].revision}"
+            )
             return Error(Fault(FaultCode.CONFLICT, STEP, detail))
         pages.append(page)
         if not page.more:
--- a/src/rainsail/control/resource_endpoints.py
+++ b/src/rainsail/control/resource_endpoints.py
@@ -1,4 +1,4 @@
-"""Reads and changes of resources for the operator API, apart from HTTP."""
+"""Resource reads and changes of the operator API, independent of HTTP."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 STEP = "operator_api.resources"
 BODY_KEYS = ("change_id", "expected_revision", "spec")
 PATCH_ATTEMPTS = 5
-"""How often a patch without an expected revision meets a newer one before it is a conflict."""
+"""Attempts of a patch without an expected revision before it fails with a conflict."""
 
 
 class ResourceEndpoints:
@@ -37,7 +37,7 @@
         return await self._client.call(ListRequest(ROOT_GROUP, kinds), self._timeout_s)
 
     async def read_one(self, key: ResourceKey) -> Result[tuple[Resource, int], Fault]:
-        """Read one resource through the leader, with the revision in force."""
+        """Read one resource through the leader, with the in-force revision."""
         request = ListRequest(ROOT_GROUP, (key.kind,), key.name)
         listed = await self._client.call(request, self._timeout_s)
         if listed.is_error():
@@ -61,11 +61,12 @@
         return await self._change(PutResource(change_id, key, spec.ok, expected))
 
     async def patch(self, key: ResourceKey, body: JsonObject) -> Result[ResourceChanged, Fault]:
-        """Merge ``spec`` into the current one.
+        """Merge ``spec`` into the current spec.
 
-        Without an expected revision, nothing is changed when the values hold already (so a
-        re-sent patch is answered well), and a race with another change (a status, another
-        key) is tried again on the newer one. With one, a race is a conflict.
+        Without an expected revision, a patch whose values are already set changes nothing, so a
+        re-sent patch succeeds; after a concurrent change (of the status, of another key) the patch
+        is merged into the newer resource. With an expected revision, a concurrent change gives a
+        conflict.
         """
         change = _read_change(body)
         if change.is_error():
@@ -75,7 +76,7 @@
             return Error(Fault(FaultCode.INVALID, STEP, "spec: expected an object"))
         change_id, expected = change.ok
         answer: Result[ResourceChanged, Fault] = Error(
-            Fault(FaultCode.CONFLICT, STEP, "the resource kept changing")
+            Fault(FaultCode.CONFLICT, STEP, "the resource changed concurrently at every attempt")
         )
         for attempt in range(PATCH_ATTEMPTS):
             attempt_id = change_id
@@ -116,15 +117,15 @@
 def _lost_race(fault: Fault, expected: int) -> bool:
     """Tell whether a patch met a newer revision and may be merged into that one.
 
-    A conflict without a current revision says that the change id was used before, for another
-    content: the first answer to it is not known here, so it is not tried again.
+    A conflict without a current revision means that the change id was used before with other
+    content. The first outcome of that change id is unknown here, so the patch is not retried.
     """
     newer = fault.code == FaultCode.CONFLICT and fault.current_revision is not None
     return newer and expected == ANY_REVISION and fault.outcome == Outcome.NOT_RUN
 
 
 def _read_change(body: JsonObject) -> Result[tuple[str, int], Fault]:
-    """Read change id and expected revision; unknown keys are refused."""
+    """Read the change id and the expected revision; unknown keys are refused."""
     for key in sorted(body):
         if key not in BODY_KEYS:
             known = ", ".join(BODY_KEYS)
--- a/src/rainsail/control/resource_json.py
+++ b/src/rainsail/control/resource_json.py
@@ -1,4 +1,4 @@
-"""Resources as JSON objects and back; used by the operator API and the command line."""
+"""Converts resources to and from JSON objects for the operator API and the command line."""
 
 import dataclasses
 import json
@@ -20,13 +20,13 @@
 )
 
 JsonObject = dict[str, Any]
-"""A JSON object at the border to HTTP or a file; nothing inside passes one on."""
+"""A JSON object; used only at the boundary to HTTP or files, not inside the system."""
 
 STEP = "resource_json.read"
 
 
 def kind_from_text(text: str) -> Result[Kind, Fault]:
-    """Return the kind of that name, in any case."""
+    """Return the kind with that name, ignoring case."""
     for kind in Kind:
         if kind.value.lower() == text.lower():
             return Ok(kind)
@@ -42,7 +42,7 @@
 def resource_to_json(resource: Resource, in_force_revision: int | None = None) -> JsonObject:
     """Return a resource as a JSON object.
 
-    With ``in_force_revision`` the conditions say whether its spec is in force everywhere.
+    With ``in_force_revision`` the conditions include whether every gateway has applied its spec.
     """
     conditions = [json_value(condition) for condition in resource.conditions]
     if in_force_revision is not None:
@@ -80,12 +80,12 @@
 
 
 def fault_to_json(fault: Fault) -> JsonObject:
-    """Return a fault as the body of an error answer."""
+    """Return a fault as the body of an error response."""
     return {"error": {key: value for key, value in json_value(fault).items() if value is not None}}
 
 
 def spec_from_json(kind: Kind, body: Any, path: str = "spec") -> Result[Spec, Fault]:
-    """Validate a spec: unknown keys are refused, the fault names the key and what is expected."""
+    """Validate a spec; unknown keys are refused. The fault names the key and the expected value."""
     if not isinstance(body, dict):
         return Error(_invalid(f"{path}: expected an object"))
     cls = SPEC_TYPES[kind]
@@ -102,7 +102,7 @@
 
 
 def merged_spec_json(spec: Spec, patch: JsonObject) -> JsonObject:
-    """Return a spec's JSON with the keys of ``patch`` replaced; null takes the default."""
+    """Return a spec's JSON with the keys of ``patch`` replaced; null restores the default."""
     merged = dict(json_value(spec))
     for key, value in patch.items():
         if value is None:
--- a/src/rainsail/control/resource_routes.py
+++ b/src/rainsail/control/resource_routes.py
@@ -1,4 +1,4 @@
-"""Resources over HTTP: list, read, put, patch and delete."""
+"""HTTP routes that list, read, put, patch and delete resources."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
--- a/src/rainsail/control/resource_table.py
+++ b/src/rainsail/control/resource_table.py
@@ -1,4 +1,4 @@
-"""An in-memory table of resources, by kind and name."""
+"""An in-memory table of resources, keyed by kind and name."""
 
 from rainsail.resources.specs import EventType, Kind, Resource, ResourceKey, WatchEvent
 
--- a/src/rainsail/control/service.py
+++ b/src/rainsail/control/service.py
@@ -1,4 +1,4 @@
-"""Serves control's messages on a replica: the leader answers, any other names the leader."""
+"""Serves the control messages on a replica; a follower refuses them and names the leader."""
 
 from collections.abc import Callable
 from typing import Any
@@ -40,7 +40,7 @@
 
 
 class ControlService:
-    """Answers gateways and operators' front ends for every group of this replica."""
+    """Answers gateways and operator APIs for every group of this replica."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         }
 
     def start(self) -> None:
-        """Serve the messages and take up the leader's duties where this replica leads."""
+        """Serve the messages and start the leader's tasks of the groups that this replica leads."""
         handlers: list[tuple[type, Callable[[GroupControl, Any], Any]]] = [
             (ProposeRequest, self._propose),
             (ListRequest, self._list),
@@ -77,7 +77,7 @@
             control.start()
 
     def stop(self) -> None:
-        """End the leader's duties; parked polls are refused."""
+        """Stop the leader's tasks and refuse parked polls."""
         for control in self._controls.values():
             control.stop()
 
@@ -92,7 +92,7 @@
         return handle
 
     def _propose(self, control: GroupControl, request: ProposeRequest) -> Any:
-        """Commit a command; with callbacks, as this is what replicas do most."""
+        """Commit a command; uses callbacks, not a coroutine, as this is the most frequent call."""
         if not control.serving():
             return not_leader("control.propose", control.group)
         control.note_proposal(request.command)
--- a/src/rainsail/control/spec_rules.py
+++ b/src/rainsail/control/spec_rules.py
@@ -1,4 +1,4 @@
-"""Bounds of spec fields and resource names that types alone don't say."""
+"""Validation of spec fields and resource names beyond what their types express."""
 
 import re
 
@@ -20,14 +20,14 @@
 
 
 def name_problem(key: ResourceKey) -> str:
-    """Return what is wrong with a resource's name, or an empty string."""
+    """Return why a resource's name is invalid, or an empty string."""
     if NAME_PATTERN.match(key.name):
         return ""
     return f"name: expected up to 128 of a-z 0-9 . _ - (none of . _ - at an end), got {key.name!r}"
 
 
 def spec_problem(spec: Spec) -> str:
-    """Return the first field out of bounds and what was expected, or an empty string."""
+    """Return the first invalid field and what was expected, or an empty string."""
     if isinstance(spec, ServiceSpec):
         return _at_least("runners", spec.runners, 0) or _fraction("batch_weight", spec.batch_weight)
     if isinstance(spec, ModelVersionSpec | AdapterSpec):
--- a/src/rainsail/control/stale_items.py
+++ b/src/rainsail/control/stale_items.py
@@ -1,4 +1,4 @@
-"""Which of a holder's running batch items must stop, from the replicated state."""
+"""Finds the batch items that a holder still runs without a lease."""
 
 from rainsail.state.commands import ItemRef
 from rainsail.state.interface import ReplicatedReader
@@ -7,5 +7,5 @@
 def items_to_stop(
     state: ReplicatedReader, holder: str, running: tuple[ItemRef, ...]
 ) -> tuple[ItemRef, ...]:
-    """Return the items that the holder has no lease of: revoked, cancelled or finished."""
+    """Return the running items that the holder has no lease for: revoked, cancelled or finished."""
     return tuple(ref for ref in running if not state.holds(holder, ref))
--- a/src/rainsail/control/watch_routes.py
+++ b/src/rainsail/control/watch_routes.py
@@ -1,4 +1,4 @@
-"""``GET /v1/watch`` over HTTP: chunked JSON lines with back-pressure from the connection."""
+"""``GET /v1/watch``: chunked JSON lines with back-pressure from the connection."""
 
 from typing import Any
 
@@ -32,18 +32,18 @@
         self._gone = False
 
     def attach(self, watcher: Watcher) -> None:
-        """Tie the watcher to the connection."""
+        """Connect the watcher to the HTTP connection's producer and close events."""
         self._watcher = watcher
         self._request.registerProducer(self, True)
         self._request.notifyFinish().addBoth(self._connection_over)
 
     def write_line(self, line: bytes) -> None:
-        """Write one line; the connection may pause the watcher on the way."""
+        """Write one line; the connection may pause the watcher meanwhile."""
         if not self._gone:
             self._request.write(line)
 
     def end(self, cut: bool) -> None:
-        """Finish the answer; a client that is cut loses its connection after a while."""
+        """Finish the response; with ``cut`` the connection is aborted after ``drain_s``."""
         if self._gone:
             return
         channel = self._request.channel
@@ -53,17 +53,17 @@
         self.finished.callback(b"")
 
     def pauseProducing(self) -> None:
-        """The connection's buffer is full."""
+        """Pause the watcher, because the connection's buffer is full."""
         if self._watcher is not None:
             self._watcher.pause()
 
     def resumeProducing(self) -> None:
-        """The connection's buffer has drained."""
+        """Resume the watcher, because the connection's buffer has drained."""
         if self._watcher is not None:
             self._watcher.resume()
 
     def stopProducing(self) -> None:
-        """The connection is lost."""
+        """Stop the watcher, because the connection is lost."""
         if self._watcher is not None:
             self._watcher.stop()
 
@@ -74,7 +74,7 @@
 
 
 def _abort(channel: Any) -> None:
-    """Drop the connection unless it has gone by itself."""
+    """Abort the connection unless it is closed already."""
     if channel.transport is not None:
         channel.transport.abortConnection()
 
--- a/src/rainsail/control/watcher.py
+++ b/src/rainsail/control/watcher.py
@@ -1,7 +1,8 @@
-"""One watch of resource changes, apart from HTTP: lines in revision order, never a gap.
+"""Watches of resource changes, independent of HTTP: JSON lines in revision order without gaps.
 
-A watcher keeps no buffer of its own: it reads the replica's applied events from its own revision
-on, and stops reading while its client is slow. One that falls too far behind is told and cut.
+A watcher has no buffer of its own: it reads the replica's applied events from its own revision
+on, and stops reading while its client is slow. A watcher that falls too far behind gets an error
+line and is disconnected.
 """
 
 import json
@@ -17,23 +18,23 @@
 
 STEP = "operator_api.watch"
 EVENT_BATCH_SIZE = 100
-"""Events read from the state at a time."""
+"""Number of events read from the state at a time."""
 
 
 class LineSink(Protocol):
-    """Where a watch's lines go; it may pause and resume its watcher while it takes one."""
+    """Receives a watch's lines; it may pause and resume its watcher while it takes one."""
 
     def write_line(self, line: bytes) -> None:
         """Take one line with its newline."""
         ...
 
     def end(self, cut: bool) -> None:
-        """The watch is over; with ``cut`` the client gets little time to read the rest."""
+        """End the watch; with ``cut`` the client has a limited time to read the rest."""
         ...
 
 
 class EventLines:
-    """Encoded lines of recent events, so that many watchers cost one encoding."""
+    """Cache of encoded lines of recent events, so that each event is encoded once per replica."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -57,7 +58,7 @@
 
 
 class Watcher:
-    """Follows the applied state from a revision on."""
+    """Sends the events of the applied state after a given revision to one sink."""
 
     def __init__(
         self,
@@ -84,21 +85,21 @@
         self._timer: Any = None
 
     def start(self) -> None:
-        """Send what is there already, then bookmarks and changes."""
+        """Send the events that exist already, then bookmarks and changes."""
         self._schedule_bookmark()
         self.state_changed()
 
     def pause(self) -> None:
-        """Write nothing for now: the client doesn't keep up."""
+        """Stop writing, because the client doesn't keep up."""
         self._paused = True
 
     def resume(self) -> None:
-        """Go on where the watch was paused."""
+        """Continue where the watch was paused."""
         self._paused = False
         self.state_changed()
 
     def state_changed(self) -> None:
-        """Send what is new, unless paused."""
+        """Send new events, unless paused."""
         if self._ended:
             return
         if not self._paused:
@@ -109,7 +110,7 @@
             self._send_bookmark()
 
     def stop(self) -> None:
-        """End without a word: the client is gone."""
+        """End without a final line; the client has disconnected or the final line was sent."""
         if self._ended:
             return
         self._ended = True
@@ -160,11 +161,13 @@
     def _disconnect_if_too_slow(self) -> None:
         waiting = self._state.revision - self._revision
         if waiting > self._settings.watch_buffer_events:
-            detail = f"{waiting} events wait for this watcher; go on from the last revision read"
+            detail = (
+                f"{waiting} events pending for this watcher; resume from the last revision read"
+            )
             self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), cut=True)
 
     def _compacted_fault(self) -> Fault:
-        detail = f"events after revision {self._revision} are gone: list again"
+        detail = f"events after revision {self._revision} are compacted; list again"
         return Fault(
             FaultCode.REVISION_COMPACTED, STEP, detail, current_revision=self._state.revision
         )
@@ -190,7 +193,7 @@
         return len(self._watchers)
 
     def watch(self, sink: LineSink, revision: int, kinds: tuple[Kind, ...]) -> Watcher:
-        """Make a watcher of changes after ``revision``; the caller starts it."""
+        """Create a watcher of changes after ``revision``; the caller starts it."""
         watcher = Watcher(
             self._state,
             self._clock,
@@ -205,6 +208,6 @@
         return watcher
 
     def state_applied(self) -> None:
-        """Let every watcher send what is new."""
+        """Let every watcher send new events."""
         for watcher in list(self._watchers):
             watcher.state_changed()
--- a/src/rainsail/machines/__init__.py
+++ b/src/rainsail/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform around rainsail: the list of machines."""
+"""Clients of the hosting platform: the machine list."""
--- a/src/rainsail/machines/machine_list.py
+++ b/src/rainsail/machines/machine_list.py
@@ -1,7 +1,7 @@
 """The platform's list of live and leaving machines, read over HTTP.
 
-The list lags behind the machines; it is one hint among others (an engine's own word, missed
-heartbeats), and the earliest sign of leaving counts.
+The list may be out of date. It is one of several signals that a machine is leaving (besides the
+engine's own report and missed heartbeats); the earliest one counts.
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 from rainsail.errors import Fault, FaultCode
 
 MAX_LIST_BYTES = 8 * 1024 * 1024
-"""A longer answer is refused; 12,000 machines take about 1.5 MB."""
+"""Largest response accepted; 12,000 machines take about 1.5 MB."""
 
 _FETCH_STEP = "machine_list.fetch"
 
 
 class MachineState(StrEnum):
-    """Whether a machine is to be used."""
+    """Whether a machine may take new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -39,7 +39,7 @@
 
 
 MACHINES = TypeAdapter(tuple[Machine, ...])
-"""Validates and writes the list's JSON form."""
+"""Validates and serializes the list's JSON form."""
 
 
 class MachineListClient(Protocol):
@@ -59,7 +59,7 @@
         self._timeout_s = timeout_s
 
     def fetch(self) -> "Deferred[Result[tuple[Machine, ...], Fault]]":
-        """Read the list; UNAVAILABLE when it cannot be had, INTERNAL when it is malformed."""
+        """Read the list; UNAVAILABLE if it cannot be read, INTERNAL if it is malformed."""
         fetched: Deferred[Any] = Deferred.fromCoroutine(self._fetch())
         return fetched.addErrback(self._failed)
 
--- a/src/rainsail/resources/__init__.py
+++ b/src/rainsail/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Resources: what operators declare and watch."""
+"""Resources: the configuration objects that operators declare and watch."""
--- a/src/rainsail/resources/specs.py
+++ b/src/rainsail/resources/specs.py
@@ -1,7 +1,7 @@
 """Specs and statuses of every resource kind.
 
-A spec is what an operator (or, for Gateway and Session, a gateway) declares; a status is what
-the system reports back. All are frozen records that cross the wire and the log unchanged.
+A spec is declared by an operator (or, for Gateway and Session, by a gateway); a status is reported
+by the system. All are frozen records with one encoding for the wire and the log.
 """
 
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 
 class RequestClass(StrEnum):
-    """How a request is to be treated."""
+    """The class of a request: online, batch, or online and never to be executed twice."""
 
     ONLINE = "online"
     BATCH = "batch"
@@ -33,7 +33,7 @@
 
 
 class RunnerRole(StrEnum):
-    """What a runner's engine works on."""
+    """The kinds of requests that a runner's engine takes."""
 
     MIXED = "mixed"
     ONLINE_ONLY = "online_only"
@@ -45,9 +45,9 @@
 class ServiceSpec:
     """A callable model service; callers name it as ``model``.
 
-    ``active_version`` names the ModelVersion to serve (empty: none yet), ``runners`` how many
-    runners must have it ready. ``batch_weight`` is the site's setting between batch throughput
-    (1.0) and the online tail (0.0).
+    ``active_version`` names the ModelVersion to serve (empty: none yet), ``runners`` is the number
+    of runners that must have it ready. ``batch_weight`` sets the site's trade-off between batch
+    throughput (1.0) and online tail latency (0.0).
     """
 
     active_version: str = ""
@@ -69,7 +69,7 @@
 @wire_type("AdapterSpec")
 @dataclass(frozen=True, slots=True)
 class AdapterSpec:
-    """A small set of weights loaded beside a service's active version."""
+    """An adapter: a small set of weights loaded in addition to a service's active version."""
 
     service: str
     weights: str
@@ -91,8 +91,8 @@
 class TenantSpec:
     """A tenant's limits and keys.
 
-    ``tokens_per_second`` and ``burst_tokens`` bound its online tokens over the whole fleet;
-    ``weight`` is its share under contention. Key hashes are hex SHA-256 of the API keys.
+    ``tokens_per_second`` and ``burst_tokens`` limit its online tokens over the whole fleet;
+    ``weight`` is its relative share under contention. Key hashes are hex SHA-256 of the API keys.
     """
 
     tokens_per_second: float
@@ -130,7 +130,7 @@
 @wire_type("ReplicaSpec")
 @dataclass(frozen=True, slots=True)
 class ReplicaSpec:
-    """A replica process as the operator wants it; ``drain`` asks it to leave its groups."""
+    """A replica process as declared by the operator; ``drain`` asks it to leave its groups."""
 
     region: str
     zone: str
@@ -163,7 +163,7 @@
 @wire_type("Condition")
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """One statement about a resource, and the revision of the resource it speaks of."""
+    """One statement about a resource, and the revision of the resource that it refers to."""
 
     type: str
     value: bool
@@ -176,7 +176,7 @@
 class RunnerStatus:
     """What is loaded on a runner, under which fence, and whether it takes work.
 
-    ``fence`` is the highest order number sent to the engine; engines refuse lower ones.
+    ``fence`` is the highest order number sent to the engine; engines refuse orders with lower ones.
     """
 
     loaded_version: str = ""
@@ -190,7 +190,7 @@
 @wire_type("SessionStatus")
 @dataclass(frozen=True, slots=True)
 class SessionStatus:
-    """Where a session lives. ``fence`` rises with every move; only its holder may use it."""
+    """Where a session is located. ``fence`` rises with every move; only its holder may use it."""
 
     runner: str = ""
     gateway: str = ""
@@ -201,7 +201,7 @@
 @wire_type("ServiceStatus")
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """How many runners serve the active version, and which version was active before."""
+    """How many runners serve the active version, and the last version fully rolled out."""
 
     ready_runners: int = 0
     ready_version: str = ""
