--- a/features/controllers/departures.feature
+++ b/features/controllers/departures.feature
@@ -28,13 +28,13 @@
     And 5 seconds pass for the placement
     Then the placement's first runner is marked as draining and not ready
 
-  Scenario: Finished jobs are forgotten after their retention
+  Scenario: Finished jobs are deleted after their retention
     Given controllers that keep finished jobs 1000 seconds and open ones 500 seconds
     And the controllers' state has a finished, a cancelled, an open and an accepted job
     When 400 seconds pass for the controllers
     Then the controllers' state still has all 4 jobs
     When 200 seconds pass for the controllers
-    Then the controllers' state has forgotten the open job only
+    Then the controllers' state has lost only the open job
     When 600 seconds pass for the controllers
     Then the controllers' state has the accepted job only
 
@@ -46,16 +46,16 @@
     And 400 seconds pass for the controllers
     Then the controllers' state still has all 4 jobs
 
-  Scenario: A gateway that is silent for long loses its resource
-    Given controllers that keep silent gateways 300 seconds
-    And two gateways of which the controllers hear only one
+  Scenario: The resource of a gateway without contact is deleted after its retention
+    Given controllers that keep gateways without contact 300 seconds
+    And two gateways of which only one contacts the controllers
     When 200 seconds pass for the controllers
     Then the controllers' state has both gateways
     When 400 seconds pass for the controllers
-    Then the controllers' state has only the gateway that is heard
+    Then the controllers' state has only the gateway in contact
 
   Scenario: Gateways are kept while their last contact is unknown
-    Given controllers that keep silent gateways 300 seconds
+    Given controllers that keep gateways without contact 300 seconds
     And two gateways whose last contact the controllers don't know
     When 4000 seconds pass for the controllers
     Then the controllers' state has both gateways
--- a/features/steps/control_group_steps.py
+++ b/features/steps/control_group_steps.py
@@ -101,7 +101,7 @@
 def step_cut(context):
     fleet = context.fleet
     context.old = fleet.leader()
-    context.beside = fleet.client("beside")
+    context.same_side = fleet.client("beside")
     for other in [*fleet.names, *fleet.views, "user"]:
         if other != context.old:
             fleet.network.cut(context.old, other)
@@ -114,7 +114,7 @@
     fleet = context.fleet
     old_group = fleet.replicas[context.old].node.group
     assert not old_group.is_leader()
-    messenger = context.beside._messenger
+    messenger = context.same_side._messenger
     answer = fleet.finish(messenger.call(context.old, ListRequest(ROOT_GROUP, ()), 1.0))
     assert answer.is_error(), "a partitioned leader answered a list request"
 
--- a/features/steps/control_random_steps.py
+++ b/features/steps/control_random_steps.py
@@ -126,7 +126,7 @@
         """Store one line."""
         self.lines.append(json.loads(line))
 
-    def end(self, cut):
+    def end(self, disconnect):
         """Ignore the end of the watch."""
 
 
--- a/features/steps/controllers_departures_steps.py
+++ b/features/steps/controllers_departures_steps.py
@@ -100,7 +100,7 @@
     assert job_ids(context) == ["accepted", "cancelled", "finished", "open"], job_ids(context)
 
 
-@then("the controllers' state has forgotten the open job only")
+@then("the controllers' state has lost only the open job")
 def step_open_forgotten(context):
     assert job_ids(context) == ["accepted", "cancelled", "finished"], job_ids(context)
 
@@ -110,12 +110,12 @@
     assert job_ids(context) == ["accepted"], job_ids(context)
 
 
-@given("controllers that keep silent gateways {seconds:d} seconds")
+@given("controllers that keep gateways without contact {seconds:d} seconds")
 def step_gateway_retention(context, seconds):
     context.fleet = Fleet(gateway_retention_s=seconds)
 
 
-@given("two gateways of which the controllers hear only one")
+@given("two gateways of which only one contacts the controllers")
 def step_two_gateways(context):
     step_two_unheard(context)
     clock = context.fleet.clock
@@ -140,6 +140,6 @@
     assert gateways(context) == ["heard", "silent"], gateways(context)
 
 
-@then("the controllers' state has only the gateway that is heard")
+@then("the controllers' state has only the gateway in contact")
 def step_heard_only(context):
     assert gateways(context) == ["heard"], gateways(context)
--- a/features/support/control.py
+++ b/features/support/control.py
@@ -323,7 +323,7 @@
         """Read one line."""
         self.lines.append(json.loads(line))
 
-    def end(self, cut: bool) -> None:
+    def end(self, disconnect: bool) -> None:
         """Record the end of the watch."""
         self.ended = True
 
--- a/src/rainsail/control/config_leases.py
+++ b/src/rainsail/control/config_leases.py
@@ -3,8 +3,8 @@
 A gateway counts its lease from the moment at which it SENT its poll. The leader counts from the
 moment at which it RECEIVED the poll and adds a margin for the difference of clock rates, so the
 lease never expires earlier on the leader than on the gateway. A new leader does not know the
-leases that the old one granted: it assumes that all gateways hold one until a full lease period
-has passed.
+leases that the old one granted, so it reports no revision as applied by all holders before a full
+lease period has passed.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
     clock_rate_margin: float
 
     @property
-    def trusted_after_s(self) -> float:
+    def expired_after_s(self) -> float:
         """Seconds after which the granting side may rely on the lease's expiry."""
         return self.lease_s * (1.0 + self.clock_rate_margin)
 
@@ -45,12 +45,12 @@
     def __init__(self, terms: LeaseTerms) -> None:
         self._terms = terms
         self._leases: dict[LeaseHolder, ConfigLease] = {}
-        self._trusted_from_s = 0.0
+        self._earlier_leases_expire_s = 0.0
 
     def begin(self, now_s: float) -> None:
         """Start a leadership term: drop all leases and wait until an earlier leader's expire."""
         self._leases.clear()
-        self._trusted_from_s = now_s + self._terms.trusted_after_s
+        self._earlier_leases_expire_s = now_s + self._terms.expired_after_s
 
     def renew(
         self, holder: LeaseHolder, applied_revision: int, floor_revision: int, now_s: float
@@ -63,7 +63,7 @@
         lease = self._leases.get(holder)
         if applied_revision < floor_revision:
             return 0.0
-        expires_s = now_s + self._terms.trusted_after_s
+        expires_s = now_s + self._terms.expired_after_s
         if lease is None:
             self._leases[holder] = ConfigLease(applied_revision, expires_s)
         else:
@@ -81,13 +81,13 @@
             del self._leases[holder]
         return sorted(self._leases)
 
-    def trusted(self, now_s: float) -> bool:
+    def earlier_leases_expired(self, now_s: float) -> bool:
         """Tell whether every lease of an earlier leader has expired."""
-        return now_s >= self._trusted_from_s
+        return now_s >= self._earlier_leases_expire_s
 
     def in_force_revision(self, revision: int, now_s: float) -> int | None:
         """Return the highest revision that every holder has applied; None while unknown."""
-        if not self.trusted(now_s):
+        if not self.earlier_leases_expired(now_s):
             return None
         acknowledged = [
             self._leases[holder].acknowledged_revision for holder in self.holders(now_s)
--- a/src/rainsail/control/controllers/retention.py
+++ b/src/rainsail/control/controllers/retention.py
@@ -64,7 +64,7 @@
         self._seen.clear()
 
     def plan(self, state: ReplicatedReader, now_s: float) -> list[Command]:
-        """Return a deletion for each gateway that has been silent past its retention."""
+        """Return a deletion for each gateway without contact for its retention period."""
         if self._last_seen is None:
             return []
         gateways = state.list_resources(Kind.GATEWAY)
--- a/src/rainsail/control/controllers/rollout.py
+++ b/src/rainsail/control/controllers/rollout.py
@@ -18,17 +18,17 @@
 class RolloutView:
     """One service's desired version and runner count, and its runners.
 
-    ``stalled`` names the runners whose load takes too long. ``not_serving_before`` names those
-    that already served no requests when the version was chosen, so their state says nothing about
-    that version. ``load_slots`` is the number of further loads that the whole fleet may start,
-    ``max_loads`` the number of this service's loads that may run at a time.
+    ``stalled`` names the runners whose load takes too long. ``ill`` names the unhealthy runners:
+    those that already served no requests when the version was chosen, so their state says nothing
+    about that version. ``load_slots`` is the number of further loads that the whole fleet may
+    start, ``max_loads`` the number of this service's loads that may run at a time.
     """
 
     version: str
     wanted: int
     runners: tuple[RunnerView, ...]
     stalled: frozenset[str]
-    not_serving_before: frozenset[str]
+    ill: frozenset[str]
     load_slots: int
     max_loads: int
 
@@ -55,17 +55,13 @@
     pending = [
         runner
         for runner in view.runners
-        if runner.target == view.version
-        and runner.loading
-        and runner.name not in view.not_serving_before
+        if runner.target == view.version and runner.loading and runner.name not in view.ill
     ]
     served = {runner.serving: None for runner in view.runners if runner.serving}
     version_suspect = bool(served) and view.version not in served
     if not version_suspect:
         pending = [runner for runner in pending if runner.name not in view.stalled]
-    return len(pending) + sum(
-        1 for runner in redirected if runner.name not in view.not_serving_before
-    )
+    return len(pending) + sum(1 for runner in redirected if runner.name not in view.ill)
 
 
 def _choose_replaced(
--- a/src/rainsail/control/item_leases.py
+++ b/src/rainsail/control/item_leases.py
@@ -23,14 +23,14 @@
 
     def renew(self, holder: str, now_s: float) -> float:
         """Record a renewal and return the lease granted in seconds."""
-        self._expires_s[holder] = now_s + self._terms.trusted_after_s
+        self._expires_s[holder] = now_s + self._terms.expired_after_s
         return self._terms.lease_s
 
     def lapsed(self, holders: Iterable[str], now_s: float) -> list[str]:
         """Return the holders whose lease has expired; holders seen first start a full period."""
         current = list(holders)
         for holder in current:
-            self._expires_s.setdefault(holder, now_s + self._terms.trusted_after_s)
+            self._expires_s.setdefault(holder, now_s + self._terms.expired_after_s)
         known = dict.fromkeys(current)
         for holder in [each for each in self._expires_s if each not in known]:
             if self._expires_s[holder] <= now_s:
@@ -65,5 +65,5 @@
         if not missing:
             del self._missing_since_s[holder]
         return [
-            ref for ref, since_s in missing.items() if now_s - since_s > self._terms.trusted_after_s
+            ref for ref, since_s in missing.items() if now_s - since_s > self._terms.expired_after_s
         ]
--- a/src/rainsail/control/leader_directory.py
+++ b/src/rainsail/control/leader_directory.py
@@ -22,9 +22,9 @@
 class LeaderDirectory:
     """Tracks the last known leader of each group and picks the replica to ask when none is known.
 
-    Followers keep naming a failed leader until they have elected another. Their hints to a replica
-    that has just failed to reply are therefore ignored for ``unresponsive_period_s``; the members
-    are asked round-robin, so that a new leader is found as soon as it is elected.
+    Followers keep naming a failed leader until they have elected another. Hints that name a
+    replica that has just failed to reply are therefore ignored for ``unresponsive_period_s``; the
+    members are asked round-robin, so that a new leader is found as soon as it is elected.
     """
 
     def __init__(
--- a/src/rainsail/control/watch_routes.py
+++ b/src/rainsail/control/watch_routes.py
@@ -42,13 +42,13 @@
         if not self._gone:
             self._request.write(line)
 
-    def end(self, cut: bool) -> None:
-        """Finish the response; with ``cut`` the connection is aborted after ``drain_s``."""
+    def end(self, disconnect: bool) -> None:
+        """Finish the response; with ``disconnect`` the connection is aborted after ``drain_s``."""
         if self._gone:
             return
         channel = self._request.channel
         self._request.unregisterProducer()
-        if cut:
+        if disconnect:
             self._clock.callLater(self._drain_s, _abort, channel)
         self.finished.callback(b"")
 
--- a/src/rainsail/control/watcher.py
+++ b/src/rainsail/control/watcher.py
@@ -28,8 +28,8 @@
         """Take one line with its newline."""
         ...
 
-    def end(self, cut: bool) -> None:
-        """End the watch; with ``cut`` the client has a limited time to read the rest."""
+    def end(self, disconnect: bool) -> None:
+        """End the watch; with ``disconnect`` the client has a limited time to read the rest."""
         ...
 
 
@@ -164,7 +164,7 @@
             detail = (
                 f"{waiting} events pending for this watcher; resume from the last revision read"
             )
-            self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), cut=True)
+            self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), disconnect=True)
 
     def _compacted_fault(self) -> Fault:
         detail = f"events after revision {self._revision} are compacted; list again"
@@ -172,11 +172,11 @@
             FaultCode.REVISION_COMPACTED, STEP, detail, current_revision=self._state.revision
         )
 
-    def _end_with(self, line_type: str, fault: Fault, cut: bool = False) -> None:
+    def _end_with(self, line_type: str, fault: Fault, disconnect: bool = False) -> None:
         line = {"type": line_type, "revision": self._revision, **fault_to_json(fault)}
         self._sink.write_line(json_line(line))
         self.stop()
-        self._sink.end(cut)
+        self._sink.end(disconnect)
 
 
 class WatchHub:
