--- a/features/controllers/departures.feature
+++ b/features/controllers/departures.feature
@@ -1,6 +1,6 @@
 Feature: Drained runners, finished jobs and departed gateways
 
-  Scenario: A drained runner is marked and its mark is taken away again
+  Scenario: A drained runner is marked as draining until the drain is undone
     Given a placement whose 3 runners answer with v1
     When the placement's first runner is drained
     And 2 seconds pass for the placement
@@ -9,7 +9,7 @@
     And 2 seconds pass for the placement
     Then the placement's first runner is no longer marked as draining
 
-  Scenario: A machine that leaves is no copy to count on
+  Scenario: A runner whose machine is leaving does not count as serving
     Given a placement whose 2 runners answer with v1
     And the placement's machine list says that the first runner's machine is leaving
     When the placement's service moves to version v2
@@ -17,7 +17,7 @@
     Then every runner of the placement answers with v1
     And the placement's first runner is marked as draining and not ready
 
-  Scenario: A machine list that lags is followed when it catches up
+  Scenario: An outdated machine list is followed once it is updated
     Given a placement whose 3 runners answer with v1
     When the placement's first runner dies and the machine list still calls it live
     And the placement's service moves to version v2
@@ -28,17 +28,17 @@
     And 5 seconds pass for the placement
     Then the placement's first runner is marked as draining and not ready
 
-  Scenario: Finished jobs are forgotten after their retention
+  Scenario: Finished jobs are deleted after their retention
     Given controllers that keep finished jobs 1000 seconds and open ones 500 seconds
     And the controllers' state has a finished, a cancelled, an open and an accepted job
     When 400 seconds pass for the controllers
     Then the controllers' state still has all 4 jobs
     When 200 seconds pass for the controllers
-    Then the controllers' state has forgotten the open job only
+    Then the controllers' state has lost only the open job
     When 600 seconds pass for the controllers
     Then the controllers' state has the accepted job only
 
-  Scenario: A new leader counts ages afresh
+  Scenario: A new leader restarts the retention periods
     Given controllers that keep finished jobs 1000 seconds and open ones 500 seconds
     And the controllers' state has a finished, a cancelled, an open and an accepted job
     When 400 seconds pass for the controllers
@@ -46,16 +46,16 @@
     And 400 seconds pass for the controllers
     Then the controllers' state still has all 4 jobs
 
-  Scenario: A gateway that is silent for long loses its resource
-    Given controllers that keep silent gateways 300 seconds
-    And two gateways of which the controllers hear only one
+  Scenario: The resource of a gateway without contact is deleted after its retention
+    Given controllers that keep gateways without contact 300 seconds
+    And two gateways of which only one contacts the controllers
     When 200 seconds pass for the controllers
     Then the controllers' state has both gateways
     When 400 seconds pass for the controllers
-    Then the controllers' state has only the gateway that is heard
+    Then the controllers' state has only the gateway in contact
 
-  Scenario: Gateways are kept while nobody can say when they were heard
-    Given controllers that keep silent gateways 300 seconds
-    And two gateways and no word of when the controllers heard them
+  Scenario: Gateways are kept while their last contact is unknown
+    Given controllers that keep gateways without contact 300 seconds
+    And two gateways whose last contact the controllers don't know
     When 4000 seconds pass for the controllers
     Then the controllers' state has both gateways
--- a/features/steps/control_configuration_steps.py
+++ b/features/steps/control_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration leases, InForce and the gateways' views."""
+"""Steps on configuration leases, the in-force revision and the gateways' views."""
 
 from behave import given, then, when
 from features.support.control import READ_LEASE_S, ControlFleet
@@ -26,7 +26,7 @@
 
 
 def start_fleet(context, names, **options):
-    """Start a fleet with leased gateways."""
+    """Start a fleet in which every gateway holds a configuration lease."""
     fleet = ControlFleet(**options)
     context.fleet = fleet
     for name in names.split(", "):
@@ -63,9 +63,9 @@
 @given('the control fleet has the defect "{defect}"')
 def step_defect(context, defect):
     name, broken = DEFECTS[defect]
-    whole = getattr(config_view, name)
+    original = getattr(config_view, name)
     setattr(config_view, name, broken)
-    context.add_cleanup(setattr, config_view, name, whole)
+    context.add_cleanup(setattr, config_view, name, original)
 
 
 @when("an operator of the control fleet puts a service")
@@ -112,7 +112,7 @@
     fleet.elect(name)
 
 
-@when("gateway {name} of the control fleet starts while services change, come and go")
+@when("gateway {name} of the control fleet starts while services are changed, added and deleted")
 def step_start_amid_changes(context, name):
     fleet = context.fleet
     client = fleet.client("busy")
@@ -130,7 +130,9 @@
     assert number > 5, "nothing changed while the pages were read"
 
 
-@then("gateway {name} of the control fleet has every lasting service once it may serve")
+@then(
+    "gateway {name} of the control fleet has every service that was not deleted once it may serve"
+)
 def step_lasting(context, name):
     names = {resource.key.name for resource in context.at_start}
     assert names >= {f"s{number}" for number in range(20)}, names
@@ -216,8 +218,8 @@
     context.fleet.wait_until(lambda: marked(context), seconds)
 
 
-def serves_without_the_mark_being_wrong(context, name):
-    """Run past the lease; return whether the mark never came while the gateway could serve."""
+def mark_waits_for_gateway(context, name):
+    """Run past the lease; return False if the change is marked while the gateway may serve."""
     view = context.fleet.gateways[name].view
     assert view.lease_valid(), "the scenario needs a gateway that may still serve"
     for _ in range(int(2 * context.fleet.settings.config_lease_s / CHECK_STEP_S)):
@@ -232,7 +234,7 @@
 
 @then("the control fleet does not mark that change while gateway {name} may serve")
 def step_not_marked(context, name):
-    assert serves_without_the_mark_being_wrong(context, name)
+    assert mark_waits_for_gateway(context, name)
 
 
 @then("gateway {name} of the control fleet refuses new work")
@@ -255,7 +257,7 @@
 
 
 def keeps(context, name):
-    """Tell whether a view is as it was before the stale answers."""
+    """Tell whether a view is unchanged since before the stale replies."""
     view = context.fleet.gateways[name].view
     return context.before == (view.revision, view.list_resources(Kind.GATEWAY))
 
@@ -269,7 +271,7 @@
 def step_check_fails(context, check, name):
     checks = {
         "keeps what it has": keeps,
-        "does not mark while it may serve": serves_without_the_mark_being_wrong,
+        "does not mark while it may serve": mark_waits_for_gateway,
     }
     assert not checks[check](context, name)
 
--- a/features/support/control_history.py
+++ b/features/support/control_history.py
@@ -1,4 +1,4 @@
-"""Random operators on real control replicas under faults, and the checks of what they saw."""
+"""Random operators on real control replicas under faults, and checks of their history."""
 
 import random
 from dataclasses import dataclass, field
@@ -31,7 +31,7 @@
 
 @dataclass
 class Operation:
-    """One call of an operator: what it asked, when, and what it was answered."""
+    """One call of an operator: the command (None: a read), start and end time, and the answer."""
 
     command: PutResource | DeleteResource | None
     started_s: float
@@ -53,12 +53,12 @@
 
 @dataclass
 class RandomOperators:
-    """Operators, each with one call at a time, on a fleet to which random things happen."""
+    """Operators, each with one call at a time, on a fleet with random faults."""
 
     seed: int
     snapshot_entries: int = 40
     operations: list[Operation] = field(default_factory=list)
-    marks_checked: int = 0
+    in_force_checks: int = 0
 
     def __post_init__(self) -> None:
         self.fleet = RealGroupFleet(5, self.seed, snapshot_entries=self.snapshot_entries)
@@ -74,10 +74,10 @@
             self._join_gateway()
         for number in range(OPERATORS):
             self._next(self.fleet.client(f"operator{number}"))
-        self.fleet.clock.callLater(FAULT_PERIOD_S, self._trouble)
+        self.fleet.clock.callLater(FAULT_PERIOD_S, self._inject_fault)
 
     def run(self, seconds: float) -> None:
-        """Run, holding what is said to be in force against the gateways all the time."""
+        """Run the operators; check the in-force revision against the gateways all the time."""
         fleet = self.fleet
         until_s = fleet.clock.seconds() + seconds
         checked_s = 0.0
@@ -126,22 +126,22 @@
             self.known_revisions = {each.key.name: each.revision for each in reply.resources}
         self._next(client)
 
-    # --- trouble -------------------------------------------------------------------------
+    # --- faults --------------------------------------------------------------------------
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         if self.stopping:
             return
-        self.fleet.clock.callLater(self.random.random() * 2 * FAULT_PERIOD_S, self._trouble)
+        self.fleet.clock.callLater(self.random.random() * 2 * FAULT_PERIOD_S, self._inject_fault)
         self.random.choice(
             (
                 self._kill_leader,
                 self._kill_any,
                 self._start_any,
                 self._cut_any,
-                self._mend_any,
-                self._lossy,
+                self._reconnect_any,
+                self._add_message_loss,
                 self._lose_disk,
-                self._trouble_gateway,
+                self._isolate_gateway,
                 self._join_gateway,
                 self._restart_gateway,
             )
@@ -155,12 +155,12 @@
         self._kill(self.random.choice(self.fleet.names))
 
     def _kill(self, name: str) -> None:
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.down.append(name)
             self.fleet.replicas[name].kill()
 
-    def _may_strike(self, name: str) -> bool:
-        """At most two machines are in trouble; one with a lost disk is until it is replaced."""
+    def _may_fail(self, name: str) -> bool:
+        """Allow faults on at most two machines; a lost disk counts until the group is healthy."""
         if self.lost and self._is_healthy():
             self.lost.clear()
         return len({*self.down, *self.cut, *self.lost, name}) <= 2
@@ -171,7 +171,7 @@
 
     def _lose_disk(self) -> None:
         name = self.random.choice(self.fleet.names)
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.lost.append(name)
             self.disks_lost += 1
             self.fleet.replicas[name].lose_disk()
@@ -183,19 +183,19 @@
 
     def _cut_any(self) -> None:
         name = self.fleet.leader() or self.random.choice(self.fleet.names)
-        if name not in self.down and self._may_strike(name):
+        if name not in self.down and self._may_fail(name):
             self.cut.append(name)
             self.fleet.network.isolate(name)
 
-    def _mend_any(self) -> None:
+    def _reconnect_any(self) -> None:
         if self.cut:
             self.fleet.network.rejoin(self.cut.pop(0))
 
-    def _lossy(self) -> None:
+    def _add_message_loss(self) -> None:
         loss = self.random.choice((0.0, 0.0, 0.03))
         self.fleet.network.set_conditions(LinkConditions(loss=loss, duplication=loss))
 
-    def _trouble_gateway(self) -> None:
+    def _isolate_gateway(self) -> None:
         name = self.random.choice(sorted(self.fleet.views))
         self.fleet.network.isolate(name)
         self.fleet.clock.callLater(self.random.random() * 20.0, self.fleet.network.rejoin, name)
@@ -216,12 +216,12 @@
         self.fleet.network.set_conditions(LinkConditions())
 
     def _check_in_force(self) -> None:
-        """No gateway that may serve lacks what any replica says is in force."""
+        """Check that every gateway that may serve has applied the highest in-force revision."""
         running = [each for each in self.fleet.replicas.values() if each.running and each.node]
         marked = max((each.node.state.in_force_revision for each in running), default=0)
         for name, view in self.fleet.views.items():
             if view.lease_valid():
-                self.marks_checked += 1
+                self.in_force_checks += 1
                 assert view.revision >= marked, f"{name} serves {view.revision}, {marked} in force"
 
 
@@ -229,13 +229,13 @@
 
 
 def events_of(operators: RandomOperators) -> list[WatchEvent]:
-    """Return every event of the fleet's life, as the leader has them."""
+    """Return all events since the fleet's start, as stored at the leader."""
     fleet = operators.fleet
     return fleet.state(fleet.leader()).events_since(0, 1_000_000)
 
 
 def check_changes(operators: RandomOperators, events: list[WatchEvent]) -> None:
-    """Acknowledged changes are there once; refused ones not at all; expectations held."""
+    """Check that acknowledged changes took effect once, refused ones never, as expected."""
     numbers = [_number(event) for event in events if _is_put(event)]
     for operation in operators.operations:
         if not isinstance(operation.command, PutResource):
@@ -244,10 +244,10 @@
         changed = operation.changed()
         assert times <= 1, f"{operation.command} took effect {times} times"
         if changed is not None:
-            assert times == 1, f"acknowledged and not there: {operation}"
+            assert times == 1, f"acknowledged, but not stored: {operation}"
             _check_expected(operation, changed, events)
         elif operation.answer is not None and operation.answer.error.code == FaultCode.CONFLICT:
-            assert times == 0, f"refused and there: {operation}"
+            assert times == 0, f"refused, but stored: {operation}"
     assert numbers, "no change took effect"
 
 
@@ -275,7 +275,10 @@
 
 
 def check_real_time(operators: RandomOperators, events: list[WatchEvent]) -> None:
-    """The one order of revisions agrees with the order in which calls ended and began."""
+    """Check that the order of revisions agrees with the order of calls in real time.
+
+    A call that starts after another one has ended must not see or make an older revision.
+    """
     points = sorted(operators.operations, key=lambda each: each.started_s)
     for operation in points:
         low, high = _revision_bounds(operation)
@@ -283,9 +286,9 @@
             continue
         earlier = [other for other in points if other.ended_s < operation.started_s]
         seen = max((_revision_bounds(other)[1] or 0 for other in earlier), default=0)
-        assert high >= seen, f"{operation} is older than an answer before it: {seen}"
+        assert high >= seen, f"{operation} is older than an earlier answer: {seen}"
         if operation.changed() is not None:
-            assert high > seen, f"{operation} changed at {high}, but {seen} was answered before"
+            assert high > seen, f"{operation} changed at {high}, but an earlier answer had {seen}"
 
 
 def _revision_bounds(operation: Operation) -> tuple[int | None, int | None]:
@@ -298,7 +301,7 @@
 
 
 def check_reads(operators: RandomOperators, events: list[WatchEvent]) -> int:
-    """Every list is exactly the store at its revision; returns how many were checked."""
+    """Check that every list equals the store at its revision; return the number of lists."""
     checked = 0
     for operation in operators.operations:
         reply = operation.read()
@@ -318,7 +321,7 @@
 
 
 def check_views(operators: RandomOperators) -> None:
-    """At the end every gateway has the leader's services; none ever saw a revision fall."""
+    """Check that every gateway has the leader's services and never saw a revision fall."""
     fleet = operators.fleet
     wanted = fleet.state(fleet.leader()).list_resources(Kind.SERVICE)
     for name, view in fleet.views.items():
--- a/src/rainsail/control/controllers/loop.py
+++ b/src/rainsail/control/controllers/loop.py
@@ -1,7 +1,7 @@
-"""Runs one planner round by round on the leader: plan, propose, wait for the answers, again.
+"""Runs one planner in rounds on the leader: plan, propose, wait for the outcomes, repeat.
 
-Rounds never overlap. A command that lost a race is not repeated: the next round plans anew on
-what is stored by then.
+Rounds never overlap. A command that meets a conflict is not retried: the next round plans again
+from the state stored by then.
 """
 
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class ReconcileLoop:
-    """One planner's rounds: every period, and soon after ``wake``."""
+    """Runs one planner every period, and shortly after each ``wake``."""
 
     def __init__(
         self,
@@ -46,28 +46,28 @@
         self._epoch = 0
         self._running = False
         self._in_round = False
-        self._woken = False
+        self._wake_pending = False
 
     def start(self) -> None:
-        """Begin a leadership: forget what an earlier one remembered and look at once."""
+        """Start a leadership term: reset the planner and run a round at once."""
         self.stop()
         self._running = True
         self._planner.begin()
         self._schedule(0.0)
 
     def stop(self) -> None:
-        """End the leadership; a round under way has no further effect on the loop."""
+        """End the leadership term; a round in progress no longer affects the loop."""
         self._epoch += 1
         self._running = False
         self._in_round = False
-        self._woken = False
+        self._wake_pending = False
         self._cancel_timer()
 
     def wake(self) -> None:
-        """Look again soon, because something has changed."""
-        if not self._running or self._woken:
+        """Schedule a round soon, because the state has changed."""
+        if not self._running or self._wake_pending:
             return
-        self._woken = True
+        self._wake_pending = True
         if not self._in_round:
             self._cancel_timer()
             self._schedule(self._settings.replan_delay_s)
@@ -82,7 +82,7 @@
 
     def _round(self) -> None:
         self._timer = None
-        self._woken = False
+        self._wake_pending = False
         if not self._group.is_leader():
             self._schedule_next()
             return
@@ -92,7 +92,7 @@
             return
         self._in_round = True
         chosen = commands[: self._settings.max_commands_per_round]
-        self._woken = len(chosen) < len(commands)
+        self._wake_pending = len(chosen) < len(commands)
         epoch = self._epoch
         answers = DeferredList([self._propose(command) for command in chosen])
         answers.addTimeout(self._settings.propose_timeout_s, self._clock)  # type: ignore[arg-type]
@@ -100,17 +100,17 @@
 
     def _propose(self, command: object) -> "Deferred[None]":
         proposed = self._group.propose(command)  # type: ignore[arg-type]
-        proposed.addCallbacks(self._note_answer, self._note_failure)
+        proposed.addCallbacks(self._log_outcome, self._log_failure)
         return proposed  # type: ignore[return-value]
 
-    def _note_answer(self, answer: Proposed) -> None:
+    def _log_outcome(self, answer: Proposed) -> None:
         if answer.is_error():
-            logger.debug("{} was not committed: {}", self._planner.name, answer.error)
+            logger.debug("{}: command not committed: {}", self._planner.name, answer.error)
         elif isinstance(answer.ok[1], Fault):
-            logger.debug("{} lost a race: {}", self._planner.name, answer.ok[1])
+            logger.debug("{}: command refused: {}", self._planner.name, answer.ok[1])
 
-    def _note_failure(self, failure: object) -> None:
-        logger.warning("{} could not propose: {}", self._planner.name, failure)
+    def _log_failure(self, failure: object) -> None:
+        logger.warning("{}: could not propose a command: {}", self._planner.name, failure)
 
     def _end_round(self, epoch: int) -> None:
         if epoch != self._epoch:
@@ -119,7 +119,7 @@
         self._schedule_next()
 
     def _schedule_next(self) -> None:
-        if self._woken:
+        if self._wake_pending:
             self._schedule(self._settings.replan_delay_s)
             return
         jitter = self._settings.period_jitter_fraction * self._random.uniform(-1.0, 1.0)
--- a/src/rainsail/control/controllers/placement.py
+++ b/src/rainsail/control/controllers/placement.py
@@ -1,10 +1,11 @@
-"""Placement and roll-out: tells runners which version and adapters to load, in step.
-
-The controller writes ``loading_version``, ``adapters`` and a raised ``fence`` into the status of a
-runner; the gateway that owns the runner sends the order under that fence and reports back, also
-whether it is ready: an engine may answer with its old version while it fetches the next. Here it
-counts as answering nobody from the order on. Every write expects the revision that the decision
-was made on, so a lost race is planned anew.
+"""Placement and roll-out: orders runners to load versions and adapters, a few at a time.
+
+The controller writes ``loading_version``, ``adapters`` and a higher ``fence`` into a runner's
+status. The gateway that owns the runner sends the order to the engine under that fence and
+reports the result, including readiness. An engine may serve its old version while it fetches the
+next one; this controller counts the runner as not serving from the order on. Every write expects
+the revision that the decision was based on, so a conflicting change makes the next round plan
+again.
 """
 
 from dataclasses import dataclass, replace
@@ -37,10 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _Ages:
-    """Seconds, under this leadership: of a load, of a runner's silence, of a service's version."""
+    """Ages in seconds, counted under this leadership.
+
+    ``load_s`` is how long a runner's current load has run, ``not_serving_s`` how long a runner
+    has been loading without a break, and ``version_s`` how long a service has had its active
+    version.
+    """
 
     load_s: dict[str, float]
-    silent_s: dict[str, float]
+    not_serving_s: dict[str, float]
     version_s: dict[str, float]
 
 
@@ -49,7 +55,7 @@
 
 
 class PlacementPlanner:
-    """Plans loads for every service and reports how far each has come."""
+    """Plans loads for every service and reports the progress of each roll-out."""
 
     name = "placement"
 
@@ -57,14 +63,14 @@
         self._settings = settings
         self._machines = machines
         self._loads = FirstSeen()
-        self._silences = FirstSeen()
+        self._not_serving = FirstSeen()
         self._versions = FirstSeen()
         self._adapter_changes: dict[str, float] = {}
 
     def begin(self) -> None:
-        """Count the age of every load afresh."""
+        """Reset all ages."""
         self._loads.clear()
-        self._silences.clear()
+        self._not_serving.clear()
         self._versions.clear()
         self._adapter_changes.clear()
 
@@ -73,10 +79,10 @@
         runners = view_runners(state, self._machines)
         services = state.list_resources(Kind.SERVICE)
         ages = self._observe(runners, services, now_s)
-        places = self._places(runners, ages, now_s)
+        load_slots = self._free_load_slots(runners, ages, now_s)
         commands: list[Command] = []
         for service in services:
-            view = self._rollout_view(service, runners, ages, places)
+            view = self._rollout_view(service, runners, ages, load_slots)
             problem = version_problem(state, service.key.name, view.version)
             if problem:
                 commands += _report(service, 0, False, problem)
@@ -84,9 +90,9 @@
             adapters = wanted_adapters(state, service.key.name)
             switches = choose_switches(view)
             commands += [_switch(runner, view.version, adapters) for runner in switches]
-            places -= sum(1 for runner in switches if not runner.loading)
-            changes = self._adapter_commands(view, adapters, places, now_s)
-            places -= len(changes)
+            load_slots -= sum(1 for runner in switches if not runner.loading)
+            changes = self._adapter_commands(view, adapters, load_slots, now_s)
+            load_slots -= len(changes)
             commands += changes
             commands += report_rollout(service, view)
         return commands
@@ -100,12 +106,12 @@
         version_ages_s = self._versions.ages_s(versions, now_s)
         return _Ages(
             dict(zip(names, load_ages_s, strict=True)),
-            dict(zip(names, self._silences.ages_s(names, now_s), strict=True)),
+            dict(zip(names, self._not_serving.ages_s(names, now_s), strict=True)),
             dict(zip((name for name, _ in versions), version_ages_s, strict=True)),
         )
 
     def _rollout_view(
-        self, service: Resource, runners: list[RunnerView], ages: _Ages, places: int
+        self, service: Resource, runners: list[RunnerView], ages: _Ages, load_slots: int
     ) -> RolloutView:
         spec = _spec(service)
         own = tuple(each for each in runners if each.spec.service == service.key.name)
@@ -115,16 +121,18 @@
             spec.runners,
             own,
             frozenset(each.name for each in own if self._is_stalled(each, ages)),
-            frozenset(each.name for each in own if ages.silent_s.get(each.name, 0) > version_age_s),
-            places,
+            frozenset(
+                each.name for each in own if ages.not_serving_s.get(each.name, 0) > version_age_s
+            ),
+            load_slots,
             self._settings.max_concurrent_loads,
         )
 
     def _is_stalled(self, runner: RunnerView, ages: _Ages) -> bool:
         return ages.load_s.get(runner.name, 0.0) >= self._settings.load_stall_s
 
-    def _places(self, runners: list[RunnerView], ages: _Ages, now_s: float) -> int:
-        """Return how many further loads the weight store may be asked for."""
+    def _free_load_slots(self, runners: list[RunnerView], ages: _Ages, now_s: float) -> int:
+        """Return how many further loads may start, to limit the load on the weight store."""
         pacing_s = self._settings.adapter_pacing_s
         self._adapter_changes = {
             name: since_s
@@ -135,21 +143,21 @@
         return self._settings.max_concurrent_loads - loading - len(self._adapter_changes)
 
     def _adapter_commands(
-        self, view: RolloutView, adapters: tuple[str, ...], places: int, now_s: float
+        self, view: RolloutView, adapters: tuple[str, ...], load_slots: int, now_s: float
     ) -> list[Command]:
         outdated = [
             runner
             for runner in view.runners
             if runner.serving == view.version and runner.status.adapters != adapters
         ]
-        chosen = outdated[: max(0, places)]
+        chosen = outdated[: max(0, load_slots)]
         for runner in chosen:
             self._adapter_changes[runner.name] = now_s
         return [_put(runner, replace(runner.status, adapters=adapters)) for runner in chosen]
 
 
 def version_problem(state: ReplicatedReader, service: str, version: str) -> str:
-    """Return why a version can't be loaded, or an empty string."""
+    """Return the reason why a version can't be loaded, or an empty string."""
     if not version:
         return "no active version"
     resource = state.get(ResourceKey(Kind.MODEL_VERSION, version))
@@ -161,7 +169,7 @@
 
 
 def wanted_adapters(state: ReplicatedReader, service: str) -> tuple[str, ...]:
-    """Return the names of a service's adapters in order."""
+    """Return the names of a service's adapters in name order."""
     return tuple(
         resource.key.name
         for resource in state.list_resources(Kind.ADAPTER)
@@ -170,7 +178,7 @@
 
 
 def _switch(runner: RunnerView, version: str, adapters: tuple[str, ...]) -> PutStatus:
-    """Return the order; a runner that is turned round counts again once its owner says so."""
+    """Return the load order; a redirected runner is ready only once its owner reports so."""
     ready = runner.status.ready and not runner.loading
     status = replace(runner.status, loading_version=version, adapters=adapters, ready=ready)
     return _put(runner, status)
@@ -183,7 +191,7 @@
 
 
 def report_rollout(service: Resource, view: RolloutView) -> list[Command]:
-    """Return the report of a service's progress, or nothing when it is stored already."""
+    """Return the status change that reports a service's progress, or nothing if unchanged."""
     ready = ready_count(view)
     complete = is_complete(view)
     reason = f"{ready} of {view.wanted} runners ready with {view.version}"
--- a/src/rainsail/control/leader_client.py
+++ b/src/rainsail/control/leader_client.py
@@ -1,4 +1,4 @@
-"""Finds the leader of a group, follows it, and retries what is safe to send again."""
+"""Finds the leader of a group, follows leader changes, and retries what is safe to retry."""
 
 import random as random_module
 from dataclasses import replace
@@ -31,7 +31,7 @@
         FaultCode.CANCELLED,
     }
 )
-"""Codes that another attempt would meet again."""
+"""Fault codes that are not retried, because another attempt would get the same fault."""
 
 
 class LeaderClient:
@@ -56,11 +56,11 @@
     def propose(
         self, command: Command, timeout_s: float, group: GroupId = ROOT_GROUP
     ) -> "Deferred[Result[CommandOutcome, Fault]]":
-        """Commit a command at the leader; a fault outcome of the command is an Error too."""
+        """Commit a command at the leader; a fault outcome of the command is also an Error."""
         return Deferred.fromCoroutine(self._propose(command, timeout_s, group))
 
     def call(self, request: Any, timeout_s: float) -> "Deferred[Result[Any, Fault]]":
-        """Send a request record to its group's leader; reads are always sent again."""
+        """Send a request record to its group's leader; these requests are always retried."""
         return Deferred.fromCoroutine(self._attempts(request, timeout_s, True))
 
     async def _propose(
@@ -89,11 +89,11 @@
             answer = await self._messenger.call(target, request, attempt_s)
             if answer.is_ok():
                 self._leaders.answered(request.group, target)
-                return _opened(answer.ok)
+                return _decoded(answer.ok)
             fault: Fault = answer.error
             may_have_run = may_have_run or fault.outcome != Outcome.NOT_RUN
             if fault.code in FINAL_CODES or (may_have_run and not repeatable):
-                return Error(_with_truth(fault, may_have_run))
+                return Error(_with_outcome(fault, may_have_run))
             now_s = self._clock.seconds()
             redirected = self._leaders.failed(request.group, target, fault, now_s)
             wait_s = (
@@ -103,7 +103,7 @@
             )
             failures += 1
             if self._clock.seconds() + wait_s >= deadline_s:
-                return Error(_with_truth(fault, may_have_run))
+                return Error(_with_outcome(fault, may_have_run))
             if wait_s > 0:
                 await sleep(self._clock, wait_s)
 
@@ -119,8 +119,8 @@
         return self._settings.attempt_timeout_s
 
 
-def _opened(reply: Any) -> Result[Any, Fault]:
-    """Return the reply, decoded when it came as one encoded for many receivers."""
+def _decoded(reply: Any) -> Result[Any, Fault]:
+    """Return the reply, decoded if it is an ``EncodedReply``."""
     if not isinstance(reply, EncodedReply):
         return Ok(reply)
     try:
@@ -129,8 +129,8 @@
         return Error(Fault(FaultCode.INTERNAL, "leader_client.decode", str(error)))
 
 
-def _with_truth(fault: Fault, may_have_run: bool) -> Fault:
-    """Return the fault, saying UNKNOWN when an earlier attempt may have taken effect."""
+def _with_outcome(fault: Fault, may_have_run: bool) -> Fault:
+    """Return the fault, with outcome UNKNOWN if an earlier attempt may have taken effect."""
     if may_have_run and fault.outcome == Outcome.NOT_RUN:
         return replace(fault, outcome=Outcome.UNKNOWN)
     return fault
--- a/src/rainsail/control/operator_api.py
+++ b/src/rainsail/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: JSON over klein, served by every replica."""
+"""The operator API: JSON over HTTP (klein), served by every replica."""
 
 import random as random_module
 import time
@@ -23,7 +23,7 @@
 from rainsail.control.operator_auth import Authenticator, KeyAuthenticator
 from rainsail.control.operator_gate import OperatorGate
 from rainsail.control.resource_endpoints import ResourceEndpoints
-from rainsail.control.resource_json import plain
+from rainsail.control.resource_json import json_value
 from rainsail.control.resource_routes import ResourceRoutes
 from rainsail.control.settings import ControlSettings
 from rainsail.control.watch_routes import WatchRoutes
@@ -37,9 +37,10 @@
 class OperatorApi:
     """Routes of the operator API; ``app`` is the klein application.
 
-    ``authenticate`` takes a bearer token (by default: the keys of the settings and of the
-    tenants), ``metrics`` returns the text of ``/metrics``. ``random`` spreads the retries of
-    job submissions, ``wall_clock`` (Unix seconds) turns callers' deadlines into points in time.
+    ``authenticate`` checks a bearer token (by default against the keys of the settings and of the
+    tenants), ``metrics`` returns the text of ``/metrics``. ``random`` adds jitter to the retries
+    of job submissions, ``wall_clock`` (Unix seconds) converts callers' relative deadlines to
+    absolute ones.
     """
 
     def __init__(
@@ -83,8 +84,8 @@
         caller = self._gate.operator(request)
         if caller.is_error():
             return answer_fault(request, caller.error)
-        status = plain(self._group.status())
-        status["ledger_groups"] = [plain(group.status()) for group in self._ledger_groups]
+        status = json_value(self._group.status())
+        status["ledger_groups"] = [json_value(group.status()) for group in self._ledger_groups]
         return answer_json(request, status)
 
     def _healthz(self, request: Any) -> bytes:
--- a/src/rainsail/control/paged_list.py
+++ b/src/rainsail/control/paged_list.py
@@ -1,7 +1,7 @@
-"""Reads all resources through the leader in pages, so that no message grows with the fleet.
+"""Reads all resources through the leader in pages, to bound the message size for large fleets.
 
-Each page is read at its own revision. The list as a whole stands at the revision of the first
-page; what changed between the pages is followed from there by events.
+Each page is read at its own revision. The list as a whole has the revision of the first page;
+changes made between the pages arrive later as events.
 """
 
 from dataclasses import dataclass
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PagedList:
-    """All resources; those above ``revision`` are ahead of the list and come again as events.
+    """All resources; those newer than ``revision`` arrive again as events.
 
-    From ``complete_revision`` on, a reader that follows the events misses nothing.
+    A reader that has applied the events up to ``complete_revision`` has a complete view.
     """
 
     revision: int
@@ -35,19 +35,21 @@
 async def read_all_pages(
     client: ControlClient, page_resources: int, timeout_s: float
 ) -> Result[PagedList, Fault]:
-    """Read every page; ``timeout_s`` bounds each of them."""
+    """Read every page; ``timeout_s`` applies to each page."""
     request = ListRequest(ROOT_GROUP, (), limit=page_resources, shared=True)
     pages: list[ListReply] = []
     while True:
         answer: Result[SharedListReply, Fault] = await client.call(request, timeout_s)
         if answer.is_error():
             return Error(answer.error)
-        opened = _opened(answer.ok)
-        if opened.is_error():
-            return Error(opened.error)
-        page = opened.ok
+        decoded = _decoded(answer.ok)
+        if decoded.is_error():
+            return Error(decoded.error)
+        page = decoded.ok
         if pages and page.revision < pages[-1].revision:
-            detail = f"a page at revision {page.revision} after one at {pages[-1].revision}"
+            detail = (
+                f"page at revision {page.revision} follows a page at revision {pages[-1].revision}"
+            )
             return Error(Fault(FaultCode.CONFLICT, STEP, detail))
         pages.append(page)
         if not page.more:
@@ -55,7 +57,7 @@
         request = next_page(request, page.resources[-1].key)
 
 
-def _opened(reply: SharedListReply) -> Result[ListReply, Fault]:
+def _decoded(reply: SharedListReply) -> Result[ListReply, Fault]:
     try:
         page: ResourcePage = decode(reply.page)
     except CodecError as error:
--- a/src/rainsail/control/resource_json.py
+++ b/src/rainsail/control/resource_json.py
@@ -1,4 +1,4 @@
-"""Resources as JSON objects and back; used by the operator API and the command line."""
+"""Converts resources to and from JSON objects for the operator API and the command line."""
 
 import dataclasses
 import json
@@ -20,13 +20,13 @@
 )
 
 JsonObject = dict[str, Any]
-"""A JSON object at the border to HTTP or a file; nothing inside passes one on."""
+"""A JSON object; used only at the boundary to HTTP or files, not inside the system."""
 
 STEP = "resource_json.read"
 
 
 def kind_from_text(text: str) -> Result[Kind, Fault]:
-    """Return the kind of that name, in any case."""
+    """Return the kind with that name, ignoring case."""
     for kind in Kind:
         if kind.value.lower() == text.lower():
             return Ok(kind)
@@ -34,7 +34,7 @@
     return Error(Fault(FaultCode.INVALID, STEP, f"kind: {text!r} is none of {names}"))
 
 
-def plain(value: Any) -> Any:
+def json_value(value: Any) -> Any:
     """Return a record as plain JSON values."""
     return dataclasses.asdict(value) if dataclasses.is_dataclass(value) else value  # type: ignore[arg-type]
 
@@ -42,9 +42,9 @@
 def resource_to_json(resource: Resource, in_force_revision: int | None = None) -> JsonObject:
     """Return a resource as a JSON object.
 
-    With ``in_force_revision`` the conditions say whether its spec is in force everywhere.
+    With ``in_force_revision`` the conditions include whether every gateway has applied its spec.
     """
-    conditions = [plain(condition) for condition in resource.conditions]
+    conditions = [json_value(condition) for condition in resource.conditions]
     if in_force_revision is not None:
         conditions.append(_in_force_condition(resource, in_force_revision))
     return {
@@ -52,8 +52,8 @@
         "name": resource.key.name,
         "revision": resource.revision,
         "generation": resource.generation,
-        "spec": plain(resource.spec),
-        "status": None if resource.status is None else plain(resource.status),
+        "spec": json_value(resource.spec),
+        "status": None if resource.status is None else json_value(resource.status),
         "conditions": conditions,
     }
 
@@ -80,12 +80,12 @@
 
 
 def fault_to_json(fault: Fault) -> JsonObject:
-    """Return a fault as the body of an error answer."""
-    return {"error": {key: value for key, value in plain(fault).items() if value is not None}}
+    """Return a fault as the body of an error response."""
+    return {"error": {key: value for key, value in json_value(fault).items() if value is not None}}
 
 
 def spec_from_json(kind: Kind, body: Any, path: str = "spec") -> Result[Spec, Fault]:
-    """Validate a spec: unknown keys are refused, the fault names the key and what is expected."""
+    """Validate a spec; unknown keys are refused. The fault names the key and the expected value."""
     if not isinstance(body, dict):
         return Error(_invalid(f"{path}: expected an object"))
     cls = SPEC_TYPES[kind]
@@ -102,8 +102,8 @@
 
 
 def merged_spec_json(spec: Spec, patch: JsonObject) -> JsonObject:
-    """Return a spec's JSON with the keys of ``patch`` replaced; null takes the default."""
-    merged = dict(plain(spec))
+    """Return a spec's JSON with the keys of ``patch`` replaced; null restores the default."""
+    merged = dict(json_value(spec))
     for key, value in patch.items():
         if value is None:
             merged.pop(key, None)
--- a/src/rainsail/control/watcher.py
+++ b/src/rainsail/control/watcher.py
@@ -1,7 +1,8 @@
-"""One watch of resource changes, apart from HTTP: lines in revision order, never a gap.
+"""Watches of resource changes, independent of HTTP: JSON lines in revision order without gaps.
 
-A watcher keeps no buffer of its own: it reads the replica's applied events from its own revision
-on, and stops reading while its client is slow. One that falls too far behind is told and cut.
+A watcher has no buffer of its own: it reads the replica's applied events from its own revision
+on, and stops reading while its client is slow. A watcher that falls too far behind gets an error
+line and is disconnected.
 """
 
 import json
@@ -16,24 +17,24 @@
 from rainsail.state.interface import ReplicatedReader
 
 STEP = "operator_api.watch"
-READ_EVENTS = 100
-"""Events read from the state at a time."""
+EVENT_BATCH_SIZE = 100
+"""Number of events read from the state at a time."""
 
 
 class LineSink(Protocol):
-    """Where a watch's lines go; it may pause and resume its watcher while it takes one."""
+    """Receives a watch's lines; it may pause and resume its watcher while it takes one."""
 
     def write_line(self, line: bytes) -> None:
         """Take one line with its newline."""
         ...
 
-    def end(self, cut: bool) -> None:
-        """The watch is over; with ``cut`` the client gets little time to read the rest."""
+    def end(self, disconnect: bool) -> None:
+        """End the watch; with ``disconnect`` the client has a limited time to read the rest."""
         ...
 
 
 class EventLines:
-    """Encoded lines of recent events, so that many watchers cost one encoding."""
+    """Cache of encoded lines of recent events, so that each event is encoded once per replica."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -57,7 +58,7 @@
 
 
 class Watcher:
-    """Follows the applied state from a revision on."""
+    """Sends the events of the applied state after a given revision to one sink."""
 
     def __init__(
         self,
@@ -78,38 +79,38 @@
         self._revision = revision
         self._kinds = kinds
         self._on_end = on_end
-        self._told_in_force = 0
+        self._sent_in_force_revision = 0
         self._paused = False
         self._ended = False
         self._timer: Any = None
 
     def start(self) -> None:
-        """Send what is there already, then bookmarks and changes."""
+        """Send the events that exist already, then bookmarks and changes."""
         self._schedule_bookmark()
         self.state_changed()
 
     def pause(self) -> None:
-        """Write nothing for now: the client doesn't keep up."""
+        """Stop writing, because the client doesn't keep up."""
         self._paused = True
 
     def resume(self) -> None:
-        """Go on where the watch was paused."""
+        """Continue where the watch was paused."""
         self._paused = False
         self.state_changed()
 
     def state_changed(self) -> None:
-        """Send what is new, unless paused."""
+        """Send new events, unless paused."""
         if self._ended:
             return
         if not self._paused:
             self._send_events()
         if self._paused:
-            self._cut_when_too_slow()
-        elif not self._ended and self._state.in_force_revision > self._told_in_force:
+            self._disconnect_if_too_slow()
+        elif not self._ended and self._state.in_force_revision > self._sent_in_force_revision:
             self._send_bookmark()
 
     def stop(self) -> None:
-        """End without a word: the client is gone."""
+        """End without a final line; the client has disconnected or the final line was sent."""
         if self._ended:
             return
         self._ended = True
@@ -119,9 +120,9 @@
 
     def _send_events(self) -> None:
         while not self._paused:
-            events = self._state.events_since(self._revision, READ_EVENTS)
+            events = self._state.events_since(self._revision, EVENT_BATCH_SIZE)
             if events is None:
-                self._end_with("revision_compacted", self._compacted())
+                self._end_with("revision_compacted", self._compacted_fault())
                 return
             if not events:
                 return
@@ -136,13 +137,13 @@
             self._sink.write_line(self._lines.line(event))
 
     def _send_bookmark(self) -> None:
-        self._told_in_force = self._state.in_force_revision
+        self._sent_in_force_revision = self._state.in_force_revision
         self._sink.write_line(
             json_line(
                 {
                     "type": "bookmark",
                     "revision": self._revision,
-                    "in_force_revision": self._told_in_force,
+                    "in_force_revision": self._sent_in_force_revision,
                 }
             )
         )
@@ -157,23 +158,25 @@
             self._send_bookmark()
         self._schedule_bookmark()
 
-    def _cut_when_too_slow(self) -> None:
+    def _disconnect_if_too_slow(self) -> None:
         waiting = self._state.revision - self._revision
         if waiting > self._settings.watch_buffer_events:
-            detail = f"{waiting} events wait for this watcher; go on from the last revision read"
-            self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), cut=True)
+            detail = (
+                f"{waiting} events pending for this watcher; resume from the last revision read"
+            )
+            self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), disconnect=True)
 
-    def _compacted(self) -> Fault:
-        detail = f"events after revision {self._revision} are gone: list again"
+    def _compacted_fault(self) -> Fault:
+        detail = f"events after revision {self._revision} are compacted; list again"
         return Fault(
             FaultCode.REVISION_COMPACTED, STEP, detail, current_revision=self._state.revision
         )
 
-    def _end_with(self, line_type: str, fault: Fault, cut: bool = False) -> None:
+    def _end_with(self, line_type: str, fault: Fault, disconnect: bool = False) -> None:
         line = {"type": line_type, "revision": self._revision, **fault_to_json(fault)}
         self._sink.write_line(json_line(line))
         self.stop()
-        self._sink.end(cut)
+        self._sink.end(disconnect)
 
 
 class WatchHub:
@@ -190,7 +193,7 @@
         return len(self._watchers)
 
     def watch(self, sink: LineSink, revision: int, kinds: tuple[Kind, ...]) -> Watcher:
-        """Make a watcher of changes after ``revision``; the caller starts it."""
+        """Create a watcher of changes after ``revision``; the caller starts it."""
         watcher = Watcher(
             self._state,
             self._clock,
@@ -205,6 +208,6 @@
         return watcher
 
     def state_applied(self) -> None:
-        """Let every watcher send what is new."""
+        """Let every watcher send new events."""
         for watcher in list(self._watchers):
             watcher.state_changed()
