--- a/features/cli/arguments.feature
+++ b/features/cli/arguments.feature
@@ -1,6 +1,6 @@
-Feature: Words that a command does not take end it before it starts anything
+Feature: Invalid arguments end a command before it starts anything
 
-  Scenario Outline: A wrong word is named
+  Scenario Outline: The error message names the invalid argument
     When rainsail is run with "<command>"
     Then rainsail exits with 2
     And its stderr says "<words>"
@@ -20,7 +20,7 @@
       | experiment --minutes=-1            | --minutes: expected a number above 0         |
       | defects now                        | unexpected argument 'now'                    |
 
-  Scenario Outline: Each command's help tells what it takes, and starts nothing
+  Scenario Outline: The help of a command starts nothing and exits with 0
     When rainsail is run with "<command> --help"
     Then rainsail exits with 0
 
--- a/features/cli/fleet.feature
+++ b/features/cli/fleet.feature
@@ -1,16 +1,16 @@
 Feature: The command line against a running fleet
-  A newcomer runs rainsail up, declares resources and looks at what became true.
+  An operator starts a fleet with rainsail up, reads its state and changes its resources.
 
   Background:
     Given a fleet that rainsail up runs
 
-  Scenario: The fleet tells its health, in words and as JSON
+  Scenario: The status command prints the fleet's health as text and as JSON
     When rainsail status is run against the fleet
     Then the fleet command exits with 0 and prints "Healthy"
     When rainsail status --output json is run against the fleet
     Then the fleet command's JSON has health "Healthy" and leader "replica-1"
 
-  Scenario: Every process answers on its status port
+  Scenario: The status port serves health, readiness and metrics
     Then the fleet answers /healthz with status 200 and "ok"
     And the fleet answers /readyz with status 200 and "ready"
     And the fleet answers /metrics with status 200 and "rainsail_ready 1.0"
@@ -18,7 +18,7 @@
     And the fleet answers /metrics with status 200 and "rainsail_group_leader{replica="replica-1"} 1.0"
     And the fleet answers /metrics with status 200 and "rainsail_config_lease_valid{gateway="gateway-1"} 1.0"
 
-  Scenario Outline: What goes wrong is told with the right exit code
+  Scenario Outline: The exit code tells success, failure and invalid input apart
     When rainsail <command> is run against the fleet
     Then the fleet command exits with <code> and prints "<words>"
 
@@ -39,7 +39,7 @@
       | status --address localhost:1                         | 2    | --address: expected an IP number           |
       | explain nothing                                      | 1    | 404                                        |
 
-  Scenario: A key that nobody knows is told where to set one
+  Scenario: The error for an unknown API key names the variable to set
     When rainsail status is run against the fleet with the key "wrong"
     Then the fleet command exits with 1 and prints "set RAINSAIL_API_KEY"
 
@@ -57,7 +57,7 @@
     When rainsail explain ask-1 is run against the fleet's gateway with the key of broker
     Then the fleet command exits with 1 and prints "keeps no decision of request 'ask-1'"
 
-  Scenario: A drained runner that is wanted again becomes ready again
+  Scenario: A runner becomes ready again after its drain is undone
     When rainsail drain Runner reports-1 is run against the fleet
     Then the fleet command exits with 0 and prints "drain: true"
     And the fleet's runner reports-1 becomes not ready
@@ -65,6 +65,6 @@
     Then the fleet command exits with 0 and prints "drain: false"
     And the fleet's runner reports-1 becomes ready
 
-  Scenario: The ring of log records is dumped on request
+  Scenario: The in-memory ring of log records is dumped on SIGUSR1
     When the fleet's process is asked for its log ring
     Then the fleet's data folder holds a dump of the log ring with "started"
--- a/features/steps/cli_fleet_steps.py
+++ b/features/steps/cli_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the command line against a fleet that ``rainsail up`` runs."""
+"""Steps that run commands against a fleet started by ``rainsail up``."""
 
 import json
 import signal
--- a/features/support/command_line.py
+++ b/features/support/command_line.py
@@ -1,4 +1,4 @@
-"""Running the command line from steps."""
+"""Runs the ``rainsail`` command from steps."""
 
 import contextlib
 import io
@@ -12,13 +12,13 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PROGRAM = (sys.executable, "-c", "from rainsail.cli.main import main; main()")
-"""Starts ``rainsail`` in a process of its own; its arguments follow."""
-LIMIT_S = 60.0
+"""Command that starts ``rainsail`` in a separate process; append its arguments."""
+TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True)
 class Finished:
-    """How a command ended."""
+    """Exit code and output of a command."""
 
     code: int
     stdout: str
@@ -26,21 +26,21 @@
 
 
 def rainsail(arguments: list[str], folder: Path = ROOT, **environment: str) -> Finished:
-    """Run ``rainsail`` in ``folder`` and return how it ended."""
-    kept = {key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")}
+    """Run ``rainsail`` in a separate process, without RAINSAIL_ variables of this process."""
+    inherited = {key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")}
     run = subprocess.run(
         [*PROGRAM, *arguments],
         cwd=folder,
-        env={**kept, **environment, "PAGER": "cat"},
+        env={**inherited, **environment, "PAGER": "cat"},
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
     )
     return Finished(run.returncode, run.stdout, run.stderr)
 
 
 def rainsail_here(arguments: list[str], folder: Path = ROOT) -> Finished:
-    """Run ``rainsail`` inside this process: quick, for commands that start no reactor."""
+    """Run ``rainsail`` inside this process: faster, but only for commands without a reactor."""
     stdout, stderr = io.StringIO(), io.StringIO()
     code = 0
     with (
--- a/src/rainsail/cli/__init__.py
+++ b/src/rainsail/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one thin module per command group."""
+"""Command-line interface: one module per command group."""
--- a/src/rainsail/cli/account.py
+++ b/src/rainsail/cli/account.py
@@ -1,4 +1,4 @@
-"""``rainsail account``: where items and requests lost their time, from the logs of many nodes."""
+"""``rainsail account``: breaks down the time of items and requests, from node logs."""
 
 from pathlib import Path
 
@@ -25,34 +25,34 @@
 def account(
     *logs: str, due_s: str = "", slots: str = "", plot: str = "", json: bool = False
 ) -> None:
-    """Account for the time of items and requests.
+    """Show where items and requests spent their time.
 
-    Damaged lines are named and passed over; the command then ends with code 1.
+    Damaged log lines are skipped and listed; the command then ends with exit code 1.
 
     Args:
-        logs: Files with nodes' output, those of storage nodes and gateways.
-        due_s: Time after its acceptance within which a job is due; items in time and the bound
-            on them are told with it.
-        slots: All slots of the runners that run items, for the bound and the picture.
-        plot: PNG file for the slots over time.
-        json: Print everything as one JSON document, each second with it.
+        logs: Log files of storage nodes and gateways.
+        due_s: Deadline of each job, in seconds after its acceptance; with it, the number of items
+            finished in time and its upper bound are reported.
+        slots: Total number of slots of the runners that run items, for the bound and the plot.
+        plot: PNG file to write a plot of the occupied slots over time to.
+        json: Print everything, including the figures for each second, as one JSON document.
     """
     if not logs:
-        raise bad_input("name at least one log file")
+        raise bad_input("expected at least one log file")
     try:
         log = read_logs([Path(name) for name in logs])
     except UnreadableLogError as error:
         raise bad_input(str(error)) from None
-    told = Account(log, _number("--due_s", due_s), _number("--slots", slots))
+    account_report = Account(log, _number("--due_s", due_s), _number("--slots", slots))
     if plot:
-        draw(told.occupancy, told.slots, Path(plot))
+        draw(account_report.occupancy, account_report.slots, Path(plot))
     if json:
-        print_json(told.summary())
+        print_json(account_report.summary())
     else:
-        _print_tables(told)
+        _print_tables(account_report)
     if log.damaged:
-        shown = "\n".join(str(each) for each in log.damaged)
-        raise CommandEnd(ExitCode.FAILED, f"damaged lines were passed over:\n{shown}")
+        damaged = "\n".join(str(each) for each in log.damaged)
+        raise CommandEnd(ExitCode.FAILED, f"skipped damaged log lines:\n{damaged}")
 
 
 def _number(flag: str, text: str) -> float | None:
@@ -63,12 +63,12 @@
     except ValueError:
         raise bad_input(f"{flag}: expected a number, got {text!r}") from None
     if value <= 0:
-        raise bad_input(f"{flag}: expected more than 0, got {text}")
+        raise bad_input(f"{flag}: expected a number above 0, got {text}")
     return value
 
 
-def _print_tables(told: Account) -> None:
-    summary = told.summary()
+def _print_tables(account_report: Account) -> None:
+    summary = account_report.summary()
     print_record(summary["items"], "table")
     print_rows(summary["jobs"], JOB_COLUMNS, "table")
     routes = [{"route": name, **values} for name, values in summary["routes"].items()]
--- a/src/rainsail/cli/bench.py
+++ b/src/rainsail/cli/bench.py
@@ -1,4 +1,4 @@
-"""``rainsail bench``: measures the system's own parts on this machine."""
+"""``rainsail bench``: runs benchmarks of single components on this machine."""
 
 import json
 import sys
@@ -17,33 +17,33 @@
 
 
 class BenchCommands:
-    """Run a bench; the last line on standard output is one JSON object.
+    """Run a benchmark; the last line on stdout is one JSON object.
 
-    ``--output`` names a folder for the JSON. ``--folder`` lies on the disk to be
-    measured (the system's temporary folder when left out).
+    ``--output`` is a folder to write the JSON to. ``--folder`` is a folder on the disk to measure
+    (default: the system's temporary folder).
     """
 
     def __getattr__(self, name: str) -> Any:
-        """End the command for a bench that is no more, naming those that there are."""
+        """Report a benchmark that was removed, with the names of the available ones."""
         if name in REMOVED_BENCHES:
-            raise bad_input(f"bench {name!r} was removed; there are {', '.join(BENCHES)} and all")
+            raise bad_input(f"bench {name!r} was removed; available: {', '.join(BENCHES)}, all")
         raise AttributeError(name)
 
     def storage(self, output: str = "", folder: str = "", seconds: float = 3.0) -> None:
-        """Measure the durable log: syncs, entries a second, processor time."""
+        """Measure the durable log: syncs and entries per second, CPU time."""
         _run("storage", output, folder, seconds=float(seconds))
 
     def ledger(self, output: str = "", folder: str = "", sizes: Any = ()) -> None:
-        """Measure the batch ledger alone: bytes per item, commands a second, snapshots."""
+        """Measure the batch ledger alone: bytes per item, commands per second, snapshots."""
         _run("ledger", output, folder, **_whole_numbers("sizes", sizes))
 
     def failover(self, output: str = "", folder: str = "", seeds: int = 200) -> None:
-        """Lose the leader in each way; seconds until a new change commits (virtual clock)."""
-        _run("failover", output, folder, seeds=_whole("seeds", seeds))
+        """Measure virtual seconds from each kind of leader failure to the next commit."""
+        _run("failover", output, folder, seeds=_whole_number("seeds", seeds))
 
     def dispatcher(self, output: str = "", repeats: int = 3) -> None:
-        """Measure a gateway's dispatcher: processor time per item and per decision."""
-        _run("dispatcher", output, folder="", repeats=_whole("repeats", repeats))
+        """Measure a gateway's dispatcher: CPU time per item and per decision."""
+        _run("dispatcher", output, folder="", repeats=_whole_number("repeats", repeats))
 
     def wire(self, output: str = "", folder: str = "", seconds: float = 1.0) -> None:
         """Measure the transport over loopback, with and without TLS, and the codec."""
@@ -59,24 +59,24 @@
         fairness: bool = True,
         profile: str = "",
     ) -> None:
-        """Measure one gateway: added latency, rates per core, memory, heaps and floods.
+        """Measure one gateway: added latency, rates per core, memory, heaps and fairness in floods.
 
-        ``--profile`` names a file for the profile (cProfile) of the gateway's process.
+        ``--profile`` is a file to write a cProfile profile of the gateway process to.
         """
         _run(
             "gateway",
             output,
             folder="",
-            runs=_whole("runs", runs),
+            runs=_whole_number("runs", runs),
             seconds=float(seconds),
-            heap_items=_whole("heap_items", heap_items),
+            heap_items=_whole_number("heap_items", heap_items),
             memory=bool(memory),
             fairness=bool(fairness),
             profile=profile,
         )
 
     def all(self, output: str = "", folder: str = "") -> None:
-        """Run every bench with bounded sizes, in under three minutes."""
+        """Run every benchmark with reduced sizes, in under three minutes."""
         session = _session(tuple(BENCHES), output, folder, brief=True)
         reports = {report.bench: report.to_json() for report in session.reports}
         print(json.dumps({"bench": "all", "benches": reports}), flush=True)
@@ -91,7 +91,7 @@
     names: tuple[str, ...], output: str, folder: str, brief: bool = False, **parameters: Any
 ) -> BenchSession:
     if folder and not Path(folder).is_dir():
-        raise bad_input(f"--folder: no folder {folder!r}")
+        raise bad_input(f"--folder: no such folder: {folder!r}")
     with _shown_progress() as progress:
         session = BenchSession(names, progress, folder, parameters, brief)
         try:
@@ -106,7 +106,7 @@
 
 @contextmanager
 def _shown_progress() -> Iterator[Progress]:
-    """Show the step under way on a terminal; show nothing elsewhere."""
+    """Show the current step if stdout is a terminal."""
     if not sys.stdout.isatty():
         yield no_progress
         return
@@ -114,15 +114,15 @@
         yield lambda step: status.update(step)
 
 
-def _whole(flag: str, value: Any) -> int:
+def _whole_number(flag: str, value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
         raise bad_input(f"--{flag}: expected a whole number of at least 1, got {value!r}")
     return value
 
 
 def _whole_numbers(flag: str, value: Any) -> dict[str, tuple[int, ...]]:
-    """Return the flag's parameter when it was given: one number or several with commas."""
+    """Return the flag's numbers (one, or several separated by commas); empty without the flag."""
     if value == ():
         return {}
     values = value if isinstance(value, tuple | list) else (value,)
-    return {flag: tuple(_whole(flag, each) for each in values)}
+    return {flag: tuple(_whole_number(flag, each) for each in values)}
--- a/src/rainsail/cli/check.py
+++ b/src/rainsail/cli/check.py
@@ -1,4 +1,4 @@
-"""``rainsail check``: holds the product's own code against its stated properties."""
+"""``rainsail check``: checks the consensus core and recorded histories for violations."""
 
 import dataclasses
 import json
@@ -21,32 +21,33 @@
 
 
 class CheckCommands:
-    """Run checks; exit code 3 when a property does not hold."""
+    """Run checkers; exit code 3 when a property is violated."""
 
     def consensus(
         self, schedules: int = DEFAULT_SCHEDULES, seed: int = 1, defect: str = ""
     ) -> None:
         """Run random schedules of the consensus core against its safety properties.
 
-        Schedule i of SEED is schedule 0 of SEED + i. With --defect a known-bad variant is run
-        instead, which the check must find. The last line on stdout is one JSON object. Exit code
-        0 when every property held, 2 for bad input, 3 with a violation.
+        Schedule i of SEED is schedule 0 of SEED + i. With --defect, a known-bad variant runs
+        instead, in which the check has to find a violation. The last line on stdout is one JSON
+        object. Exit code 0 when every property holds, 2 for invalid input, 3 for a violation.
         """
-        _check_whole(schedules, "--schedules", 1)
-        _check_whole(seed, "--seed", 0)
+        _check_whole_number(schedules, "--schedules", 1)
+        _check_whole_number(seed, "--seed", 0)
         if defect and defect not in CONSENSUS_DEFECTS:
             raise bad_input(f"--defect: expected one of {', '.join(CONSENSUS_DEFECTS)}")
         with consensus_defect(defect), progress_bar("schedules", schedules) as bar:
             result = run_model_check(schedules, seed, bar.advance)
-        print(json.dumps(_report(result, seed, defect)), flush=True)
+        print(json.dumps(_model_check_report(result, seed, defect)), flush=True)
         if result.violations:
             raise CommandEnd(ExitCode.VIOLATION)
 
     def history(self, file: str) -> None:
-        """Run every checker over a recorded history (written by ``simulate --history`` or a rig).
+        """Run every checker over a recorded history, as written by ``simulate --history``.
 
-        The last line on stdout is one JSON object. Exit code 0 when no checker found a violation,
-        2 when FILE is no history, 3 with a violation.
+        The test rig writes such histories, too. The last line on stdout is one JSON object. Exit
+        code 0 when no checker found a violation, 2 when FILE is not a valid history, 3 for a
+        violation.
         """
         history = _read_history(Path(str(file)))
         found = _check_history(history)
@@ -94,12 +95,12 @@
     }
 
 
-def _check_whole(value: Any, flag: str, least: int) -> None:
-    if not isinstance(value, int) or isinstance(value, bool) or value < least:
-        raise bad_input(f"{flag}: expected a whole number of at least {least}, got {value!r}")
+def _check_whole_number(value: Any, flag: str, minimum: int) -> None:
+    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
+        raise bad_input(f"{flag}: expected a whole number of at minimum {minimum}, got {value!r}")
 
 
-def _report(result: ModelCheckResult, seed: int, defect: str) -> dict[str, Any]:
+def _model_check_report(result: ModelCheckResult, seed: int, defect: str) -> dict[str, Any]:
     shown = result.violations[:MAX_REPORTED_VIOLATIONS]
     return {
         "schedules": result.schedules,
--- a/src/rainsail/cli/command_table.py
+++ b/src/rainsail/cli/command_table.py
@@ -1,14 +1,14 @@
-"""The command groups; each module is imported only when its group is invoked."""
+"""Table of the command groups; a module is imported only when its group is invoked."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CommandGroup:
-    """Where a group's commands are (``module:object``) and one line about them.
+    """Import path of a group's commands (``module:object``) and a one-line summary.
 
-    With ``text_arguments`` every value reaches the command as the text that was typed; without
-    it ``fire`` reads numbers, lists and the like.
+    With ``text_arguments``, every value is passed to the command as typed; without it, ``fire``
+    parses values as Python literals such as numbers and lists.
     """
 
     target: str
@@ -19,21 +19,21 @@
 COMMAND_GROUPS: dict[str, CommandGroup] = {
     "run": CommandGroup(
         "rainsail.cli.run:run",
-        "run one process in the roles its settings name",
+        "run one process in the roles listed in its settings",
         text_arguments=True,
     ),
     "up": CommandGroup(
         "rainsail.cli.run:up", "run a whole fleet in one process", text_arguments=True
     ),
     "node": CommandGroup(
-        "rainsail.cli.node:node", "run nodes of a fleet that relays", text_arguments=True
+        "rainsail.cli.node:node", "run nodes of a relaying fleet", text_arguments=True
     ),
     "demo": CommandGroup("rainsail.cli.demo:demo", "run the demonstration and check its outcome"),
     "settings": CommandGroup(
         "rainsail.cli.settings:SettingsCommands", "check settings files", text_arguments=True
     ),
     "keys": CommandGroup(
-        "rainsail.cli.keys:KeyCommands", "make certificates and API keys", text_arguments=True
+        "rainsail.cli.keys:KeyCommands", "create certificates and API keys", text_arguments=True
     ),
     "resource": CommandGroup(
         "rainsail.cli.resource:ResourceCommands",
@@ -44,22 +44,24 @@
         "rainsail.cli.job:JobCommands", "submit, follow and cancel batch jobs", text_arguments=True
     ),
     "drain": CommandGroup(
-        "rainsail.cli.drain:drain", "ask a runner, gateway or replica to leave", text_arguments=True
+        "rainsail.cli.drain:drain", "drain a runner, gateway or replica", text_arguments=True
     ),
     "status": CommandGroup(
         "rainsail.cli.status:status", "show the health of the fleet", text_arguments=True
     ),
     "explain": CommandGroup(
-        "rainsail.cli.explain:explain", "show why a request was routed so", text_arguments=True
+        "rainsail.cli.explain:explain",
+        "show why a request was routed to its runner",
+        text_arguments=True,
     ),
     "story": CommandGroup(
         "rainsail.cli.story:story",
-        "tell what happened to a request or job, from nodes' logs",
+        "show what happened to a request or job, from node logs",
         text_arguments=True,
     ),
     "account": CommandGroup(
         "rainsail.cli.account:account",
-        "tell where items and requests lost their time, from nodes' logs",
+        "show where items and requests spent their time, from node logs",
         text_arguments=True,
     ),
     "storage": CommandGroup("rainsail.cli.storage:StorageCommands", "read a data folder offline"),
@@ -67,9 +69,11 @@
     "simulate": CommandGroup("rainsail.cli.simulate:simulate", "run a simulated fleet with faults"),
     "defects": CommandGroup("rainsail.cli.simulate:defects", "list the known-bad variants"),
     "trace": CommandGroup("rainsail.cli.trace:TraceCommands", "record, show and generate traces"),
-    "replay": CommandGroup("rainsail.cli.trace:replay", "replay a trace against stated outcomes"),
+    "replay": CommandGroup(
+        "rainsail.cli.trace:replay", "replay a trace and check the expected outcomes"
+    ),
     "experiment": CommandGroup(
         "rainsail.cli.experiment:experiment", "compare batch policies on one trace"
     ),
-    "bench": CommandGroup("rainsail.cli.bench:BenchCommands", "run the benches"),
+    "bench": CommandGroup("rainsail.cli.bench:BenchCommands", "run benchmarks"),
 }
--- a/src/rainsail/cli/drain.py
+++ b/src/rainsail/cli/drain.py
@@ -1,4 +1,4 @@
-"""``rainsail drain``: ask a runner, gateway or replica to leave."""
+"""``rainsail drain``: drains a runner, gateway or replica."""
 
 import uuid
 
@@ -15,24 +15,24 @@
 def drain(
     kind: str, name: str, undo: bool = False, address: str | None = None, output: str = "table"
 ) -> None:
-    """Set `drain` of a resource: it gets no new work, what runs is finished.
+    """Set `drain` of a resource: it gets no new work and finishes its running work.
 
     Args:
         kind: Runner, Gateway or Replica.
-        name: Its name.
-        undo: Given: take the drain back.
+        name: Name of the resource.
+        undo: Cancel the drain.
         address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
         output: table or json.
     """
     check_format(output)
-    wanted = kind_of(kind)
-    if wanted not in DRAINABLE:
-        raise bad_input(f"kind: expected one of {', '.join(DRAINABLE)}, got {wanted}")
+    resource_kind = kind_of(kind)
+    if resource_kind not in DRAINABLE:
+        raise bad_input(f"kind: expected one of {', '.join(DRAINABLE)}, got {resource_kind}")
     body = {
         "spec": {"drain": not undo},
         "change_id": uuid.uuid4().hex,
         "expected_revision": ANY_REVISION,
     }
-    path = f"/v1/resources/{wanted}/{name}"
+    path = f"/v1/resources/{resource_kind}/{name}"
     answer = run_client(address, lambda client: client.request("PATCH", path, body))
     print_record(answer["resource"], output)
--- a/src/rainsail/cli/exit_codes.py
+++ b/src/rainsail/cli/exit_codes.py
@@ -4,7 +4,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says."""
+    """Exit code of a command."""
 
     DONE = 0
     FAILED = 1
@@ -13,7 +13,7 @@
 
 
 class CommandEnd(Exception):
-    """Raised by a command to end with a code; ``message`` goes to stderr when not empty."""
+    """Ends the command with an exit code; a ``message`` that isn't empty goes to stderr."""
 
     def __init__(self, code: ExitCode, message: str = "") -> None:
         super().__init__(message)
@@ -22,10 +22,10 @@
 
 
 def bad_input(message: str) -> CommandEnd:
-    """Return the end of a command whose input is wrong."""
+    """Return the exception that ends a command with invalid input."""
     return CommandEnd(ExitCode.BAD_INPUT, message)
 
 
 def failed(message: str) -> CommandEnd:
-    """Return the end of a command that could not do its work."""
+    """Return the exception that ends a command that failed."""
     return CommandEnd(ExitCode.FAILED, message)
--- a/src/rainsail/cli/experiment.py
+++ b/src/rainsail/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``rainsail experiment``: batch policies on one trace of a site, on the virtual clock."""
+"""``rainsail experiment``: compares batch dispatch policies on one trace, in virtual time."""
 
 from pathlib import Path
 
@@ -18,9 +18,9 @@
 ) -> None:
     """Run dispatch policies on the same trace and write a report.
 
-    ``site`` is guayaquil or taoyuan, ``policy`` all or names with commas (``none`` always runs,
-    as the baseline), ``report`` the folder of report.json, the plots and index.html. The last
-    line of standard output is JSON.
+    ``site`` is guayaquil or taoyuan. ``policy`` is all or a comma-separated list of names (``none``
+    always runs, as the baseline). ``report`` is the folder to write report.json, the plots and
+    index.html to. The last line on stdout is JSON.
     """
     if minutes <= 0:
         raise bad_input(f"--minutes: expected a number above 0, got {minutes!r}")
--- a/src/rainsail/cli/explain.py
+++ b/src/rainsail/cli/explain.py
@@ -1,4 +1,4 @@
-"""``rainsail explain``: why a request was routed as it was."""
+"""``rainsail explain``: shows why a request was routed to its runner."""
 
 from typing import Any
 
@@ -17,18 +17,19 @@
     "foreign_online",
     "report_age_s",
 )
-"""Scores are in tokens, lower is better."""
+"""Columns of the table of candidates; ``score`` is in tokens, lower is better."""
 
 
 def explain(request_id: str, address: str | None = None, output: str = "table") -> None:
-    """Print the candidates and scores of a gateway's decisions, from its ring in memory.
+    """Print the candidates and scores of a gateway's routing decisions for a request.
 
-    Each gateway keeps its own decisions, for the last requests only: ask the one that answered.
-    An operator's key sees every request, a tenant's key that tenant's.
+    A gateway keeps its own decisions in memory, and those of the latest requests only, so use the
+    address of the gateway that served the request. An operator's API key gives access to all
+    requests, a tenant's key to those of that tenant.
 
     Args:
-        request_id: The request's Idempotency-Key or the id of its answer; session/NAME tells why
-            a session is where it is, as its turns go there without a decision of their own.
+        request_id: The request's Idempotency-Key or the ID of its response. session/NAME explains
+            the placement of a session; its turns follow it without decisions of their own.
         address: IP:PORT of the gateway's caller API (else RAINSAIL_ADDRESS).
         output: table or json.
     """
--- a/src/rainsail/cli/flags.py
+++ b/src/rainsail/cli/flags.py
@@ -1,4 +1,4 @@
-"""Words of the command line, made ready for ``fire``: repeated flags, and text kept as text."""
+"""Prepares command-line arguments for ``fire``: split_repeated flags and values kept as text."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def join_repeated(words: Sequence[str], flag: str = SET_FLAG) -> list[str]:
-    """Join every ``flag VALUE`` and ``flag=VALUE`` into one ``flag=VALUE``."""
+    """Join all occurrences of a flag into one, as ``fire`` keeps only the last of them."""
     rest: list[str] = []
     values: list[str] = []
     remaining = iter(words)
@@ -25,13 +25,13 @@
     return rest
 
 
-def repeated(joined: str) -> tuple[str, ...]:
-    """Return the values that ``join_repeated`` joined."""
+def split_repeated(joined: str) -> tuple[str, ...]:
+    """Return the separate values of a flag joined by ``join_repeated``."""
     return tuple(joined.split(_SEPARATOR)) if joined else ()
 
 
 def keep_text(word: str) -> str:
-    """Quote what ``fire`` would read as a number, list or the like (``1e3``, ``007``)."""
+    """Quote a value that ``fire`` would parse as a Python literal (``1e3``, ``007``)."""
     if not word.startswith("-"):
         return _quoted(word)
     flag, equals, value = word.partition("=")
--- a/src/rainsail/cli/job.py
+++ b/src/rainsail/cli/job.py
@@ -1,4 +1,4 @@
-"""``rainsail job``: submit, follow and cancel batch jobs."""
+"""``rainsail job``: submits, follows and cancels batch jobs."""
 
 import uuid
 from pathlib import Path
@@ -11,10 +11,10 @@
 
 
 class JobCommands:
-    """Speaks to the operator API of any replica."""
+    """Submit, follow and cancel batch jobs through the operator API of any replica."""
 
     def submit(self, file: str, address: str | None = None, output: str = "table") -> None:
-        """Submit a job; the same job key with the same content is the same job.
+        """Submit a job; submitting the same job key and content again creates no second job.
 
         Args:
             file: A TOML or JSON file with job_key, tenant, service, deadline_s and items.
@@ -23,30 +23,30 @@
         """
         check_format(output)
         body = read_job(Path(file))
-        answer = run_client(address, lambda client: client.request("POST", "/v1/jobs", body))
-        print_record(answer, output)
+        response = run_client(address, lambda client: client.request("POST", "/v1/jobs", body))
+        print_record(response, output)
 
     def status(self, job_id: str = "", address: str | None = None, output: str = "table") -> None:
-        """Print the phase and counts of one job, or of all.
+        """Print the phase and the item counts of one job or of all jobs.
 
         Args:
-            job_id: The job; all jobs when left out.
+            job_id: ID of the job (default: all jobs).
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
         check_format(output)
         path = f"/v1/jobs/{job_id}" if job_id else "/v1/jobs"
-        answer = run_client(address, lambda client: client.request("GET", path))
+        response = run_client(address, lambda client: client.request("GET", path))
         if job_id:
-            print_record(answer, output)
+            print_record(response, output)
             return
-        print_rows(answer.get("jobs", []), COLUMNS, output)
+        print_rows(response.get("jobs", []), COLUMNS, output)
 
     def results(self, job_id: str, address: str | None = None) -> None:
         """Print every finished item of a job, one JSON line each.
 
         Args:
-            job_id: The job.
+            job_id: ID of the job.
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
         """
 
@@ -62,17 +62,17 @@
         run_client(address, work)
 
     def cancel(self, job_id: str, address: str | None = None, output: str = "table") -> None:
-        """Cancel a job; items that run are stopped, results that come later are dropped.
+        """Cancel a job: running items are stopped, later results are discarded.
 
         Args:
-            job_id: The job.
+            job_id: ID of the job.
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
         check_format(output)
         body = {"change_id": uuid.uuid4().hex}
-        answer = run_client(
+        response = run_client(
             address,
             lambda client: client.request("POST", f"/v1/jobs/{job_id}/cancel", body),
         )
-        print_record(answer, output)
+        print_record(response, output)
--- a/src/rainsail/cli/job_files.py
+++ b/src/rainsail/cli/job_files.py
@@ -1,4 +1,4 @@
-"""Reading a job file: what to run, for whom, by when."""
+"""Reads job files, which declare a batch job: its items, tenant, service and deadline."""
 
 from pathlib import Path
 from typing import Any
@@ -11,12 +11,16 @@
 
 
 def read_job(path: Path) -> dict[str, Any]:
-    """Return a checked job file as the body of a submission, or end naming the key."""
+    """Validate a job file and return it as the body of a submission.
+
+    Raises:
+        CommandEnd: The file is invalid; the message names the key.
+    """
     tree = read_tree(path)
     try:
         job = JobBody.model_validate(tree)
     except ValidationError as error:
         first = error.errors()[0]
-        where = ".".join(str(part) for part in first["loc"])
-        raise bad_input(f"{path}: {where}: {first['msg']}") from None
+        location = ".".join(str(part) for part in first["loc"])
+        raise bad_input(f"{path}: {location}: {first['msg']}") from None
     return job.model_dump(mode="json")
--- a/src/rainsail/cli/main.py
+++ b/src/rainsail/cli/main.py
@@ -21,7 +21,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one command and exit with its code (see ``ExitCode``)."""
+    """Run one command and exit the process with the command's ``ExitCode``."""
     words = list(sys.argv[1:] if arguments is None else arguments)
     try:
         _dispatch(words)
@@ -59,11 +59,15 @@
 
 
 def load_group(name: str) -> Any:
-    """Import the object behind a command group; ends the command for an unknown name."""
+    """Import and return the function or object of a command group.
+
+    Raises:
+        CommandEnd: No group has this name.
+    """
     group = COMMAND_GROUPS.get(name)
     if group is None:
-        near = difflib.get_close_matches(name, COMMAND_GROUPS, 1)
-        hint = f"; did you mean {near[0]!r}?" if near else "; see rainsail --help"
+        matches = difflib.get_close_matches(name, COMMAND_GROUPS, 1)
+        hint = f"; did you mean {matches[0]!r}?" if matches else "; see rainsail --help"
         raise bad_input(f"unknown command {name!r}{hint}")
     module_name, _, attribute = group.target.partition(":")
     loaded = getattr(importlib.import_module(module_name), attribute)
@@ -73,13 +77,13 @@
 
 
 def overview() -> str:
-    """Return the help text that lists every group."""
+    """Return the top-level help text, which lists every command group."""
     width = max(len(name) for name in COMMAND_GROUPS)
     lines = ["usage: rainsail COMMAND ...", "", "commands:"]
     lines += [f"  {name:<{width}}  {group.summary}" for name, group in COMMAND_GROUPS.items()]
     lines += [
         "",
-        "rainsail COMMAND --help tells more.",
-        "exit codes: 0 done, 1 failed, 2 bad input, 3 a checker found a violation",
+        "Run rainsail COMMAND --help for details.",
+        "exit codes: 0 success, 1 failure, 2 invalid input, 3 a checker found a violation",
     ]
     return "\n".join(lines)
--- a/src/rainsail/cli/operator_client.py
+++ b/src/rainsail/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""A client of the operator API for commands: retries a change under its own change id."""
+"""HTTP client of the operator API; retries a change under the same change ID."""
 
 import importlib
 import json
@@ -21,15 +21,15 @@
 ADDRESS_VARIABLE = "RAINSAIL_ADDRESS"
 API_KEY_VARIABLE = "RAINSAIL_API_KEY"
 DEFAULT_ADDRESS = "127.0.0.1:7301"
-ATTEMPTS = 6
-FIRST_PAUSE_S = 0.2
+MAX_ATTEMPTS = 6
+INITIAL_BACKOFF_S = 0.2
 ATTEMPT_TIMEOUT_S = 10.0
 CONNECT_TIMEOUT_S = 3.0
 RETRIED_STATUSES = (502, 503, 504)
 UNAUTHENTICATED_STATUS = 401
 
 Value = TypeVar("Value")
-LOST_ANSWER = (
+TRANSPORT_ERRORS = (
     ConnectError,
     ConnectionClosed,
     ResponseFailed,
@@ -40,15 +40,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorAnswer:
-    """A decoded answer of the operator API."""
+class OperatorResponse:
+    """A response of the operator API with its JSON body decoded."""
 
     status: int
     body: Any
 
 
 class OperatorClient:
-    """Speaks JSON over HTTP to one replica."""
+    """Sends JSON requests over HTTP to one replica."""
 
     def __init__(self, reactor: Any, address: str | None) -> None:
         self._reactor = reactor
@@ -58,59 +58,65 @@
         self._http = HTTPClient(agent)
 
     async def request(self, method: str, path: str, body: Any = None, **query: str) -> Any:
-        """Return the body of a 2xx answer; ends the command otherwise.
+        """Send a request and return the body of its 2xx response.
 
-        A lost answer or a 502, 503, 504 is tried again with the same body, so a change keeps
-        its change id and takes effect once.
+        Transport errors and the statuses 502, 503 and 504 are retried with exponential backoff.
+        A retry sends the same body, so a change keeps its change ID and takes effect once.
+
+        Raises:
+            CommandEnd: All attempts failed, or the response has another status.
         """
         problem = ""
-        for attempt in range(ATTEMPTS):
-            await self._pause_before(attempt)
+        for attempt in range(MAX_ATTEMPTS):
+            await self._backoff_before(attempt)
             try:
-                answer = await self._attempt(method, path, body, query)
-            except LOST_ANSWER as error:
+                response = await self._attempt(method, path, body, query)
+            except TRANSPORT_ERRORS as error:
                 problem = f"{type(error).__name__}: {error}"
                 continue
-            if answer.status not in RETRIED_STATUSES:
-                return _body_of(answer)
-            problem = _fault_text(answer)
-        raise failed(f"{self._base}: no answer after {ATTEMPTS} attempts: {problem}")
+            if response.status not in RETRIED_STATUSES:
+                return _successful_body(response)
+            problem = _error_text(response)
+        raise failed(f"{self._base}: no answer after {MAX_ATTEMPTS} attempts: {problem}")
+
+    async def lines(self, path: str, on_line: Callable[[Any], None], **query: str) -> None:
+        """Call ``on_line`` with each JSON line of a chunked response until the response ends.
 
-    async def lines(self, path: str, take: Callable[[Any], None], **query: str) -> None:
-        """Give ``take`` each JSON line of a chunked answer until it ends or breaks off."""
+        A connection that is lost in the middle of the response ends it without an error.
+        """
         response = await self._open(path, query)
         ended: Deferred[None] = Deferred()
-        splitter = _LineSplitter(take, ended)
+        splitter = _LineSplitter(on_line, ended)
         treq.collect(response, splitter.feed).addBoth(splitter.end)
         await ended
 
     async def _open(self, path: str, query: dict[str, str]) -> Any:
-        """Start a chunked GET, trying again while the replica can't be reached."""
+        """Start a chunked GET; retries transport errors and the statuses 502, 503 and 504."""
         problem = ""
-        for attempt in range(ATTEMPTS):
-            await self._pause_before(attempt)
+        for attempt in range(MAX_ATTEMPTS):
+            await self._backoff_before(attempt)
             try:
                 response = await self._http.get(
                     self._base + path, params=query, headers=_headers(), unbuffered=True
                 )
-            except LOST_ANSWER as error:
+            except TRANSPORT_ERRORS as error:
                 problem = f"{type(error).__name__}: {error}"
                 continue
             if response.code < 300:
                 return response
-            answer = OperatorAnswer(response.code, _decoded(await response.text()))
-            if answer.status not in RETRIED_STATUSES:
-                raise _end_of(answer)
-            problem = _fault_text(answer)
-        raise failed(f"{self._base}: no answer after {ATTEMPTS} attempts: {problem}")
+            refusal = OperatorResponse(response.code, _decode_body(await response.text()))
+            if refusal.status not in RETRIED_STATUSES:
+                raise _response_error(refusal)
+            problem = _error_text(refusal)
+        raise failed(f"{self._base}: no answer after {MAX_ATTEMPTS} attempts: {problem}")
 
-    async def _pause_before(self, attempt: int) -> None:
+    async def _backoff_before(self, attempt: int) -> None:
         if attempt:
-            await deferLater(self._reactor, FIRST_PAUSE_S * 2 ** (attempt - 1))
+            await deferLater(self._reactor, INITIAL_BACKOFF_S * 2 ** (attempt - 1))
 
     async def _attempt(
         self, method: str, path: str, body: Any, query: dict[str, str]
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         call = self._http.request(
             method,
             self._base + path,
@@ -121,37 +127,37 @@
         )
         response = await call
         text = await response.text()
-        return OperatorAnswer(response.code, _decoded(text))
+        return OperatorResponse(response.code, _decode_body(text))
 
 
 class _LineSplitter:
-    """Joins chunks and hands on whole lines as JSON until ``take`` raises."""
+    """Reassembles lines from chunks and passes each, parsed as JSON, to ``on_line``."""
 
-    def __init__(self, take: Callable[[Any], None], ended: "Deferred[None]") -> None:
-        self._take = take
+    def __init__(self, on_line: Callable[[Any], None], ended: "Deferred[None]") -> None:
+        self._on_line = on_line
         self._ended = ended
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, chunk: bytes) -> None:
-        """Take the next chunk; what ``take`` raises ends the whole."""
+        """Process the next chunk; an error that ``on_line`` raises ends the stream."""
         if self._ended.called:
             return
-        *lines, self._rest = (self._rest + chunk).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
         try:
             for line in lines:
                 if line.strip():
-                    self._take(json.loads(line))
+                    self._on_line(json.loads(line))
         except Exception as error:
             self._ended.errback(error)
 
     def end(self, _: Any) -> None:
-        """The answer is over or has broken off."""
+        """Finish the stream: the response is complete or its connection was lost."""
         if not self._ended.called:
             self._ended.callback(None)
 
 
 def base_url(address: str | None) -> str:
-    """Return the base URL for ``--address``, RAINSAIL_ADDRESS or the default."""
+    """Return the base URL from ``--address``, else from RAINSAIL_ADDRESS, else the default."""
     text = address or os.environ.get(ADDRESS_VARIABLE) or DEFAULT_ADDRESS
     scheme, separator, rest = text.rpartition("://")
     try:
@@ -164,7 +170,7 @@
 def run_client(
     address: str | None, work: Callable[[OperatorClient], Coroutine[Any, Any, Value]]
 ) -> Value:
-    """Run ``work`` with a client on the reactor and return its value or raise its error."""
+    """Run the reactor until ``work`` has finished; return its value or raise its error."""
     reactor: Any = importlib.import_module("twisted.internet.reactor")
     results: list[Any] = []
     client = OperatorClient(reactor, address)
@@ -187,29 +193,29 @@
     return Headers({"Authorization": [f"Bearer {key}"]} if key else {})
 
 
-def _decoded(text: str) -> Any:
+def _decode_body(text: str) -> Any:
     try:
         return json.loads(text) if text else None
     except ValueError:
         return {"detail": text[:500]}
 
 
-def _body_of(answer: OperatorAnswer) -> Any:
-    if answer.status < 300:
-        return answer.body
-    raise _end_of(answer)
+def _successful_body(response: OperatorResponse) -> Any:
+    if response.status < 300:
+        return response.body
+    raise _response_error(response)
 
 
-def _end_of(answer: OperatorAnswer) -> CommandEnd:
-    text = _fault_text(answer)
-    return bad_input(text) if answer.status in (400, 413) else failed(text)
+def _response_error(response: OperatorResponse) -> CommandEnd:
+    text = _error_text(response)
+    return bad_input(text) if response.status in (400, 413) else failed(text)
 
 
-def _fault_text(answer: OperatorAnswer) -> str:
-    fault = answer.body if isinstance(answer.body, dict) else {}
+def _error_text(response: OperatorResponse) -> str:
+    fault = response.body if isinstance(response.body, dict) else {}
     fault = fault.get("error", fault)
     fault = fault.get("rainsail", fault) if isinstance(fault, dict) else {"detail": str(fault)}
-    words = [fault.get("code") or f"HTTP status {answer.status}"]
+    words = [fault.get("code") or f"HTTP status {response.status}"]
     if fault.get("step"):
         words.append(f"in {fault['step']}")
     if fault.get("peer"):
@@ -217,6 +223,6 @@
     detail = fault.get("detail") or fault.get("message") or ""
     if fault.get("current_revision") is not None:
         detail += f" (current revision {fault['current_revision']})"
-    if answer.status == UNAUTHENTICATED_STATUS:
-        detail += f" (set {API_KEY_VARIABLE} to a key that this address knows)"
+    if response.status == UNAUTHENTICATED_STATUS:
+        detail += f" (set {API_KEY_VARIABLE} to an API key that this address accepts)"
     return f"{' '.join(words)}: {detail}"
--- a/src/rainsail/cli/output.py
+++ b/src/rainsail/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing results: one JSON document, or a table for people."""
+"""Prints results as JSON or as a table, and shows progress bars."""
 
 import json
 import sys
@@ -14,28 +14,32 @@
 
 FORMATS = ("table", "json")
 FILE_WIDTH_COLUMNS = 160
-"""Width of a table that goes to a file or a pipe."""
+"""Width of a table when stdout is not a terminal."""
 
 
 def check_format(output: str) -> str:
-    """Return ``output`` when it names a format; ends the command otherwise."""
+    """Return ``output`` if it is a known format.
+
+    Raises:
+        CommandEnd: The format is unknown.
+    """
     if output not in FORMATS:
         raise bad_input(f"--output: expected one of {', '.join(FORMATS)}, got {output!r}")
     return output
 
 
 def print_json(value: Any) -> None:
-    """Print one JSON document."""
+    """Print a value as indented JSON."""
     print(json.dumps(value, indent=2, ensure_ascii=False))
 
 
 def print_json_line(value: Any) -> None:
-    """Print one JSON document on one line, at once."""
+    """Print a value as JSON on one line and flush stdout."""
     print(json.dumps(value, ensure_ascii=False), flush=True)
 
 
 def print_rows(rows: Sequence[dict[str, Any]], columns: Sequence[str], output: str) -> None:
-    """Print rows as a JSON list or as a table of ``columns``; cells are folded, never cut."""
+    """Print rows as a JSON list or as a table of ``columns``; long cells wrap."""
     if output == "json":
         print_json(list(rows))
         return
@@ -58,7 +62,7 @@
 
 
 def _cell(value: Any) -> str:
-    """Return a value for people: one ``key: value`` a line, conditions by their type."""
+    """Format a table cell: one ``key: value`` or list entry a line, conditions as a phrase."""
     if value is None:
         return ""
     if isinstance(value, str):
@@ -75,21 +79,21 @@
 
 
 def _condition(value: Any) -> str:
-    """Return a resource's condition in words; empty for anything else."""
+    """Format a resource's condition as a phrase; empty if the value is not a condition."""
     if not isinstance(value, dict) or not {"type", "value", "reason"} <= value.keys():
         return ""
     return f"{'' if value['value'] else 'not '}{value['type']}: {value['reason']}"
 
 
 class ProgressBar:
-    """A progress bar, or nothing when stdout is no terminal."""
+    """A progress bar; does nothing when stdout is not a terminal."""
 
     def __init__(self, progress: Progress | None, task: TaskID | None) -> None:
         self._progress = progress
         self._task = task
 
     def advance(self, steps: float = 1) -> None:
-        """Note ``steps`` more steps as done."""
+        """Advance the bar by ``steps``."""
         if self._progress is not None and self._task is not None:
             self._progress.advance(self._task, steps)
 
--- a/src/rainsail/cli/resource.py
+++ b/src/rainsail/cli/resource.py
@@ -1,4 +1,4 @@
-"""``rainsail resource``: declare, read, watch and delete resources."""
+"""``rainsail resource``: declares, reads, watches and deletes resources."""
 
 import uuid
 from pathlib import Path
@@ -17,13 +17,13 @@
 
 
 class ResourceCommands:
-    """Speaks to the operator API of any replica."""
+    """Declare, read, watch and delete resources through the operator API of any replica."""
 
     def apply(self, file: str, address: str | None = None, output: str = "table") -> None:
         """Create or replace every resource of a TOML or JSON file.
 
         Args:
-            file: The file; each entry of its list `resources` has kind, name and spec.
+            file: Resource file; each entry of its list `resources` has kind, name and spec.
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
@@ -44,8 +44,8 @@
         """Print one resource.
 
         Args:
-            kind: Its kind, for instance Service.
-            name: Its name.
+            kind: Kind of the resource, for instance Service.
+            name: Name of the resource.
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
@@ -58,14 +58,14 @@
         """Print all resources, or those of one kind.
 
         Args:
-            kind: The kind; all kinds when left out.
+            kind: Kind of the resources (default: all kinds).
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
         check_format(output)
         path = f"/v1/resources/{kind_of(kind)}" if kind else "/v1/resources"
-        answer = run_client(address, lambda client: client.request("GET", path))
-        _print(answer["resources"], output)
+        response = run_client(address, lambda client: client.request("GET", path))
+        _print(response["resources"], output)
 
     def delete(
         self,
@@ -78,9 +78,9 @@
         """Delete a resource.
 
         Args:
-            kind: Its kind.
-            name: Its name.
-            expected_revision: Delete only at this revision.
+            kind: Kind of the resource.
+            name: Name of the resource.
+            expected_revision: Delete the resource only if this is its current revision.
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
             output: table or json.
         """
@@ -93,8 +93,8 @@
         """Print each change as one JSON line until interrupted.
 
         Args:
-            kind: Only this kind; all kinds when left out.
-            from_revision: Changes after this revision; without it, from now.
+            kind: Kind of the resources (default: all kinds).
+            from_revision: Start after this revision (default: the current one).
             address: IP:PORT of the operator API (else RAINSAIL_ADDRESS, else 127.0.0.1:7301).
         """
         follower = WatchFollower(str(kind_of(kind)) if kind else "", from_revision)
--- a/src/rainsail/cli/resource_files.py
+++ b/src/rainsail/cli/resource_files.py
@@ -1,4 +1,4 @@
-"""Reading files of resources to apply: TOML (``[[resources]]``) or a JSON list."""
+"""Reads resource files: TOML (``[[resources]]``) or a JSON list."""
 
 import json
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredResource:
-    """One resource of a file; the spec is plain JSON, checked against its kind."""
+    """One resource of a file; ``spec`` is JSON that is valid for ``kind``."""
 
     kind: Kind
     name: str
@@ -24,13 +24,17 @@
 
 
 def read_resources(path: Path) -> list[DeclaredResource]:
-    """Return the resources of a file, or end the command naming entry and field."""
+    """Read and validate the resources of a file.
+
+    Raises:
+        CommandEnd: The file is invalid; the message names the entry and the field.
+    """
     entries = read_entries(path, "resources")
     return [_declared(f"{path}: resources[{n}]", entry) for n, entry in enumerate(entries)]
 
 
 def read_entries(path: Path, key: str) -> list[Any]:
-    """Return the list under ``key`` of a TOML or JSON file (JSON may be the bare list)."""
+    """Return the list under ``key`` of a TOML or JSON file (JSON may be just the list)."""
     tree = read_tree(path)
     entries = tree.get(key) if isinstance(tree, dict) else tree
     if not isinstance(entries, list):
@@ -39,7 +43,11 @@
 
 
 def read_tree(path: Path) -> Any:
-    """Return the content of a TOML or JSON file, or end the command saying what is wrong."""
+    """Parse a TOML or JSON file.
+
+    Raises:
+        CommandEnd: The file can't be read or parsed.
+    """
     content = read_bounded(path, MAX_FILE_BYTES)
     if content.is_error():
         raise bad_input(f"{path}: {content.error}")
@@ -54,27 +62,31 @@
 
 
 def kind_of(text: str) -> Kind:
-    """Return the kind named, in any case; ends the command for another word."""
+    """Return the resource kind with this name, ignoring case.
+
+    Raises:
+        CommandEnd: No kind has this name.
+    """
     kind = kind_from_text(text)
     if kind.is_error():
         raise bad_input(kind.error.detail)
     return kind.ok
 
 
-def _declared(where: str, entry: Any) -> DeclaredResource:
+def _declared(location: str, entry: Any) -> DeclaredResource:
     if not isinstance(entry, dict):
-        raise bad_input(f"{where}: expected a table with kind, name and spec")
+        raise bad_input(f"{location}: expected a table with kind, name and spec")
     for key in entry:
         if key not in ("kind", "name", "spec"):
-            raise bad_input(f"{where}.{key}: unknown key")
+            raise bad_input(f"{location}.{key}: unknown key")
     kind = kind_from_text(str(entry.get("kind", "")))
     if kind.is_error():
-        raise bad_input(f"{where}.{kind.error.detail}")
+        raise bad_input(f"{location}.{kind.error.detail}")
     name = entry.get("name")
     if not isinstance(name, str) or not name:
-        raise bad_input(f"{where}.name: expected a name")
+        raise bad_input(f"{location}.name: expected a name")
     spec = entry.get("spec", {})
     checked = spec_from_json(kind.ok, spec)
     if checked.is_error():
-        raise bad_input(f"{where}.{checked.error.detail}")
+        raise bad_input(f"{location}.{checked.error.detail}")
     return DeclaredResource(kind.ok, name, spec)
--- a/src/rainsail/cli/run.py
+++ b/src/rainsail/cli/run.py
@@ -1,4 +1,4 @@
-"""``rainsail run`` and ``rainsail up``: start daemons from a settings file."""
+"""``rainsail run`` and ``rainsail up``: start server processes from a settings file."""
 
 import importlib
 
@@ -6,11 +6,11 @@
 
 
 def run(settings: str, set: str = "") -> None:
-    """Run one process in the roles that its settings name, until SIGTERM.
+    """Run one process in the roles listed in its settings, until SIGTERM.
 
     Args:
         settings: The TOML settings file of this process.
-        set: Override key.path=value; may be given several times.
+        set: Overrides a setting, as key.path=value; may be repeated.
     """
     importlib.import_module("rainsail.assembly.daemon").run(checked_settings(settings, set))
 
@@ -20,6 +20,6 @@
 
     Args:
         settings: The TOML settings file of the fleet.
-        set: Override key.path=value; may be given several times.
+        set: Overrides a setting, as key.path=value; may be repeated.
     """
     importlib.import_module("rainsail.assembly.embedded").run(checked_settings(settings, set))
--- a/src/rainsail/cli/settings.py
+++ b/src/rainsail/cli/settings.py
@@ -1,9 +1,9 @@
-"""``rainsail settings``: check settings files without starting anything."""
+"""``rainsail settings``: validates and prints settings files without starting anything."""
 
 from pathlib import Path
 
 from rainsail.cli.exit_codes import bad_input
-from rainsail.cli.flags import repeated
+from rainsail.cli.flags import split_repeated
 from rainsail.cli.output import check_format, print_json, print_record
 from rainsail.runtime.toml import parse_toml
 from rainsail.settings.load import load_settings
@@ -12,14 +12,14 @@
 
 
 class SettingsCommands:
-    """Checks and shows settings files."""
+    """Validate and print settings files."""
 
     def check(self, file: str, set: str = "") -> None:
-        """Validate a settings file; exit code 2 names every problem.
+        """Validate a settings file; lists every problem and ends with exit code 2 if there is one.
 
         Args:
             file: The TOML settings file.
-            set: Override key.path=value; may be given several times.
+            set: Overrides a setting, as key.path=value; may be repeated.
         """
         if is_node_file(Path(file)):
             self._check_node(file, set)
@@ -30,7 +30,7 @@
 
     def _check_node(self, file: str, set: str) -> None:
         if set:
-            raise bad_input("--set: a node's settings are taken from its file alone")
+            raise bad_input("--set: not supported for node settings; edit the file")
         loaded = load_node_settings(Path(file))
         if loaded.is_error():
             raise bad_input(str(loaded.error))
@@ -38,11 +38,11 @@
         print(f"{file}: node {node.name}: {node.role}")
 
     def show(self, file: str, set: str = "", output: str = "table") -> None:
-        """Print the settings in force: file, environment, flags and defaults together.
+        """Print the effective settings, merged from file, environment, flags and defaults.
 
         Args:
             file: The TOML settings file.
-            set: Override key.path=value; may be given several times.
+            set: Overrides a setting, as key.path=value; may be repeated.
             output: table or json.
         """
         check_format(output)
@@ -50,11 +50,11 @@
         if output == "json":
             print_json(plain)
             return
-        print_record(_flat("", plain), output)
+        print_record(_flatten("", plain), output)
 
 
 def is_node_file(path: Path) -> bool:
-    """Tell whether a file holds the settings of a node of a relaying fleet."""
+    """Return whether a file holds the settings of a node of a relaying fleet."""
     try:
         return "node" in parse_toml(path.read_text(encoding="utf-8"))
     except (OSError, ValueError):
@@ -62,18 +62,22 @@
 
 
 def checked_settings(path: str, overrides: str = "") -> ProcessSettings:
-    """Return valid settings, or end the command naming every problem."""
-    loaded = load_settings(Path(path), repeated(overrides))
+    """Load and validate settings.
+
+    Raises:
+        CommandEnd: The settings are invalid; the message lists every problem.
+    """
+    loaded = load_settings(Path(path), split_repeated(overrides))
     if loaded.is_error():
         raise bad_input("\nrainsail: ".join(str(problem) for problem in loaded.error))
     return loaded.ok
 
 
-def _flat(prefix: str, tree: dict[str, object]) -> dict[str, object]:
+def _flatten(prefix: str, tree: dict[str, object]) -> dict[str, object]:
     rows: dict[str, object] = {}
     for key, value in tree.items():
         if isinstance(value, dict) and value:
-            rows.update(_flat(f"{prefix}{key}.", value))
+            rows.update(_flatten(f"{prefix}{key}.", value))
         else:
             rows[f"{prefix}{key}"] = value
     return rows
--- a/src/rainsail/cli/simulate.py
+++ b/src/rainsail/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``rainsail simulate`` and ``rainsail defects``."""
+"""``rainsail simulate`` and ``rainsail defects``: simulated runs and their known-bad variants."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 from rainsail.simulation.shrink import shrink_plan
 from rainsail.simulation.site_plan import SITES
 
-MOST_SHRINK_RUNS = 60
+MAX_SHRINK_RUNS = 60
 
 
 def simulate(
@@ -23,17 +23,17 @@
     history: str = "",
     shrink: str = "",
 ) -> None:
-    """Run a site on the virtual clock under failures and check its history.
+    """Simulate a site in virtual time with injected faults and check its history.
 
     Args:
-        site: guayaquil, taoyuan or many_groups (taoyuan with its ledgers in groups of their own).
-        seed: every random choice of the run depends on it alone.
+        site: guayaquil, taoyuan or many_groups (taoyuan with each ledger in its own group).
+        seed: random seed; the run depends on no other randomness.
         minutes: virtual minutes of traffic.
-        faults: "all" draws failures of every kind, "none" draws none, "demonstration" takes
-            those that the known-bad variant is made to show under, else a plan's file.
-        defect: name of a known-bad variant to run with (see ``rainsail defects``).
+        faults: "all" draws random faults of every kind, "none" injects none, "demonstration"
+            injects the faults that expose the known-bad variant; otherwise a fault plan file.
+        defect: name of a known-bad variant to run (see ``rainsail defects``).
         history: file to write the recorded history to (Avro).
-        shrink: file to write the shortest failing fault plan to, when the run fails.
+        shrink: file to write the shortest failing fault plan to if the run fails.
 
     Exit code 0 when no checker found a violation, 3 when one did. The last line on stdout is one
     JSON object.
@@ -81,18 +81,18 @@
 def _shrink(
     site: str, seed: int, minutes: float, plan: FaultPlan, failed: RunResult, target: Path
 ) -> None:
-    """Write the shortest plan found that still breaks one of the same invariants."""
+    """Write the shortest plan found that still fails one of the same checkers."""
     checkers = {violation.checker for violation in failed.violations}
 
     def still_fails(candidate: FaultPlan) -> bool:
         result = SimulationRun(SITES[site](), seed, minutes).run(candidate)
         return any(violation.checker in checkers for violation in result.violations)
 
-    write_plan(target, shrink_plan(plan, still_fails, MOST_SHRINK_RUNS))
+    write_plan(target, shrink_plan(plan, still_fails, MAX_SHRINK_RUNS))
     print(f"shortest failing plan written to {target}")
 
 
 def defects() -> None:
-    """List the known-bad variants, the checker that catches each, and how."""
+    """List the known-bad variants, the checkers that detect each, and a description."""
     for defect in DEFECTS.values():
         print(f"{defect.name:22} {'/'.join(defect.checkers):34} {defect.description}")
--- a/src/rainsail/cli/storage.py
+++ b/src/rainsail/cli/storage.py
@@ -20,13 +20,14 @@
 
 
 class StorageCommands:
-    """Read a data folder of a stopped replica."""
+    """Reads the data folder of a stopped replica."""
 
     def inspect(self, folder: str, output: str = "table") -> None:
         """Show a data folder's identity, groups and files.
 
-        Exit code 0 when everything is sound, 1 when something is damaged, 2 when FOLDER is no
-        data folder. A torn tail is sound: the replica cuts it off when it starts.
+        Exit code 0 when nothing is damaged, 1 when something is, 2 when FOLDER is not a data
+        folder. An incomplete record at the end of a log (a torn write) doesn't count as damage:
+        the replica truncates it when it starts.
         """
         check_format(output)
         report = _read(folder)
@@ -34,13 +35,13 @@
             print_json(_as_json(report))
         else:
             _print_tables(report)
-        _end(report)
+        _fail_if_damaged(report)
 
     def verify(self, folder: str) -> None:
-        """Check every record of a data folder; print one line per damage.
+        """Check every record of a data folder; print one line per fault found.
 
-        Exit code 0 when everything is sound, 1 when something is damaged, 2 when FOLDER is no
-        data folder.
+        Exit code 0 when nothing is damaged, 1 when something is, 2 when FOLDER is not a data
+        folder.
         """
         report = _read(folder)
         for fault in report.faults:
@@ -48,7 +49,7 @@
         if not report.faults:
             files = sum(len(group.files) for group in report.groups)
             print(f"sound: {len(report.groups)} groups, {files} files")
-        _end(report)
+        _fail_if_damaged(report)
 
 
 def _read(folder: str) -> FolderReport:
@@ -58,13 +59,13 @@
     files = LocalFileSystem(path, reactor=None)
     try:
         if not is_data_folder(files):
-            raise bad_input(f"{folder}: no identity and no groups, so no data folder")
+            raise bad_input(f"{folder}: not a data folder: no identity file and no groups")
         return inspect_folder(files)
     except OSError as error:
         raise bad_input(f"{folder}: {error}") from error
 
 
-def _end(report: FolderReport) -> None:
+def _fail_if_damaged(report: FolderReport) -> None:
     if report.faults:
         raise CommandEnd(ExitCode.FAILED)
 
--- a/src/rainsail/cli/story.py
+++ b/src/rainsail/cli/story.py
@@ -1,4 +1,4 @@
-"""``rainsail story``: what happened to one request, job or runner, from the logs of many nodes."""
+"""``rainsail story``: prints the log lines about one request, job, item or runner."""
 
 import json
 from pathlib import Path
@@ -6,43 +6,40 @@
 
 from rainsail.cli.exit_codes import CommandEnd, ExitCode, bad_input
 
-IDENTIFYING = ("request", "job", "item", "runner", "runners")
-"""Fields in which an id may stand."""
-HIDDEN = ("at", "event", "node", "role", "level")
+ID_KEYS = ("request", "job", "item", "runner", "runners")
+"""Log keys whose value is an ID or a comma-separated list of IDs."""
+OMITTED_KEYS = ("at", "event", "node", "role", "level")
 
 
 def story(identifier: str, *logs: str) -> None:
-    """Print every logged decision on an id, in order of time.
-
-    Lines of the runner that was chosen last are added while the request was under way, where they
-    tell of a change (silent, changed).
+    """Print every log line that mentions an ID, in order of time.
 
     Args:
-        identifier: A request's, job's, item's or runner's id.
-        logs: Files with nodes' output; lines that are no JSON are passed over.
+        identifier: ID of a request, job, item or runner.
+        logs: Log files of the nodes; lines that are not JSON are skipped.
     """
     if not logs:
-        raise bad_input("name at least one log file")
+        raise bad_input("expected at least one log file")
     lines = [line for log in logs for line in _read(Path(log))]
-    told = [line for line in lines if names(line, identifier)]
-    if not told:
-        raise CommandEnd(ExitCode.FAILED, f"no line of these logs names {identifier}")
-    for line in sorted(told, key=lambda line: str(line.get("at", ""))):
-        print(shown(line))
+    matching = [line for line in lines if mentions(line, identifier)]
+    if not matching:
+        raise CommandEnd(ExitCode.FAILED, f"no log line mentions {identifier}")
+    for line in sorted(matching, key=lambda line: str(line.get("at", ""))):
+        print(format_line(line))
 
 
-def names(line: dict[str, Any], identifier: str) -> bool:
-    """Tell whether a line speaks of an id."""
-    for field in IDENTIFYING:
+def mentions(line: dict[str, Any], identifier: str) -> bool:
+    """Return whether a log line mentions an ID."""
+    for field in ID_KEYS:
         value = line.get(field)
         if isinstance(value, str) and identifier in value.split(","):
             return True
     return False
 
 
-def shown(line: dict[str, Any]) -> str:
-    """Return a line for people: time, node, event, then the rest as name=value."""
-    rest = " ".join(f"{key}={value}" for key, value in line.items() if key not in HIDDEN)
+def format_line(line: dict[str, Any]) -> str:
+    """Format a log line as text: time, node, event, then the other keys as name=value."""
+    rest = " ".join(f"{key}={value}" for key, value in line.items() if key not in OMITTED_KEYS)
     head = f"{line.get('at', '?')} {line.get('node', '?')} {line.get('event', '?')}"
     return f"{head} {rest}".rstrip()
 
@@ -52,11 +49,14 @@
         text = path.read_text(encoding="utf-8", errors="replace")
     except OSError as error:
         raise bad_input(f"{path}: {error.strerror}") from None
-    return [line for line in map(_parsed, text.splitlines()) if line is not None]
+    return [line for line in map(_parse_object, text.splitlines()) if line is not None]
+
 
+def _parse_object(text: str) -> dict[str, Any] | None:
+    """Return the JSON object of a line, or None if there is none.
 
-def _parsed(text: str) -> dict[str, Any] | None:
-    """Return a line's object; what a tool put in front of it is passed over."""
+    Text before the object, such as the prefix that a container runtime adds, is ignored.
+    """
     begin = text.find("{")
     if begin < 0:
         return None
--- a/src/rainsail/cli/trace.py
+++ b/src/rainsail/cli/trace.py
@@ -1,4 +1,4 @@
-"""``rainsail trace`` and ``rainsail replay``."""
+"""``rainsail trace`` and ``rainsail replay``: traces of traffic and their replay."""
 
 import dataclasses
 import secrets
@@ -25,7 +25,7 @@
 
 
 class TraceCommands:
-    """Make traces and look at them."""
+    """Generate, record and show traces."""
 
     def generate(
         self,
@@ -40,9 +40,9 @@
         Args:
             out: file to write (Avro).
             site: guayaquil or taoyuan.
-            seed: every arrival depends on it alone.
+            seed: random seed; the arrivals depend on no other randomness.
             seconds: length of the trace.
-            tenants: names with commas; the site's own when left out.
+            tenants: tenant names separated by commas (default: the site's tenants).
 
         The last line on stdout is one JSON object.
         """
@@ -55,27 +55,27 @@
         _write(Path(str(out)), trace)
 
     def record(self, *recordings: str, out: str, site: str = "") -> None:
-        """Merge what gateways recorded (RECORDINGS) into one trace, written to OUT.
+        """Merge RECORDINGS of gateways into one trace and write it to OUT.
 
         Args:
-            recordings: files that gateways wrote while their setting ``recording`` was on.
+            recordings: files written by gateways with the setting ``recording`` on.
             out: file to write (Avro).
             site: name of the site, for ``replay --against simulated``.
 
-        Times count from the first arrival; a request or job that was sent again is kept once.
-        Exit code 2 for a bad file. The last line on stdout is one JSON object.
+        Times are relative to the first arrival. A request or job that was retried is kept once.
+        Exit code 2 for an invalid file. The last line on stdout is one JSON object.
         """
         if not recordings:
             raise bad_input("expected at least one recording of a gateway")
         paths = [Path(str(each)) for each in recordings]
-        _write(Path(str(out)), _checked(merge_recordings(paths, str(site))))
+        _write(Path(str(out)), _value_or_end(merge_recordings(paths, str(site))))
 
     def show(self, trace: str) -> None:
         """Print counts and rates per class of a trace file.
 
-        Exit code 2 for a bad file. The last line on stdout is one JSON object.
+        Exit code 2 for an invalid file. The last line on stdout is one JSON object.
         """
-        read = _checked(read_trace(Path(str(trace))))
+        read = _value_or_end(read_trace(Path(str(trace))))
         rows = [
             {
                 "class": row.name,
@@ -106,41 +106,42 @@
     history: str = "",
     allow_not_observed: bool = False,
 ) -> None:
-    """Replay TRACE and judge the stated OUTCOMES.
+    """Replay TRACE and check the expected OUTCOMES.
 
     Args:
         trace: trace file (Avro).
         outcomes: outcomes file (TOML).
-        against: "simulated" (the site of the trace, on the virtual clock), or the base URL of a
-            caller API, as in http://127.0.0.1:7302.
-        seed: draws the simulated network and engines.
+        against: "simulated" (the site of the trace, in virtual time), or the base URL of a caller
+            API, as in http://127.0.0.1:7302.
+        seed: random seed of the simulated network and engines.
         faults: file of a fault plan for the simulated fleet, or "none".
-        speed: how many times as fast arrivals come, against a URL.
+        speed: factor by which arrivals are sped up, against a URL.
         keys: TOML file of the tenants' API keys, against a URL.
-        engines: "emulated" when the right answers are known, "real" when not, against a URL.
-        run: goes before every id that the URL sees; drawn afresh when left out.
+        engines: "emulated" if the correct responses are known, else "real", against a URL.
+        run: prefix of all IDs sent to the URL (default: a random one).
         history: file to write the recorded history to.
-        allow_not_observed: an outcome that cannot be seen against a URL doesn't fail the replay.
+        allow_not_observed: an outcome that can't be observed against a URL doesn't fail the replay.
 
-    Exit code 0 when every outcome held, 1 when nothing answers, 2 for bad input, 3 when an
-    outcome or an invariant did not hold. The last line on stdout is one JSON object.
+    Exit code 0 when every outcome is met, 1 when the URL doesn't respond, 2 for invalid input, 3
+    when an outcome is not met or an invariant is violated. The last line on stdout is one JSON
+    object.
     """
-    read = _checked(read_trace(Path(str(trace))))
-    stated = _checked(read_outcomes(Path(str(outcomes))))
+    read = _value_or_end(read_trace(Path(str(trace))))
+    expected = _value_or_end(read_outcomes(Path(str(outcomes))))
     if against == AGAINST:
-        done = _replay_simulated(read, stated, seed, str(faults))
+        replayed = _replay_simulated(read, expected, seed, str(faults))
     else:
-        done = _replay_live(read, stated, against, speed, str(keys), engines, str(run))
+        replayed = _replay_live(read, expected, against, speed, str(keys), engines, str(run))
     if history:
-        _write_history(Path(str(history)), done)
-    _print(done)
-    if not done.held(bool(allow_not_observed)):
+        _write_history(Path(str(history)), replayed)
+    _print(replayed)
+    if not replayed.held(bool(allow_not_observed)):
         raise CommandEnd(ExitCode.VIOLATION)
 
 
 def _replay_simulated(trace: Trace, outcomes: OutcomesFile, seed: int, faults: str) -> Replayed:
     _check_number(seed, "--seed", 0, float("inf"))
-    plan = FaultPlan() if faults == "none" else _checked(read_plan(Path(faults)))
+    plan = FaultPlan() if faults == "none" else _value_or_end(read_plan(Path(faults)))
     with progress_bar("virtual seconds", duration_s(trace)) as bar:
         done_s = 0.0
 
@@ -149,7 +150,7 @@
             bar.advance(now_s - done_s)
             done_s = now_s
 
-        return _checked(replay_simulated(trace, outcomes, seed, plan, progress))
+        return _value_or_end(replay_simulated(trace, outcomes, seed, plan, progress))
 
 
 def _replay_live(
@@ -169,19 +170,19 @@
         raise bad_input(f"--engines: expected one of {', '.join(EngineAnswers)}, got {engines!r}")
     if not url.startswith(("http://", "https://")):
         raise bad_input(f"--against: expected {AGAINST} or an http(s) URL, got {url!r}")
-    tenant_keys = _checked(read_tenant_keys(Path(keys))) if keys else {}
+    tenant_keys = _value_or_end(read_tenant_keys(Path(keys))) if keys else {}
     run = run or f"replay-{secrets.token_hex(4)}"
     target = LiveTarget(url.rstrip("/"), tenant_keys, float(speed), EngineAnswers(engines), run)
     with progress_bar("arrivals", len(trace.requests) + len(trace.jobs)) as bar:
-        done = run_live(trace, outcomes, target, bar.advance)
-    if done is None:
+        replayed = run_live(trace, outcomes, target, bar.advance)
+    if replayed is None:
         raise failed("interrupted")
-    if done.is_error():
-        raise failed(done.error.detail)
-    return done.ok
+    if replayed.is_error():
+        raise failed(replayed.error.detail)
+    return replayed.ok
 
 
-def _print(done: Replayed) -> None:
+def _print(replayed: Replayed) -> None:
     rows = [
         {
             "outcome": each.name,
@@ -190,12 +191,12 @@
             "detail": each.detail,
             "offending": ", ".join(each.offending[:5]),
         }
-        for each in done.judgements
+        for each in replayed.judgements
     ]
     print_rows(rows, list(rows[0]), "table")
-    for violation in done.violations:
+    for violation in replayed.violations:
         print(f"invariant {violation.checker}: {violation.detail}")
-    print(done.to_json(), flush=True)
+    print(replayed.to_json(), flush=True)
 
 
 def _write(path: Path, trace: Trace) -> None:
@@ -206,11 +207,11 @@
     print_json_line({"file": str(path), **_summary(trace)})
 
 
-def _write_history(path: Path, done: Replayed) -> None:
+def _write_history(path: Path, replayed: Replayed) -> None:
     from rainsail.experiment.history import write_history
 
     try:
-        write_history(path, done.history)
+        write_history(path, replayed.history)
     except OSError as error:
         raise bad_input(f"--history: {path}: {error.strerror}") from None
 
@@ -224,14 +225,18 @@
     return tuple(str(name).strip() for name in names if str(name).strip())
 
 
-def _checked(result: Result[Any, Fault]) -> Any:
-    """Return the value, or end the command with what is wrong."""
+def _value_or_end(result: Result[Any, Fault]) -> Any:
+    """Return the value of a result.
+
+    Raises:
+        CommandEnd: The result is an error.
+    """
     if result.is_error():
         raise bad_input(result.error.detail)
     return result.ok
 
 
-def _check_number(value: Any, flag: str, least: float, most: float) -> None:
+def _check_number(value: Any, flag: str, minimum: float, maximum: float) -> None:
     number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not least <= value <= most:
-        raise bad_input(f"{flag}: expected a number from {least} to {most}, got {value!r}")
+    if not number or not minimum <= value <= maximum:
+        raise bad_input(f"{flag}: expected a number from {minimum} to {maximum}, got {value!r}")
--- a/src/rainsail/cli/watch.py
+++ b/src/rainsail/cli/watch.py
@@ -1,4 +1,4 @@
-"""Following a watch: prints each line and goes on from the last revision after a cut."""
+"""Follows a watch and resumes it from the last revision after a lost connection."""
 
 from typing import Any
 
@@ -11,21 +11,25 @@
 
 
 class WatchFollower:
-    """Prints changes and bookmarks as JSON lines, without gap or repeat, until interrupted."""
+    """Prints changes and bookmarks as JSON lines, without gaps or duplicates."""
 
     def __init__(self, kind: str, from_revision: str) -> None:
         self._kind = kind
         self._revision = from_revision
 
     async def follow(self, client: OperatorClient) -> None:
-        """Watch until the revision is compacted or the operator API stays out of reach."""
+        """Watch until the revision is compacted or the operator API stays unreachable.
+
+        Raises:
+            CommandEnd: The watch can't be resumed.
+        """
         while True:
             query = {"kind": self._kind} if self._kind else {}
             if self._revision:
                 query["revision"] = self._revision
-            await client.lines("/v1/watch", self._take, **query)
+            await client.lines("/v1/watch", self._on_line, **query)
 
-    def _take(self, line: dict[str, Any]) -> None:
+    def _on_line(self, line: dict[str, Any]) -> None:
         if line["type"] == COMPACTED:
             raise failed(f"{line['error']['detail']}")
         self._revision = str(line["revision"])
