--- a/src/rainsail/cli/check.py
+++ b/src/rainsail/cli/check.py
@@ -97,7 +97,7 @@
 
 def _check_whole_number(value: Any, flag: str, minimum: int) -> None:
     if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
-        raise bad_input(f"{flag}: expected a whole number of at minimum {minimum}, got {value!r}")
+        raise bad_input(f"{flag}: expected a whole number of at least {minimum}, got {value!r}")
 
 
 def _model_check_report(result: ModelCheckResult, seed: int, defect: str) -> dict[str, Any]:
--- a/src/rainsail/cli/flags.py
+++ b/src/rainsail/cli/flags.py
@@ -1,4 +1,4 @@
-"""Prepares command-line arguments for ``fire``: split_repeated flags and values kept as text."""
+"""Prepares command-line arguments for ``fire``: repeated flags and values kept as text."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def join_repeated(words: Sequence[str], flag: str = SET_FLAG) -> list[str]:
-    """Join all occurrences of a flag into one, as ``fire`` keeps only the last of them."""
+    """Join every ``flag VALUE`` and ``flag=VALUE`` into one ``flag=VALUE`` with all values."""
     rest: list[str] = []
     values: list[str] = []
     remaining = iter(words)
