--- a/src/rainsail/emulator/engine.py
+++ b/src/rainsail/emulator/engine.py
@@ -127,7 +127,7 @@
             attempt.readers = []
             _cancel(attempt.timer)
             _cancel(attempt.deadline_timer)
-        self._execution_log.lose_all(self._clock.seconds())
+        self._execution_log.mark_all_lost(self._clock.seconds())
         for listener in self._crash_listeners:
             listener()
 
@@ -158,7 +158,7 @@
                 request.deadline_s, self._deadline, attempt
             )
         self._scheduler.add(sequence)
-        self._wake()
+        self._schedule_step()
 
     def attach(self, attempt_id: str, from_sequence: int, reader: AttemptListener) -> bool:
         """Resume a stream from a chunk sequence on; False when the attempt is not known."""
@@ -180,7 +180,7 @@
         if not attempt.readers:
             _cancel(attempt.timer)
             grace_s = self._settings.detached_grace_s
-            attempt.timer = self._clock.callLater(grace_s, self._give_up, attempt)
+            attempt.timer = self._clock.callLater(grace_s, self._cancel_unread, attempt)
 
     def cancel(self, attempt_id: str) -> bool:
         """Cancel an attempt; return whether it was still running or waiting."""
@@ -266,7 +266,7 @@
         refusal = self._model.refusal(request)
         if refusal:
             return refusal
-        if not self._scheduler.fits_ever(sequence):
+        if not self._scheduler.fits_empty_engine(sequence):
             return f"{sequence.reserved_tokens} tokens do not fit the KV cache"
         if self._scheduler.waiting >= self._settings.max_waiting:
             return "the engine's queue is full"
@@ -286,7 +286,7 @@
             self._settings.refusal_retry_after_s,
         )
 
-    def _wake(self) -> None:
+    def _schedule_step(self) -> None:
         if self._step_timer is None and self.alive and not self._stepping:
             self._begin_step()
 
@@ -307,7 +307,7 @@
         finally:
             self._stepping = False
         if self.alive:
-            self._wake()
+            self._schedule_step()
 
     def _publish_step(self, result: StepResult) -> None:
         for change in result.cache_changes:
@@ -342,7 +342,7 @@
         else:
             self._stop(attempt, EndReason.REFUSED, "the deadline passed in the queue")
 
-    def _give_up(self, attempt: EmulatedAttempt) -> None:
+    def _cancel_unread(self, attempt: EmulatedAttempt) -> None:
         self._stop(attempt, EndReason.CANCELLED, "nobody read the stream")
 
     def _stop(self, attempt: EmulatedAttempt, reason: EndReason, detail: str) -> None:
@@ -387,7 +387,7 @@
             if refusal:
                 started = sequence.started
                 self._stop(attempt, EndReason.CANCELLED if started else EndReason.REFUSED, refusal)
-        self._wake()
+        self._schedule_step()
 
     def _measure(self) -> LoadReport:
         return self._load_meter.next_report(self.draining)
--- a/src/rainsail/emulator/engine_server.py
+++ b/src/rainsail/emulator/engine_server.py
@@ -39,7 +39,7 @@
         self._clock = clock
         self._open: dict[Any, None] = {}
         self._keep_alive_timer: Any = None
-        self._fresh_ids = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         engine.on_crash(self._break_connections)
         self._add_routes()
 
@@ -49,17 +49,17 @@
 
     def _add_routes(self) -> None:
         route = self.app.route
-        route(protocol.COMPLETIONS_PATH, methods=["POST"])(self._alive(self._complete))
+        route(protocol.COMPLETIONS_PATH, methods=["POST"])(self._require_alive(self._complete))
         attempt = f"{protocol.ATTEMPTS_PATH}/<path:attempt_id>"
-        route(attempt, methods=["GET"])(self._alive(self._resume))
-        route(f"{attempt}/cancel", methods=["POST"])(self._alive(self._cancel))
-        route(protocol.ORDERS_PATH, methods=["POST"])(self._alive(self._order))
-        route(protocol.KV_EXPORT_PATH, methods=["POST"])(self._alive(self._export))
-        route(protocol.KV_IMPORT_PATH, methods=["POST"])(self._alive(self._import))
-        route(protocol.EVENTS_PATH, methods=["GET"])(self._alive(self._events))
-        route("/healthz", methods=["GET"])(self._alive(self._health))
-
-    def _alive(self, handler: Callable[..., Any]) -> Callable[..., Any]:
+        route(attempt, methods=["GET"])(self._require_alive(self._resume))
+        route(f"{attempt}/cancel", methods=["POST"])(self._require_alive(self._cancel))
+        route(protocol.ORDERS_PATH, methods=["POST"])(self._require_alive(self._order))
+        route(protocol.KV_EXPORT_PATH, methods=["POST"])(self._require_alive(self._export))
+        route(protocol.KV_IMPORT_PATH, methods=["POST"])(self._require_alive(self._import))
+        route(protocol.EVENTS_PATH, methods=["GET"])(self._require_alive(self._events))
+        route("/healthz", methods=["GET"])(self._require_alive(self._health))
+
+    def _require_alive(self, handler: Callable[..., Any]) -> Callable[..., Any]:
         """Answer nothing while the emulated process is dead: the connection just breaks."""
 
         @functools.wraps(handler)
@@ -77,17 +77,17 @@
         parsed = _read(request, protocol.COMPLETION, "engine.completions")
         if parsed.is_error():
             return _answer_fault(request, parsed.error)
-        fresh_id = f"{self._engine.incarnation}/{next(self._fresh_ids)}"
+        fresh_id = f"{self._engine.incarnation}/{next(self._attempt_numbers)}"
         generate = protocol.generate_request(parsed.ok, fresh_id)
         if not parsed.ok.stream:
-            return self._complete_at_once(request, generate)
+            return self._complete_unstreamed(request, generate)
         reader = _StreamReader(request)
         self._watch(request, generate.attempt_id, reader)
         self._engine.generate(generate, reader)
         return reader.finished
 
-    def _complete_at_once(self, request: Any, generate: GenerateRequest) -> "Deferred[bytes]":
-        reader = _WholeReader(request)
+    def _complete_unstreamed(self, request: Any, generate: GenerateRequest) -> "Deferred[bytes]":
+        reader = _AnswerCollector(request)
         gone = request.notifyFinish()
         gone.addErrback(lambda _: self._engine.cancel(generate.attempt_id))
         self._engine.generate(generate, reader)
@@ -218,7 +218,7 @@
         self.finished.callback(b"")
 
 
-class _WholeReader(_Reader):
+class _AnswerCollector(_Reader):
     """Collects an answer and writes it as one JSON object."""
 
     def __init__(self, request: Any) -> None:
--- a/src/rainsail/emulator/executions.py
+++ b/src/rainsail/emulator/executions.py
@@ -37,7 +37,7 @@
         )
         self.records.append(record)
         self._running[request.attempt_id] = record
-        self._tell(record)
+        self._notify_listeners(record)
 
     def end(self, attempt_id: str, reason: EndReason, now_s: float) -> None:
         """Note how an attempt ended, if it ever ran."""
@@ -45,13 +45,13 @@
         if record is not None:
             record.ended_s = now_s
             record.reason = reason
-            self._tell(record)
+            self._notify_listeners(record)
 
-    def lose_all(self, now_s: float) -> None:
+    def mark_all_lost(self, now_s: float) -> None:
         """Note that the engine died under what ran."""
         for attempt_id in list(self._running):
             self.end(attempt_id, EndReason.LOST, now_s)
 
-    def _tell(self, record: ExecutionRecord) -> None:
+    def _notify_listeners(self, record: ExecutionRecord) -> None:
         for listener in self.listeners:
             listener(record)
--- a/src/rainsail/emulator/scheduler.py
+++ b/src/rainsail/emulator/scheduler.py
@@ -123,7 +123,7 @@
         """Return the sequences that wait, in order of admission."""
         return [*self._waiting[Priority.HIGH], *self._waiting[Priority.LOW]]
 
-    def fits_ever(self, sequence: Sequence) -> bool:
+    def fits_empty_engine(self, sequence: Sequence) -> bool:
         """Tell whether the sequence fits into an empty engine."""
         return sequence.reserved_tokens <= self._settings.kv_tokens_total
 
--- a/src/rainsail/emulator/weight_store.py
+++ b/src/rainsail/emulator/weight_store.py
@@ -25,7 +25,7 @@
         self._clock = clock
         self._settings = settings or WeightStoreSettings()
         self._loads: list[_Load] = []
-        self._shared_at_s = clock.seconds()
+        self._progress_at_s = clock.seconds()
         self._timer: Any = None
         self._divisor = 1.0
 
@@ -36,7 +36,7 @@
 
     def slow_down(self, divisor: float) -> None:
         """Divide the configured rate by ``divisor`` from now on (1.0: the full rate again)."""
-        self._share_out()
+        self._update_progress()
         self._divisor = divisor
         self._schedule()
 
@@ -44,24 +44,24 @@
         """Load ``weight_bytes``; fires when they are there; can be cancelled."""
         if weight_bytes <= 0:
             return succeed(None)
-        self._share_out()
-        load = _Load(float(weight_bytes), Deferred(self._forget))
+        self._update_progress()
+        load = _Load(float(weight_bytes), Deferred(self._remove_cancelled))
         self._loads.append(load)
         self._schedule()
         return load.done
 
-    def _forget(self, done: "Deferred[None]") -> None:
-        self._share_out()
+    def _remove_cancelled(self, done: "Deferred[None]") -> None:
+        self._update_progress()
         self._loads = [load for load in self._loads if load.done is not done]
         self._schedule()
 
-    def _share_out(self) -> None:
+    def _update_progress(self) -> None:
         now = self._clock.seconds()
         if self._loads:
             rate = self._rate() / len(self._loads)
             for load in self._loads:
-                load.remaining_bytes -= (now - self._shared_at_s) * rate
-        self._shared_at_s = now
+                load.remaining_bytes -= (now - self._progress_at_s) * rate
+        self._progress_at_s = now
 
     def _schedule(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -77,7 +77,7 @@
         return self._settings.bytes_per_second / self._divisor
 
     def _finish_due(self) -> None:
-        self._share_out()
+        self._update_progress()
         finished = [load for load in self._loads if load.remaining_bytes <= _BYTES_DONE]
         self._loads = [load for load in self._loads if load.remaining_bytes > _BYTES_DONE]
         self._schedule()
