--- a/features/steps/rig_job_reads_steps.py
+++ b/features/steps/rig_job_reads_steps.py
@@ -41,7 +41,7 @@
         self._output = []
 
     async def exchange(self, method, url, key, timeout_s, body=None, headers=None, file=None):
-        """Answer a call as ``rig.http.HttpUser`` returns it."""
+        """Answer a call as ``rig.http.RigHttpClient`` returns it."""
         if file is not None:
             self._output = [_result(json.loads(line)) for line in file.splitlines()]
         path = url.removeprefix(ADDRESS)
@@ -137,18 +137,18 @@
     assert context.rig_jobs.settled()
 
 
-def _judged(context):
+def _violations(context):
     context.rig_seen.record(RunEnded(context.rig_clock.seconds(), True))
     return [(each.checker, each.detail) for each in check_history(context.rig_seen)]
 
 
 @then("the checkers find each result of the rig client")
 def step_whole(context):
-    found = _judged(context)
+    found = _violations(context)
     assert not found, found
 
 
 @then("the checkers find that the rig client's job lost {lost}")
 def step_lost(context, lost):
-    found = _judged(context)
+    found = _violations(context)
     assert found == [("exactly_once", f"{lost} of {JOB_ID} have no result")], found
--- a/features/steps/rig_run_steps.py
+++ b/features/steps/rig_run_steps.py
@@ -1,7 +1,7 @@
 """Steps of features/rig/short_run.feature."""
 
 from behave import then, when
-from features.support.rig import begin_rig, processes_naming, run_rig, scratch_folder, wait_until
+from features.support.rig import processes_naming, run_rig, scratch_folder, start_rig, wait_until
 
 from rainsail.experiment.checkers.exactly_once import reads_after_faults
 from rainsail.experiment.checkers.suite import check_history
@@ -56,7 +56,7 @@
 @when('the fleet rig of site "{site}" is killed while its processes start')
 def step_kill(context, site):
     context.rig_kept = scratch_folder(context) / "kept"
-    rig = begin_rig(site, "--short", "--keep", str(context.rig_kept))
+    rig = start_rig(site, "--short", "--keep", str(context.rig_kept))
     context.add_cleanup(rig.kill)
     settings = str(context.rig_kept / site / "settings")
     wait_until(lambda: processes_naming(settings), "a process of the rig")
--- a/features/support/rig.py
+++ b/features/support/rig.py
@@ -21,7 +21,7 @@
 
 LIMIT_S = 60.0
 RUN_LIMIT_S = 240.0
-LOOK_PERIOD_S = 0.05
+POLL_PERIOD_S = 0.05
 SETTINGS = """
 [process]
 name = "solo"
@@ -60,7 +60,7 @@
     return RigRun(done.returncode, json.loads(lines[-1]) if lines else {}, done.stderr)
 
 
-def begin_rig(*arguments: str) -> subprocess.Popen:
+def start_rig(*arguments: str) -> subprocess.Popen:
     """Start the rig as a command and don't wait for it."""
     command = [sys.executable, "-m", "rig", *arguments]
     quiet = subprocess.DEVNULL
@@ -155,7 +155,7 @@
         found = condition()
         if found:
             return found
-        time.sleep(LOOK_PERIOD_S)
+        time.sleep(POLL_PERIOD_S)
     raise AssertionError(f"not reached: {what} {account()}")
 
 
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -71,7 +71,7 @@
             runs[-1].write(Path(history))
         for run, result in zip(runs, results, strict=True):
             for line in run.evidence(result):
-                _say(line)
+                _log(line)
     finally:
         for run in runs:
             run.fleet.end()
@@ -100,7 +100,7 @@
 
 
 async def _run_all(runs: list[RigRun]) -> list[RigResult]:
-    return [await run.run(_say) for run in runs]
+    return [await run.run(_log) for run in runs]
 
 
 def _run_reactor(runs: list[RigRun], time_limit_s: float) -> list[RigResult]:
@@ -130,7 +130,7 @@
     return results
 
 
-def _say(line: str) -> None:
+def _log(line: str) -> None:
     print(f"rig: {time.strftime('%H:%M:%S')} {line}", file=sys.stderr, flush=True)
 
 
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -17,7 +17,7 @@
 
 ANSWER_TIMEOUT_S = 30.0
 RESEND_DELAY_S = 0.5
-MOST_SENDS = 6
+MAX_SENDS = 6
 CLASS_HEADER = "X-Rainsail-Class"
 SESSION_HEADER = "X-Rainsail-Session"
 KEY_HEADER = "Idempotency-Key"
@@ -122,7 +122,7 @@
     async def run(self) -> Outcome:
         """Send until there is a final answer or no send is left; return the last outcome."""
         again = True
-        while again and self._sends < MOST_SENDS:
+        while again and self._sends < MAX_SENDS:
             if self._sends:
                 await sleep(self._users.clock, RESEND_DELAY_S)
             again = await self._send()
--- a/rig/daemon.py
+++ b/rig/daemon.py
@@ -16,7 +16,7 @@
 from rig.layout import ProcessPlan
 
 PROGRAM = "from rainsail.cli.main import main; main()"
-EXIT_LOOK_PERIOD_S = 0.05
+EXIT_POLL_PERIOD_S = 0.05
 KILL_WAIT_S = 30.0
 PR_SET_PDEATHSIG = 1
 
@@ -65,7 +65,9 @@
     def start(self) -> None:
         """Start ``rainsail run``; what it prints goes to its log file."""
         command = [sys.executable, "-c", PROGRAM, "run", str(self.plan.settings_file)]
-        kept = {key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")}
+        environment = {
+            key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")
+        }
         self._log.parent.mkdir(parents=True, exist_ok=True)
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
@@ -73,7 +75,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                env=kept,
+                env=environment,
                 preexec_fn=die_with_parent,
             )
         self.paused = False
@@ -114,5 +116,5 @@
         """Wait until the process has ended; False when it has not within the limit."""
         until_s = self._clock.seconds() + limit_s
         while self.running and self._clock.seconds() < until_s:
-            yield sleep(self._clock, EXIT_LOOK_PERIOD_S)
+            yield sleep(self._clock, EXIT_POLL_PERIOD_S)
         return not self.running
--- a/rig/evidence.py
+++ b/rig/evidence.py
@@ -13,7 +13,7 @@
 from rainsail.experiment.checkers.interface import Violation
 from rainsail.experiment.history import FaultEnded, FaultInjected, FaultsEnded, History
 
-MOST_LINES_EACH = 150
+MAX_LINES_PER_SOURCE = 150
 """Lines printed of each source for one violation; the first and the last half of more."""
 SUBJECT = re.compile(r"[\w./]+-[\w./-]*\d[\w-]*")
 """The names in a violation: of jobs, requests, runners and processes, with a dash and a digit."""
@@ -40,13 +40,13 @@
     """Return the lines to print; none where nothing is broken."""
     if not violations:
         return []
-    lines = ["course of the failures:", *_shortened(_failures(history))]
+    lines = ["course of the failures:", *_truncated(_failures(history))]
     for violation in violations:
         subjects = SUBJECT.findall(violation.detail)
         lines.append(f"{violation.checker}: {violation.detail}")
-        lines += _shortened(_events(history, subjects))
-        lines += _shortened([str(read) for read in reads if _names(read.job_id, subjects)])
-        lines += _shortened(list(_log_lines(log_folder, subjects)))
+        lines += _truncated(_events(history, subjects))
+        lines += _truncated([str(read) for read in reads if _names(read.job_id, subjects)])
+        lines += _truncated(list(_log_lines(log_folder, subjects)))
     return lines
 
 
@@ -70,10 +70,10 @@
                 yield f"{path.stem}: {line}"
 
 
-def _shortened(lines: list[str]) -> list[str]:
+def _truncated(lines: list[str]) -> list[str]:
     """Return the first and the last lines of many."""
-    if len(lines) <= MOST_LINES_EACH:
+    if len(lines) <= MAX_LINES_PER_SOURCE:
         return [f"  {line}" for line in lines]
-    half = MOST_LINES_EACH // 2
+    half = MAX_LINES_PER_SOURCE // 2
     left_out = f"({len(lines) - 2 * half} lines left out)"
     return [f"  {line}" for line in (*lines[:half], left_out, *lines[-half:])]
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -12,12 +12,12 @@
 from rainsail.emulator.execution_file import RecordedExecution, read_execution_file
 from rainsail.runtime.clock import Clock, sleep
 from rig.daemon import PROGRAM, Daemon
-from rig.http import AnswerLost, HttpUser
+from rig.http import AnswerLost, RigHttpClient
 from rig.layout import OPERATOR_PORT, STATUS_PORT, ProcessKind, SiteLayout
 
-LOOK_PERIOD_S = 0.1
-LOOK_TIMEOUT_S = 5.0
-KEYS_LIMIT_S = 60.0
+POLL_PERIOD_S = 0.1
+POLL_TIMEOUT_S = 5.0
+COMMAND_TIMEOUT_S = 60.0
 STOP_LIMIT_S = 150.0
 """A gateway's grace time for requests in progress (120 s) and a margin."""
 EXECUTION_FILE = "executions.jsonl"
@@ -40,7 +40,9 @@
 class RigFleet:
     """The processes of one rig. Only processes that it started are ever signalled."""
 
-    def __init__(self, layout: SiteLayout, clock: Clock, http: HttpUser, limit_s: float) -> None:
+    def __init__(
+        self, layout: SiteLayout, clock: Clock, http: RigHttpClient, limit_s: float
+    ) -> None:
         self.layout = layout
         self.clock = clock
         self._http = http
@@ -91,7 +93,7 @@
                 return found
             if self.clock.seconds() > until_s:
                 raise NotReached(f"{what}: not within {self._limit_s:g} s")
-            await sleep(self.clock, LOOK_PERIOD_S)
+            await sleep(self.clock, POLL_PERIOD_S)
 
     async def until_ready(self, daemons: list[Daemon]) -> None:
         """Wait until each process says that it is ready."""
@@ -119,18 +121,20 @@
     async def until_group(self, health: str, losses_borne: int) -> GroupState:
         """Wait until the leader says exactly this of the group."""
 
-        async def says_so() -> GroupState | None:
+        async def matching_state() -> GroupState | None:
             state = await self.group_state()
             if state is None or (state.health, state.losses_borne) != (health, losses_borne):
                 return None
             return state
 
-        found: GroupState = await self.until(f"status {health}, bears {losses_borne}", says_so)
+        found: GroupState = await self.until(
+            f"status {health}, bears {losses_borne}", matching_state
+        )
         return found
 
     async def _get(self, url: str, key: str) -> Any:
         try:
-            reply = await self._http.exchange("GET", url, key, LOOK_TIMEOUT_S)
+            reply = await self._http.exchange("GET", url, key, POLL_TIMEOUT_S)
         except AnswerLost:
             return None
         if reply.status != 200:
@@ -140,7 +144,7 @@
     async def put_machine(self, runner: str, state: str) -> None:
         """Let the platform say that a machine is live or leaving."""
         url = f"{self.layout.machine_list_url}/machines/{runner}/{state}"
-        await self._http.exchange("PUT", url, "", LOOK_TIMEOUT_S)
+        await self._http.exchange("PUT", url, "", POLL_TIMEOUT_S)
 
     # --- evidence -------------------------------------------------------------------------
 
@@ -161,14 +165,16 @@
 
 def run_rainsail(arguments: list[str], folder: Path | None = None) -> str:
     """Run a command to its end and return what it printed; raises when it fails."""
-    kept = {key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")}
+    environment = {
+        key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")
+    }
     done = subprocess.run(
         [sys.executable, "-c", PROGRAM, *arguments],
-        env=kept,
+        env=environment,
         cwd=folder,
         capture_output=True,
         text=True,
-        timeout=KEYS_LIMIT_S,
+        timeout=COMMAND_TIMEOUT_S,
         check=True,
     )
     return done.stdout
--- a/rig/http.py
+++ b/rig/http.py
@@ -70,7 +70,7 @@
             self.ended.errback(AnswerLost(True, f"the answer broke off: {reason.value!r}"))
 
 
-class HttpUser:
+class RigHttpClient:
     """Sends requests, each over a connection of its own."""
 
     def __init__(self, reactor: Any) -> None:
--- a/rig/injector.py
+++ b/rig/injector.py
@@ -70,7 +70,7 @@
             daemon.start()
         await self._fleet.until_ready(daemons)
 
-    async def until_whole(self) -> GroupState:
+    async def until_fully_redundant(self) -> GroupState:
         """Wait until the group bears every loss that it is meant for."""
         return await self._fleet.until_group(HEALTHY, (self._voters - 1) // 2)
 
@@ -85,14 +85,14 @@
         await self._kill_replicas("kill_two_replicas", 2)
 
     async def _kill_replicas(self, kind: str, count: int) -> None:
-        state = await self.until_whole()
+        state = await self.until_fully_redundant()
         others = [each for each in self._fleet.replicas() if each.name != state.leader]
         targets = [self._fleet.daemons[state.leader], *self._draw.sample(others, count - 1)]
         await self._kill_and_restart(kind, targets)
 
     async def kill_all_replicas(self) -> None:
         """Let the power fail under every replica at once."""
-        await self.until_whole()
+        await self.until_fully_redundant()
         await self._kill_and_restart("kill_all_replicas", self._fleet.replicas())
 
     async def _kill_and_restart(self, kind: str, targets: list[Daemon]) -> None:
@@ -105,21 +105,21 @@
             await self._fleet.until_group(DEGRADED, borne)
         await self._wait(self._hold.down_s)
         await self._start(self._draw.sample(targets, len(targets)))
-        await self.until_whole()
+        await self.until_fully_redundant()
         self._end(kind, names)
 
     async def lose_disk(self) -> None:
         """Kill a replica and lose its disk; it must come back as a new identity by itself."""
-        before = await self.until_whole()
+        before = await self.until_fully_redundant()
         target = self._draw.choice(self._fleet.replicas())
         self._begin("lose_disk", target.name)
         target.kill()
         target.wipe()
         await self._start([target])
-        await self._fleet.until(f"{target.name} is repaired", lambda: self._has_newcomer(before))
+        await self._fleet.until(f"{target.name} is repaired", lambda: self._has_replacement(before))
         self._end("lose_disk", target.name)
 
-    async def _has_newcomer(self, before: GroupState) -> bool:
+    async def _has_replacement(self, before: GroupState) -> bool:
         """Tell whether the group is whole again, with one identity in the place of another."""
         now = await self._fleet.group_state()
         if now is None or (now.health, now.losses_borne) != (HEALTHY, (self._voters - 1) // 2):
@@ -141,21 +141,21 @@
         await self._pause_leader("pause_leader_for_a_minute", LONG_PAUSE_S)
 
     async def _pause_leader(self, kind: str, paused_s: float) -> None:
-        state = await self.until_whole()
+        state = await self.until_fully_redundant()
         target = self._fleet.daemons[state.leader]
         self._begin(kind, target.name)
         target.pause()
         await self._fleet.until_group(DEGRADED, (self._voters - 1) // 2 - 1)
         await self._wait(paused_s)
         target.resume()
-        await self.until_whole()
+        await self.until_fully_redundant()
         self._end(kind, target.name)
 
     async def stop_replica(self) -> None:
         """Stop a replica as planned and start it again."""
-        await self.until_whole()
+        await self.until_fully_redundant()
         await self._stop_and_start("stop_replica", self._draw.choice(self._fleet.replicas()))
-        await self.until_whole()
+        await self.until_fully_redundant()
 
     # --- gateways -------------------------------------------------------------------------
 
--- a/rig/jobs.py
+++ b/rig/jobs.py
@@ -87,7 +87,7 @@
         for kind in ("output", "errors"):
             path = f"/v1/files/file-{kind}-{self.job_id}/content"
             sent_s = self._users.clock.seconds()
-            reply = await self._insist("GET", path)
+            reply = await self._call_until_answered("GET", path)
             lines = reply.body.splitlines()
             self._record_read(kind, sent_s, len(lines))
             for line in lines:
@@ -102,7 +102,7 @@
 
     # --- calls ----------------------------------------------------------------------------
 
-    async def _try(self, method: str, path: str, **more: Any) -> Reply | None:
+    async def _call_once(self, method: str, path: str, **more: Any) -> Reply | None:
         """Make one call to the next gateway in turn; None when there is no good answer."""
         gateway = self._users.gateway(self._turn)
         url = f"{gateway.url(CALLER_PORT)}{path}"
@@ -117,20 +117,20 @@
         await sleep(self._users.clock, RESEND_DELAY_S)
         return None
 
-    async def _insist(self, method: str, path: str) -> Reply:
+    async def _call_until_answered(self, method: str, path: str) -> Reply:
         reply = None
         while reply is None:
-            reply = await self._try(method, path)
+            reply = await self._call_once(method, path)
         return reply
 
     async def _submit(self) -> None:
         """Upload the input and make the batch, at one gateway: files are kept where they came."""
-        upload = await self._try("POST", "/v1/files", file=self._input())
+        upload = await self._call_once("POST", "/v1/files", file=self._input())
         if upload is None:
             return
         batch = {"input_file_id": upload.json()["id"], "endpoint": ENDPOINT}
         headers = {KEY_HEADER: self._job_key, DEADLINE_HEADER: str(self._mix.deadline_s)}
-        reply = await self._try("POST", "/v1/batches", body=batch, headers=headers)
+        reply = await self._call_once("POST", "/v1/batches", body=batch, headers=headers)
         if reply is None:
             return
         self.job_id = reply.json()["id"]
@@ -149,14 +149,14 @@
         return json.dumps(line).encode()
 
     async def _cancel(self) -> None:
-        reply = await self._insist("POST", f"/v1/batches/{self.job_id}/cancel")
+        reply = await self._call_until_answered("POST", f"/v1/batches/{self.job_id}/cancel")
         if reply.json()["status"] == "cancelled":
             now_s = self._users.clock.seconds()
             self._users.history.record(JobCancelAccepted(now_s, self.job_id))
 
     async def _read_phase(self) -> bool:
         """Read the job's state; return whether it is finished."""
-        reply = await self._insist("GET", f"/v1/batches/{self.job_id}")
+        reply = await self._call_until_answered("GET", f"/v1/batches/{self.job_id}")
         batch = reply.json()
         counts = batch["request_counts"]
         phase = PHASES.get(batch["status"], "sealed")
--- a/rig/operators.py
+++ b/rig/operators.py
@@ -21,7 +21,7 @@
 RESEND_DELAY_S = 0.3
 RACE_PERIOD_S = 2.0
 READ_PERIOD_S = 0.5
-MOST_OPEN_READS = 24
+MAX_OPEN_READS = 24
 """Reads that may hang at paused replicas at a time."""
 RESEND_PROBABILITY = 0.2
 REFUSED = 0
@@ -138,7 +138,7 @@
         """Begin a read at the next replica every period, also while others hang."""
         turn = 0
         while not self._ended:
-            if self._open_reads < MOST_OPEN_READS:
+            if self._open_reads < MAX_OPEN_READS:
                 replica = self._users.layout.replicas[turn % len(self._users.layout.replicas)]
                 self._run(self._read_at(replica))
             turn += 1
--- a/rig/rotation.py
+++ b/rig/rotation.py
@@ -25,7 +25,7 @@
 PROBE_PERIOD_S = 0.25
 PROBE_TIMEOUT_S = 20.0
 OLD_KEYS_PROBED = 5
-MOST_OPEN = 120
+MAX_OPEN_PROBES = 120
 """Probes that may be under way at a time, hanging ones included."""
 
 
@@ -78,7 +78,7 @@
         turn = 0
         while not self._stopped:
             await sleep(self._users.clock, PROBE_PERIOD_S)
-            if self._keys and self._open < MOST_OPEN:
+            if self._keys and self._open < MAX_OPEN_PROBES:
                 back = min(turn % (OLD_KEYS_PROBED + 1), len(self._keys) - 1)
                 self._run_counted(self._probe(gateway, len(self._keys) - 1 - back))
                 turn += 1
@@ -95,9 +95,9 @@
         except AnswerLost:
             return
         if reply.status == 200:
-            self._taken(gateway.name, number, begun_s, known)
+            self._record_accepted_probe(gateway.name, number, begun_s, known)
 
-    def _taken(self, gateway: str, number: int, begun_s: float, known: int) -> None:
+    def _record_accepted_probe(self, gateway: str, number: int, begun_s: float, known: int) -> None:
         """Record what a gateway's work under a key says of its revision.
 
         It held the key's revision or a later one, but one before the next key's. The earliest
--- a/rig/run.py
+++ b/rig/run.py
@@ -34,7 +34,7 @@
 from rig.callers import RigCallerTraffic
 from rig.evidence import describe_violations
 from rig.fleet import NotReached, RigFleet
-from rig.http import HttpUser
+from rig.http import RigHttpClient
 from rig.injector import Injector
 from rig.jobs import RigJobTraffic
 from rig.layout import SiteLayout
@@ -83,7 +83,7 @@
         self._seed = seed
         self._plan = plan
         self._clock = MonotonicClock(reactor)
-        http = HttpUser(reactor)
+        http = RigHttpClient(reactor)
         self.fleet = RigFleet(layout, self._clock, http, limit_s)
         self._users = Users(layout, http, self._clock, self.history, self._draw("users"))
         self._failures: list[str] = []
@@ -126,7 +126,7 @@
         complete = False
         try:
             await self._set_up(say)
-            await self._load_and_fail(say)
+            await self._run_load_and_failures(say)
             await self._settle(say)
             complete = True
         except NotReached as error:
@@ -146,7 +146,7 @@
         for daemon in order:
             daemon.start()
         await self.fleet.until_ready(order)
-        await self._injector.until_whole()
+        await self._injector.until_fully_redundant()
         self.history.record(FaultEnded(self._clock.seconds(), COLD_START, "fleet"))
         say("declaring")
         self._operators.watch()
@@ -164,32 +164,32 @@
             for number in range(len(self.fleet.gateways()))
             for mix in self._mixes
         ]
-        await _all_of(waits)
+        await _gather(waits)
 
     async def _completes(self, gateway: int, mix: Any) -> bool:
         planned = self._callers.plan(mix)
         return await self._callers.call(planned, gateway) == Outcome.COMPLETED
 
-    async def _load_and_fail(self, say: Callable[[str], None]) -> None:
+    async def _run_load_and_failures(self, say: Callable[[str], None]) -> None:
         traffic = self._traffic()
         for each in traffic:
             each.start()
-        await self._one_round(self._plan.opening, float("inf"), say)
+        await self._run_round(self._plan.opening, float("inf"), say)
         begun_s = self._clock.seconds()
-        await _all_of([self._go_through(number, begun_s, say) for number in range(2)])
+        await _gather([self._run_lane(number, begun_s, say) for number in range(2)])
         for each in traffic:
             each.stop()
 
-    async def _go_through(self, lane: int, begun_s: float, say: Callable[[str], None]) -> None:
+    async def _run_lane(self, lane: int, begun_s: float, say: Callable[[str], None]) -> None:
         """Bring about one lane's failures, round after round until the time is over."""
         draw = self._draw(f"lane/{lane}")
         until_s = begun_s + self._plan.failures_s
         again = True
         while again:
-            await self._one_round(lanes(self._plan, draw)[lane], until_s, say)
+            await self._run_round(lanes(self._plan, draw)[lane], until_s, say)
             again = self._clock.seconds() < until_s
 
-    async def _one_round(self, lane: Lane, until_s: float, say: Callable[[str], None]) -> None:
+    async def _run_round(self, lane: Lane, until_s: float, say: Callable[[str], None]) -> None:
         for failure in lane:
             if self._plan.failures_s and self._clock.seconds() >= until_s:
                 return
@@ -200,7 +200,7 @@
         """Wait until all that was accepted is finished, and read it once more."""
         say("settling")
         await self.fleet.until_ready(list(self.fleet.daemons.values()))
-        await self._injector.until_whole()
+        await self._injector.until_fully_redundant()
         self.history.record(FaultsEnded(self._clock.seconds()))
         self._jobs.read_again()
         await self.fleet.until("everything accepted is finished", self._settled)
@@ -268,7 +268,7 @@
         write_history(path, self.history)
 
 
-async def _all_of(work: list[Any]) -> None:
+async def _gather(work: list[Any]) -> None:
     """Do work side by side; raises what the first failing part raised."""
     begun = [Deferred.fromCoroutine(each) for each in work]
     try:
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -13,7 +13,7 @@
 from rainsail.experiment.history import History
 from rainsail.runtime.clock import Clock
 from rig.evidence import FileRead
-from rig.http import HttpUser
+from rig.http import RigHttpClient
 from rig.layout import ProcessPlan, SiteLayout
 
 
@@ -22,7 +22,7 @@
     """What every user of the site needs."""
 
     layout: SiteLayout
-    http: HttpUser
+    http: RigHttpClient
     clock: Clock
     history: History
     draw: Random
