--- a/features/emulator/engine.feature
+++ b/features/emulator/engine.feature
@@ -1,21 +1,21 @@
-Feature: The emulated engine batches as the platform's engines do
-  Times are virtual seconds. An answer's text is known beforehand, so wholeness can be checked.
+Feature: The emulated engine batches like the platform's engines
+  Times are virtual seconds. An answer's text is known beforehand, so its completeness can be checked.
 
-  Scenario: An answer is whole, in order and ends with its length
+  Scenario: An answer is complete and in order, and ends at its token limit
     Given an emulated engine
     When attempt "a" asks the engine for 40 tokens about "reefer alarm"
     And the emulator runs until "a" has ended
     Then attempt "a" got its whole answer in numbered chunks
     And attempt "a" ended with reason "length" and 40 generated tokens
 
-  Scenario: An answer stops by itself before a distant bound
+  Scenario: An answer ends on its own before a high token limit
     Given an emulated engine
     When attempt "a" asks the engine for 5000 tokens about "reefer alarm"
     And the emulator runs until "a" has ended
     Then attempt "a" got its whole answer in numbered chunks
     And attempt "a" ended with reason "stop"
 
-  Scenario: An answer goes on after a forced prefix without a seam
+  Scenario: An answer continues exactly after a forced prefix
     Given an emulated engine
     When attempt "a" asks the engine for 40 tokens about "reefer alarm" after its first 15 tokens
     And the emulator runs until "a" has ended
@@ -23,7 +23,7 @@
     And the first chunk of attempt "a" has offset 15
     And attempt "a" ended with reason "length" and 25 generated tokens
 
-  Scenario: Tokens are joined into chunks, but the first one goes alone
+  Scenario: Tokens are joined into chunks, except the first token
     Given an emulated engine with tokens_per_chunk 8
     When attempt "a" asks the engine for 20 tokens about "reefer alarm"
     And the emulator runs until "a" has ended
@@ -36,7 +36,7 @@
     And the emulator runs until "a" has ended
     Then the chunks of attempt "a" have 1, 19 tokens
 
-  Scenario: A high sequence takes the place of a low one, which later goes on whole
+  Scenario: A high-priority sequence preempts a low-priority one, which later completes
     Given an emulated engine with max_running 2
     When low attempt "b1" asks the engine for 60 tokens about "nightly report one"
     And low attempt "b2" asks the engine for 60 tokens about "nightly report two"
@@ -50,7 +50,7 @@
     And attempt "b1" got its whole answer in numbered chunks
     And the engine ran each request once
 
-  Scenario: High sequences are admitted before low ones that came first
+  Scenario: High-priority sequences are admitted before low-priority ones that arrived earlier
     Given an emulated engine with max_running 1
     When attempt "h1" asks the engine for 10 tokens about "first"
     And low attempt "b" asks the engine for 10 tokens about "batch"
@@ -58,14 +58,14 @@
     And the emulator runs until "b" has ended
     Then attempt "h2" ended before attempt "b"
 
-  Scenario: Low sequences never take the place of others
+  Scenario: Low-priority sequences never preempt others
     Given an emulated engine with max_running 1
     When low attempt "b1" asks the engine for 10 tokens about "first"
     And low attempt "b2" asks the engine for 10 tokens about "second"
     And the emulator runs until "b2" has ended
     Then the engine has preempted 0 sequences
 
-  Scenario: The KV cache bounds the batch, and what never fits is refused
+  Scenario: The KV cache bounds the batch, and a request that exceeds it is refused
     Given an emulated engine with kv_tokens_total 100
     When low attempt "b1" asks the engine for 60 tokens about "x"
     And low attempt "b2" asks the engine for 60 tokens about "y"
@@ -74,13 +74,13 @@
     Then attempt "h" was refused because of "do not fit"
     And the engine has preempted 0 sequences
 
-  Scenario: A full queue refuses with a hint when to come back
+  Scenario: A full queue refuses with a retry delay
     Given an emulated engine with max_running 1 and max_waiting 1
     When attempt "a1" asks the engine for 10 tokens about "x"
     And attempt "a2" asks the engine for 10 tokens about "y"
     And attempt "a3" asks the engine for 10 tokens about "z"
     Then attempt "a3" was refused because of "queue is full"
-    And the refusal of attempt "a3" says when to come back
+    And the refusal of attempt "a3" suggests a retry delay
     And the engine ran no attempt "a3"
 
   Scenario: A cached prefix shortens prefill
@@ -91,7 +91,7 @@
     And the emulator runs until "a2" has ended
     Then attempt "a2" got its first token in under a third of the time of "a1"
 
-  Scenario: The prefix cache is bounded, the least recently used blocks go
+  Scenario: The prefix cache is bounded and evicts the least recently used blocks
     Given an emulated engine with cache_blocks 20
     When attempt "a1" asks the engine for 5 tokens about a prompt of 1024 characters
     And the emulator runs until "a1" has ended
@@ -99,7 +99,7 @@
     And the emulator runs until "a2" has ended
     Then the engine's cache holds 20 blocks, all 16 of attempt "a2" among them
 
-  Scenario: A deadline in the queue is a refusal, a deadline while running a cancel
+  Scenario: A deadline that expires in the queue is a refusal, while running a cancellation
     Given an emulated engine with max_running 1
     When attempt "a1" asks the engine for 500 tokens about "x" within 2 s
     And attempt "a2" asks the engine for 10 tokens about "y" within 1 s
@@ -108,7 +108,7 @@
     And the engine ran no attempt "a2"
     And attempt "a1" ended with reason "cancelled"
 
-  Scenario: A draining engine finishes what runs and refuses what comes
+  Scenario: A draining engine finishes running attempts and refuses new ones
     Given an emulated engine
     When attempt "a1" asks the engine for 20 tokens about "x"
     And the engine is told to drain
@@ -117,7 +117,7 @@
     When the emulator runs until "a1" has ended
     Then attempt "a1" got its whole answer in numbered chunks
 
-  Scenario: A crash ends every stream in silence, and a restart knows nothing
+  Scenario: A crash sends no end to any stream, and a restart keeps no attempts
     Given an emulated engine
     When attempt "a1" asks the engine for 50 tokens about "x"
     And the emulator runs until "a1" has sent 10 chunks
@@ -128,5 +128,5 @@
     And the engine has a new incarnation and no version
     And a resume of attempt "a1" from chunk 10 is unknown
 
-  Scenario: Whatever comes and goes, the batch keeps its bounds and answers stay whole
-    Then random traffic on an emulated engine keeps its bounds and gives whole answers
+  Scenario: Under random traffic the batch stays within its limits and answers are complete
+    Then random traffic on an emulated engine stays within limits and gets complete answers
--- a/features/steps/emulator_engine_steps.py
+++ b/features/steps/emulator_engine_steps.py
@@ -14,7 +14,7 @@
 
 
 def long_prompt(length, mark="a"):
-    """Return a prompt without repeated blocks."""
+    """Return a random prompt, which has no repeated blocks; ``mark`` is its seed."""
     drawn = Random(mark)
     return "".join(drawn.choice("abcdefghij ") for _ in range(length))
 
@@ -203,8 +203,8 @@
     assert context.bench.listeners[name].chunks == []
 
 
-@then('the refusal of attempt "{name}" says when to come back')
-def says_when(context, name):
+@then('the refusal of attempt "{name}" suggests a retry delay')
+def suggests_retry_delay(context, name):
     assert context.bench.listeners[name].end.retry_after_s > 0
 
 
@@ -265,14 +265,14 @@
     assert not context.engine.attach(name, first, RecordingListener(context.bench.clock))
 
 
-@then("random traffic on an emulated engine keeps its bounds and gives whole answers")
+@then("random traffic on an emulated engine stays within limits and gets complete answers")
 def random_traffic(context):
     for seed in range(RANDOM_RUNS):
         run_random_traffic(seed)
 
 
 def run_random_traffic(seed):
-    """Generate, cancel and lose readers at random; check the bounds after every timer."""
+    """Generate and cancel at random; check the limits after every timer."""
     drawn = Random(seed)
     bench = Bench(
         max_running=drawn.randint(1, 6),
@@ -309,7 +309,7 @@
 
 
 def check_bounds(bench, engine):
-    """The batch stays within its limits."""
+    """Assert that the batch and the caches are within their limits."""
     load = engine.load()
     assert 0 <= load.running <= bench.settings.max_running, load
     assert 0 <= load.kv_tokens_used <= bench.settings.kv_tokens_total, load
@@ -317,7 +317,7 @@
 
 
 def check_idle(engine):
-    """Nothing is left behind."""
+    """Assert that nothing runs, waits or holds KV cache."""
     load = engine.load()
     assert (load.running, load.waiting, load.kv_tokens_used) == (0, 0, 0), load
     assert load.loaded_version == VERSION
--- a/features/steps/emulator_platform_steps.py
+++ b/features/steps/emulator_platform_steps.py
@@ -16,7 +16,7 @@
 
 
 class Subscriber:
-    """Keeps load reports and cache events with their times."""
+    """Records load reports, and cache events with their arrival times."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -25,17 +25,17 @@
         self.times_s = []
 
     def on_load(self, report):
-        """Keep a report."""
+        """Record a load report."""
         assert isinstance(report, LoadReport)
         self.reports.append(report)
 
     def on_cache(self, event):
-        """Keep an event."""
+        """Record a cache event."""
         self.events.append(event)
         self.times_s.append(self._clock.seconds())
 
     def view(self):
-        """Return the cached blocks as the events tell."""
+        """Return the cached blocks that follow from the events."""
         blocks = []
         for event in self.events:
             if event.kind is CacheEventKind.CLEARED:
@@ -115,14 +115,14 @@
     context.bench.clock.advance(2)
 
 
-@then("the subscriber's cache events have holes in their sequence")
-def has_holes(context):
+@then("the subscriber's cache events have gaps in their sequence")
+def has_gaps(context):
     sequences = [event.sequence for event in context.subscriber.events]
     assert sequences == sorted(set(sequences))
     assert 5 < len(sequences) <= sequences[-1] - 5, sequences
 
 
-@then("no cache event came sooner than {delay:g} s after its blocks were cached")
+@then("no cache event arrived earlier than {delay:g} s after its blocks were cached")
 def events_late(context, delay):
     subscriber = context.subscriber
     for event, time_s in zip(subscriber.events, subscriber.times_s, strict=True):
--- a/features/support/emulator.py
+++ b/features/support/emulator.py
@@ -1,4 +1,4 @@
-"""Emulated engines on a virtual clock, and listeners that keep what they hear."""
+"""Emulated engines on a virtual clock, and listeners that record their streams."""
 
 from random import Random
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class RecordingListener:
-    """Keeps an attempt's chunks with their times, and its one end."""
+    """Records an attempt's chunks with their times, and its single end."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
@@ -32,13 +32,13 @@
         self.end: EngineAttemptEnd | None = None
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Keep a chunk."""
+        """Record a chunk."""
         assert self.end is None, "a chunk after the end"
         self.chunks.append(chunk)
         self.times_s.append(self._clock.seconds())
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Keep the end."""
+        """Record the end."""
         assert self.end is None, "a second end"
         self.end = end
         self.ended_s = self._clock.seconds()
@@ -75,7 +75,7 @@
         return engine
 
     def request(self, attempt: str, prompt: str, tokens: int, **more: Any) -> GenerateRequest:
-        """Make a request; ``priority`` and the like may be given."""
+        """Create a request; ``more`` overrides further fields such as ``priority``."""
         fields = {"priority": Priority.HIGH, "version": "", **more}
         request = GenerateRequest(
             attempt_id=attempt,
@@ -95,7 +95,7 @@
         self.engines[engine].generate(request, self.listeners[attempt])
 
     def expected(self, attempt: str) -> str:
-        """Return the text that an attempt has to send."""
+        """Return the text that an attempt must produce."""
         request = self.requests[attempt]
         whole = expected_answer(MODEL, request.prompt, request.max_tokens, request.seed)
         return whole[len(request.forced_prefix) :]
--- a/src/rainsail/emulator/__init__.py
+++ b/src/rainsail/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The emulated platform: model engines, weight store and machine list."""
+"""Emulated platform: model engines, weight store and machine list."""
--- a/src/rainsail/emulator/answers.py
+++ b/src/rainsail/emulator/answers.py
@@ -1,8 +1,8 @@
-"""Deterministic answers, so that a caller can check that it got the whole of its own answer.
+"""Deterministic answers, so that a caller can check that it received its own answer in full.
 
 Every token is ``CHARACTERS_PER_TOKEN`` characters of text (three letters and a space), and the
-token at a position depends only on model, prompt, seed and position. An answer that goes on
-after a forced prefix therefore joins it without a seam, on whichever engine.
+token at a position depends only on model, prompt, seed and position. Any engine therefore
+continues a forced prefix with exactly the text that the original engine would have produced.
 """
 
 import hashlib
@@ -26,23 +26,23 @@
 
 
 def natural_length(model: str, prompt: str, seed: int) -> int:
-    """Return the number of tokens after which the model stops by itself."""
+    """Return the number of tokens after which the model stops on its own, without a token limit."""
     drawn = int.from_bytes(hashlib.sha256(_generator(model, prompt, seed).digest(8)).digest()[:4])
     return _MINIMUM_NATURAL_TOKENS + drawn % _NATURAL_TOKENS_RANGE
 
 
 def answer_length(model: str, prompt: str, max_tokens: int, seed: int) -> int:
-    """Return the number of tokens of the whole answer."""
+    """Return the token count of the answer: its natural length, at most ``max_tokens``."""
     return max(0, min(max_tokens, natural_length(model, prompt, seed)))
 
 
 def expected_answer(model: str, prompt: str, max_tokens: int, seed: int) -> str:
-    """Return the whole answer that every engine gives to this request."""
+    """Return the complete answer that every engine gives to this request."""
     length = answer_length(model, prompt, max_tokens, seed)
     drawn = _generator(model, prompt, seed).digest(length)
     return "".join([_TOKENS[byte] for byte in drawn])
 
 
 def token_text(answer: str, first: int, end: int) -> str:
-    """Return the text of the tokens from ``first`` up to but without ``end``."""
+    """Return the text of the tokens from ``first`` (inclusive) to ``end`` (exclusive)."""
     return answer[first * CHARACTERS_PER_TOKEN : end * CHARACTERS_PER_TOKEN]
--- a/src/rainsail/emulator/attempt.py
+++ b/src/rainsail/emulator/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on an emulated engine: its chunks, its readers and its end."""
+"""One generate attempt on an emulated engine: its chunks, its readers and its end."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 class EmulatedAttempt:
-    """Keeps every chunk until it is forgotten, so that a reader can come back for them."""
+    """Retains all chunks of an attempt, so that a reader can resume the stream."""
 
     __slots__ = (
         "answer",
@@ -38,7 +38,7 @@
         self.deadline_timer: Any = None
 
     def attach(self, from_sequence: int, reader: AttemptListener) -> None:
-        """Give a reader the chunks from ``from_sequence`` on and what is still to come."""
+        """Send a reader the chunks from ``from_sequence`` on, then new chunks and the end."""
         for chunk in self.chunks[from_sequence:]:
             reader.on_chunk(chunk)
         if self.end is not None:
@@ -47,11 +47,11 @@
         self.readers.append(reader)
 
     def detach(self, reader: AttemptListener) -> None:
-        """Take a reader off."""
+        """Stop sending to a reader."""
         self.readers = [each for each in self.readers if each is not reader]
 
     def add_tokens(self, first: int, end: int) -> None:
-        """Append the answer's tokens from ``first`` up to ``end`` as one chunk."""
+        """Append the answer's tokens from ``first`` to ``end`` (exclusive) as one chunk."""
         if end <= first:
             return
         text = token_text(self.answer, first, end)
@@ -64,7 +64,7 @@
     def finish(
         self, reason: EndReason, detail: str = "", retry_after_s: float = 0.0
     ) -> EngineAttemptEnd:
-        """End the attempt and tell its readers."""
+        """End the attempt and notify its readers."""
         generated = max(0, self.sequence.emitted - self.sequence.first_token)
         end = EngineAttemptEnd(
             self.request.attempt_id,
--- a/src/rainsail/emulator/engine.py
+++ b/src/rainsail/emulator/engine.py
@@ -1,8 +1,8 @@
-"""An emulated model engine: the platform of the brief on any clock.
+"""An emulated model engine that runs on any clock.
 
 The same code runs on the wall clock (behind ``rainsail.emulator.engine_server``) and on the
-virtual clock (behind ``rainsail.simulation.engine_link``). Calls are made directly; what the
-network does to them is the adapter's matter.
+virtual clock (behind ``rainsail.simulation.engine_link``). Calls are made directly; the adapters
+add the network's delays and failures.
 """
 
 from collections import deque
@@ -39,11 +39,11 @@
 from rainsail.runtime.clock import Clock
 
 _WHOLE_ANSWER = 1 << 60
-"""Tokens per chunk of an answer that is not streamed."""
+"""Chunk size in tokens of an answer that is not streamed: larger than any answer."""
 
 
 class EmulatedEngine:
-    """Runs generate attempts in one continuous batch and takes fenced orders."""
+    """Runs generate attempts in one continuous batch and accepts fenced orders."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         weight_store: WeightStore,
         process: str = "",
     ) -> None:
-        """Make a started engine; ``process`` tells incarnations of one process from another's."""
+        """Create a running engine; ``process`` makes incarnation names unique across processes."""
         self.runner = runner
         self._process = process
         self._execution_log = ExecutionLog()
@@ -69,12 +69,12 @@
         self._order_fence = 0
         self.restart()
 
-    # --- life -----------------------------------------------------------------------------
+    # --- lifecycle -----------------------------------------------------------------------------
 
     def restart(self) -> None:
-        """Start with empty memory: no weights, no streams, no cache, a new incarnation.
+        """Start a new incarnation with empty memory: no weights, streams or cache.
 
-        The highest order fence survives, as the platform keeps it with the machine.
+        The highest order fence survives, because the platform stores it with the machine.
         """
         self.crash()
         self._incarnations += 1
@@ -110,11 +110,11 @@
         self.alive = True
 
     def on_crash(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` whenever the engine dies (its connections break)."""
+        """Call ``listener`` on every crash, so that it can break the engine's connections."""
         self._crash_listeners.append(listener)
 
     def crash(self) -> None:
-        """Die at once: streams fall silent, only the crash listeners hear of it."""
+        """Stop at once without ending any stream; only the crash listeners are notified."""
         if not self.alive:
             return
         self.alive = False
@@ -132,14 +132,14 @@
             listener()
 
     def preload(self, version: str, adapters: tuple[str, ...] = ()) -> None:
-        """Start with weights already there (for tests and for a platform set up beforehand)."""
+        """Set the loaded version and adapters directly (for tests and prepared platforms)."""
         self._model.loaded_version = version
         self._model.adapters = adapters
 
     # --- attempts -------------------------------------------------------------------------
 
     def generate(self, request: GenerateRequest, reader: AttemptListener) -> None:
-        """Start an attempt, or refuse it at once; the same attempt id joins the running one."""
+        """Start or refuse an attempt; a known attempt id attaches the reader to that attempt."""
         known = self._attempts.get(request.attempt_id)
         if known is not None:
             known.attach(0, reader)
@@ -161,7 +161,7 @@
         self._schedule_step()
 
     def attach(self, attempt_id: str, from_sequence: int, reader: AttemptListener) -> bool:
-        """Resume a stream from a chunk sequence on; False when the attempt is not known."""
+        """Resume a stream from a chunk sequence number; False when the attempt is unknown."""
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
             return False
@@ -172,7 +172,7 @@
         return True
 
     def detach(self, attempt_id: str, reader: AttemptListener) -> None:
-        """Take a lost reader off; an attempt that nobody reads is cancelled after a while."""
+        """Detach a disconnected reader; cancel an attempt without readers after a grace period."""
         attempt = self._attempts.get(attempt_id)
         if attempt is None or attempt.end is not None:
             return
@@ -193,11 +193,11 @@
     # --- orders, sessions, events ---------------------------------------------------------
 
     def order(self, order: EngineOrder) -> Result[OrderReply, Fault]:
-        """Take a fenced order."""
+        """Apply a fenced order; the fault is FENCED when a higher fence was seen."""
         return self._model.take(order)
 
     def export_kv(self, session: str, fence: int) -> Result[KvState, Fault]:
-        """Export a session and stop it here: its running attempts end as cancelled."""
+        """Export a session and cancel its running attempts, so that it no longer runs here."""
         exported = self._sessions.export(session, fence)
         if exported.is_ok():
             for attempt in list(self._by_sequence.values()):
@@ -206,7 +206,7 @@
         return exported
 
     def import_kv(self, state: KvState) -> Result[None, Fault]:
-        """Import a session; its prefix blocks need no prefill here."""
+        """Import a session; its blocks go into the prefix cache and need no prefill."""
         restored = self._sessions.restore(state)
         if restored.is_ok():
             self._publisher.cache_changed(self._cache.store(restored.ok))
@@ -217,11 +217,11 @@
         on_load: Callable[[LoadReport], None],
         on_cache: Callable[[CacheEvent], None],
     ) -> Callable[[], None]:
-        """Follow load reports and cache events; the returned function ends it."""
+        """Subscribe to load reports and cache events; the returned function unsubscribes."""
         return self._publisher.subscribe(on_load, on_cache)
 
     def load(self) -> LoadReport:
-        """Return the load of this moment, as a checker sees it; published reports lag."""
+        """Return the current load, for checkers; published reports lag behind it."""
         return self._load_meter.current(self.draining)
 
     def cached_blocks(self) -> tuple[int, ...]:
@@ -230,19 +230,19 @@
 
     @property
     def executions(self) -> list[ExecutionRecord]:
-        """Every execution since the engine was made, in order of start."""
+        """Every execution since the engine was created, across restarts, in order of start."""
         return self._execution_log.records
 
     def on_execution(self, listener: Callable[[ExecutionRecord], None]) -> None:
-        """Call ``listener`` when an attempt begins to run and again when it has ended."""
+        """Call ``listener`` when an attempt starts to run and again when it has ended."""
         self._execution_log.listeners.append(listener)
 
     @property
     def preemptions(self) -> int:
-        """How often a low sequence had to make room since the last start."""
+        """Number of low-priority sequences preempted since the last start."""
         return self._scheduler.preemptions
 
-    # --- inner work -----------------------------------------------------------------------
+    # --- internals -----------------------------------------------------------------------
 
     def _plan(self, request: GenerateRequest) -> tuple[Sequence, str]:
         answer = expected_answer(request.model, request.prompt, request.max_tokens, request.seed)
@@ -359,7 +359,7 @@
         attempt.finish(reason, detail)
 
     def _retain(self, attempt: EmulatedAttempt) -> None:
-        """Keep an ended attempt for a while, and forget those whose time has passed."""
+        """Retain an ended attempt for resumption, and drop those whose retention has expired."""
         now = self._clock.seconds()
         while self._retained and self._retained[0][0] <= now:
             self._attempts.pop(self._retained.popleft()[1], None)
@@ -367,7 +367,7 @@
         self._retained.append((until_s, attempt.request.attempt_id))
 
     def waiting_requests(self) -> list[GenerateRequest]:
-        """Return the requests that wait for a place in the batch, in order."""
+        """Return the requests that wait for admission to the batch, in order."""
         return [self._by_sequence[each].request for each in self._scheduler.waiting_sequences()]
 
     def running_requests(self) -> list[GenerateRequest]:
--- a/src/rainsail/emulator/engine_server.py
+++ b/src/rainsail/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""An emulated engine on HTTP, in the protocol of ``rainsail.engine.protocol``."""
+"""Serves an emulated engine over HTTP, in the protocol of ``rainsail.engine.protocol``."""
 
 import functools
 import itertools
@@ -25,12 +25,12 @@
 from rainsail.runtime.clock import Clock
 
 KEEP_ALIVE_PERIOD_S = 1.0
-"""A stream sends a comment this often, so that silence means a lost link."""
+"""Period of SSE comments on a stream; a client treats longer silence as a lost connection."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class EngineServer:
-    """Serves one emulated engine; ``listen`` puts it on a loopback port."""
+    """Serves one emulated engine; ``listen`` binds it to a loopback port."""
 
     def __init__(self, engine: EmulatedEngine, clock: Clock) -> None:
         self.app = Klein()
@@ -44,7 +44,7 @@
         self._add_routes()
 
     def listen(self, reactor: Any, host: str, port: int) -> Any:
-        """Listen; return Twisted's port (``getHost().port`` names the one chosen for 0)."""
+        """Listen and return Twisted's port; for port 0, ``getHost().port`` is the chosen one."""
         return reactor.listenTCP(port, Site(self.app.resource()), interface=host)
 
     def _add_routes(self) -> None:
@@ -60,7 +60,7 @@
         route("/healthz", methods=["GET"])(self._require_alive(self._health))
 
     def _require_alive(self, handler: Callable[..., Any]) -> Callable[..., Any]:
-        """Answer nothing while the emulated process is dead: the connection just breaks."""
+        """Abort connections without an answer while the emulated process is down."""
 
         @functools.wraps(handler)
         def handle(request: Any, **arguments: str) -> Any:
@@ -190,12 +190,12 @@
             self.request.setHeader(b"cache-control", b"no-store")
 
     def keep_alive(self) -> None:
-        """Show that the link is alive."""
+        """Send a comment frame, so that the client sees a live connection."""
         self.start()
         self.request.write(protocol.KEEP_ALIVE_FRAME)
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self.request.transport is not None:
             self.request.transport.abortConnection()
 
@@ -209,7 +209,7 @@
         self.request.write(protocol.chunk_frame(chunk))
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Write the end; an attempt refused at once gets an HTTP error instead."""
+        """Write the end frame; an attempt refused before its first frame gets an HTTP error."""
         if end.reason is EndReason.REFUSED and not self.started:
             self.finished.callback(_refusal(self.request, end))
             return
@@ -226,11 +226,11 @@
         self._texts: list[str] = []
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Keep a chunk."""
+        """Collect a chunk."""
         self._texts.append(chunk.text)
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Write the answer."""
+        """Write the collected answer, or the refusal."""
         if end.reason is EndReason.REFUSED:
             self.finished.callback(_refusal(self.request, end))
             return
@@ -281,7 +281,7 @@
 
 
 def _refusal(request: Any, end: EngineAttemptEnd) -> bytes:
-    """Answer that the attempt was not run."""
+    """Write the HTTP error for an attempt that was not run."""
     request.setHeader(b"retry-after", str(max(1, round(end.retry_after_s))).encode())
     fault = Fault(
         FaultCode.OVERLOADED,
--- a/src/rainsail/emulator/execution_file.py
+++ b/src/rainsail/emulator/execution_file.py
@@ -1,8 +1,8 @@
-"""Keeps an emulated engine's executions in a file, so that they outlive a killed process.
+"""Records an emulated engine's executions in a file, so that they survive a killed process.
 
-A checker of real daemons reads the file. Each line is a JSON object: an attempt that began, or
-one that ended. Lines are written at once and unbuffered: what an engine did is on record before
-anything else happens. The file is bounded; when it is full, its last line says so.
+The checkers of runs with real daemons read the file. Each line is a JSON object for an attempt that
+started or ended. Lines are written unbuffered, before the engine does anything else. The file is
+bounded; when it is full, its last line says so.
 """
 
 import json
@@ -23,14 +23,14 @@
     """Appends executions of one process's engines to a file of at most ``limit_bytes``."""
 
     def __init__(self, path: Path, limit_bytes: int) -> None:
-        """Open the file, after what an earlier process wrote; raises ``OSError``."""
+        """Open the file for appending to an earlier process's lines; raises ``OSError``."""
         path.parent.mkdir(parents=True, exist_ok=True)
         self._descriptor = os.open(path, _OPEN_FLAGS, _FILE_MODE)
         self._left_bytes = limit_bytes - os.fstat(self._descriptor).st_size
         self._full = False
 
     def follow(self, engine: EmulatedEngine) -> None:
-        """Write every execution of an engine from now on."""
+        """Record every execution of an engine from now on."""
         engine.on_execution(lambda record: self._write(engine.runner, record))
 
     def _write(self, runner: str, record: ExecutionRecord) -> None:
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedExecution:
-    """One line of the file; ``ended_s`` is None when the attempt has begun."""
+    """One line of the file; ``ended_s`` is None on the line of an attempt's start."""
 
     runner: str
     request_id: str
@@ -66,11 +66,11 @@
 
 
 class ExecutionFileFull(Exception):
-    """Raised for a file that reached its bound: what came after is not known."""
+    """Raised for a file that reached its bound, because later executions are not recorded."""
 
 
 def read_execution_file(path: Path) -> list[RecordedExecution]:
-    """Return the lines of a file; a last line cut short by a kill is left out."""
+    """Return the lines of a file; a last line truncated by a kill is ignored."""
     found = []
     for line in path.read_bytes().split(b"\n")[:-1]:
         body = json.loads(line)
--- a/src/rainsail/emulator/executions.py
+++ b/src/rainsail/emulator/executions.py
@@ -1,4 +1,4 @@
-"""What an emulated engine began to run, for checkers: at most once, refused as not run."""
+"""Records what an emulated engine ran, so that checkers can detect requests that ran twice."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, eq=False)
 class ExecutionRecord:
-    """One attempt that the engine began to run.
+    """One attempt that the engine started to run.
 
     Times are in seconds of the engine's clock; ``ended_s`` and ``reason`` are None while it runs.
     """
@@ -23,7 +23,7 @@
 
 
 class ExecutionLog:
-    """Every execution since the engine was made, crashes included, in order of start."""
+    """Every execution since the engine was created, in order of start; crashes do not clear it."""
 
     def __init__(self) -> None:
         self.records: list[ExecutionRecord] = []
@@ -31,7 +31,7 @@
         self._running: dict[str, ExecutionRecord] = {}
 
     def start(self, request: GenerateRequest, now_s: float) -> None:
-        """Note that an attempt began to run."""
+        """Record that an attempt started to run."""
         record = ExecutionRecord(
             request.request_id, request.attempt_id, now_s, request.session, request.fence
         )
@@ -40,7 +40,7 @@
         self._notify_listeners(record)
 
     def end(self, attempt_id: str, reason: EndReason, now_s: float) -> None:
-        """Note how an attempt ended, if it ever ran."""
+        """Record how an attempt ended, if it ever ran."""
         record = self._running.pop(attempt_id, None)
         if record is not None:
             record.ended_s = now_s
@@ -48,7 +48,7 @@
             self._notify_listeners(record)
 
     def mark_all_lost(self, now_s: float) -> None:
-        """Note that the engine died under what ran."""
+        """Record all running attempts as lost in a crash of the engine."""
         for attempt_id in list(self._running):
             self.end(attempt_id, EndReason.LOST, now_s)
 
--- a/src/rainsail/emulator/load_meter.py
+++ b/src/rainsail/emulator/load_meter.py
@@ -10,7 +10,7 @@
 
 
 class LoadMeter:
-    """Makes load reports; the token rate is that since the report before."""
+    """Creates load reports; the token rate is the average since the previous report."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._measured_tokens = 0
 
     def next_report(self, draining: bool) -> LoadReport:
-        """Return the next report to publish; it will be the setting's lag old by then."""
+        """Return the next report; it is published ``load_report_lag_s`` later, and says so."""
         now_s = self._clock.seconds()
         elapsed_s = now_s - self._measured_at_s
         generated = self._scheduler().tokens_generated - self._measured_tokens
@@ -43,7 +43,7 @@
         return self._report(self._settings.load_report_lag_s, rate, draining)
 
     def current(self, draining: bool) -> LoadReport:
-        """Return the load of this moment without a token rate."""
+        """Return the current load without a token rate."""
         return self._report(0.0, 0.0, draining)
 
     def _report(self, age_s: float, tokens_per_second: float, draining: bool) -> LoadReport:
--- a/src/rainsail/emulator/machine_list.py
+++ b/src/rainsail/emulator/machine_list.py
@@ -1,6 +1,6 @@
-"""The emulated list of machines, behind the truth by a setting; and its HTTP form.
+"""The emulated machine list, which shows changes after a configured lag, and its HTTP server.
 
-``PUT /machines/NAME/STATE`` stands for what happens on the platform (``live``, ``leaving``).
+``PUT /machines/NAME/STATE`` simulates an event on the platform (``live``, ``leaving``).
 """
 
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class EmulatedMachineList:
-    """Takes changes at once and shows them ``lag_s`` later; implements ``MachineListClient``."""
+    """Shows changes ``lag_s`` after they are made; implements ``MachineListClient``."""
 
     def __init__(self, clock: Clock, settings: MachineListSettings | None = None) -> None:
         self._clock = clock
@@ -24,7 +24,7 @@
         self._shown: dict[str, Machine] = {}
 
     def seed(self, machines: tuple[Machine, ...]) -> None:
-        """Show machines without a lag: the fleet as it was set up."""
+        """Add the machines of the initial fleet, without the lag."""
         for machine in machines:
             self._shown[machine.name] = machine
 
@@ -34,15 +34,15 @@
         self._clock.callLater(self._settings.lag_s, self._shown.__setitem__, name, machine)
 
     def remove(self, name: str) -> None:
-        """Take a machine off the list."""
+        """Remove a machine from the list."""
         self._clock.callLater(self._settings.lag_s, self._shown.pop, name, None)
 
     def machines(self) -> tuple[Machine, ...]:
-        """Return the machines as shown now, in name order."""
+        """Return the machines that the list shows now, in name order."""
         return tuple(self._shown[name] for name in sorted(self._shown))
 
     def fetch(self) -> "Deferred[Result[tuple[Machine, ...], Fault]]":
-        """Return the machines as shown now."""
+        """Return the machines that the list shows now."""
         return succeed(Ok(self.machines()))
 
 
--- a/src/rainsail/emulator/model_state.py
+++ b/src/rainsail/emulator/model_state.py
@@ -1,4 +1,4 @@
-"""What is loaded on an emulated engine, changed by fenced orders only."""
+"""The model state of an emulated engine, which only fenced orders change."""
 
 from collections.abc import Callable
 
@@ -21,8 +21,8 @@
 class ModelState:
     """Version, adapters, role and fence of one engine.
 
-    A new version's weights are fetched while the old one serves. The engine then finishes its
-    running sequences, swaps, and clears its prefix cache (``on_swap``).
+    The engine serves the old version while it fetches a new one's weights. It then finishes its
+    running sequences, swaps versions, and clears its prefix cache (``on_swap``).
     """
 
     def __init__(
@@ -45,11 +45,11 @@
 
     @property
     def swapping(self) -> bool:
-        """Whether the engine waits for its running sequences in order to swap versions."""
+        """Whether a version swap waits for the running sequences to finish."""
         return self._swap_to is not None
 
     def reply(self) -> OrderReply:
-        """Return the state as an order's reply."""
+        """Return the state in the form of a reply to an order."""
         return OrderReply(
             self.fence, self.loaded_version, self.loading_version, self.adapters, self.role
         )
@@ -69,7 +69,7 @@
         return ""
 
     def take(self, order: EngineOrder) -> Result[OrderReply, Fault]:
-        """Take an order; FENCED when a higher fence was seen."""
+        """Apply an order; the fault is FENCED when a higher fence was seen."""
         if order.fence < self.fence:
             detail = f"fence {order.fence} is below {self.fence}"
             return Error(Fault(FaultCode.FENCED, "engine.order", detail))
@@ -91,7 +91,7 @@
         return Ok(self.reply())
 
     def swap_if_idle(self) -> None:
-        """Swap versions when one is due and nothing runs."""
+        """Swap versions when a swap is pending and nothing runs."""
         if self._swap_to is None or not self._may_swap():
             return
         self.loaded_version = self._swap_to
@@ -100,7 +100,7 @@
         self._on_swap()
 
     def stop_loads(self) -> None:
-        """Cancel every load under way."""
+        """Cancel all loads in progress."""
         self._cancel_load()
         for name in list(self._adapter_loads):
             self._adapter_loads.pop(name).cancel()
--- a/src/rainsail/emulator/prefix_cache.py
+++ b/src/rainsail/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The engine's prefix cache: a bounded set of block hashes, least recently used out first."""
+"""The engine's prefix cache: a bounded set of block hashes with LRU eviction."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheChange:
-    """Blocks that came in and blocks that had to go for them."""
+    """Blocks that were stored, and blocks that were evicted to make room for them."""
 
     stored: tuple[int, ...]
     evicted: tuple[int, ...]
 
 
 class PrefixCache:
-    """Remembers which prompt blocks need no prefill."""
+    """Tracks the prompt blocks that need no prefill."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._capacity = capacity_blocks
@@ -25,7 +25,7 @@
         return tuple(self._blocks)
 
     def match(self, blocks: Iterable[int]) -> int:
-        """Return how many leading blocks are cached, and count them as used."""
+        """Return how many leading blocks are cached, and mark them as recently used."""
         matched = 0
         for block in blocks:
             if block not in self._blocks:
@@ -35,7 +35,7 @@
         return matched
 
     def store(self, blocks: Iterable[int]) -> CacheChange:
-        """Add blocks; the least recently used go when there is no room."""
+        """Add blocks, evicting the least recently used ones when the cache is full."""
         stored = []
         evicted = []
         for block in blocks:
@@ -51,5 +51,5 @@
         return CacheChange(tuple(stored), tuple(evicted))
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all blocks."""
         self._blocks.clear()
--- a/src/rainsail/emulator/publisher.py
+++ b/src/rainsail/emulator/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes an engine's load reports with a lag, and its cache events late and with gaps."""
+"""Publishes an engine's load reports with a lag, and its cache events with delay and loss."""
 
 from collections import deque
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 
 
 class EventPublisher:
-    """Takes reports and cache changes at once and hands them out later.
+    """Delivers load reports and cache changes to subscribers after the configured delays.
 
-    ``measure`` gives a load report of this moment, ``list_blocks`` the cache's blocks. Timers
-    run only while somebody listens. A full listing (CLEARED, then STORED) goes to a new
-    subscriber at once and to all at a period, so that a view with gaps becomes whole again.
+    ``measure`` returns the current load report, ``list_blocks`` the cached blocks. Timers run
+    only while there are subscribers. A full listing (CLEARED, then STORED) goes to a new
+    subscriber at once and to all subscribers periodically, to repair views that missed events.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         on_load: Callable[[LoadReport], None],
         on_cache: Callable[[CacheEvent], None],
     ) -> Callable[[], None]:
-        """Add a subscriber; the returned function takes it off."""
+        """Add a subscriber; the returned function removes it."""
         subscriber = _Subscriber(on_load, on_cache)
         self._subscribers.append(subscriber)
         self._start("load", self._settings.load_report_period_s, self._report)
@@ -78,18 +78,18 @@
         return unsubscribe
 
     def cache_changed(self, change: CacheChange) -> None:
-        """Queue events of a change of the prefix cache."""
+        """Queue the events for a change of the prefix cache."""
         if change.evicted:
             self._queue(CacheEventKind.EVICTED, change.evicted)
         if change.stored:
             self._queue(CacheEventKind.STORED, change.stored)
 
     def cache_cleared(self) -> None:
-        """Queue the event of an emptied prefix cache."""
+        """Queue the event for a cleared prefix cache."""
         self._queue(CacheEventKind.CLEARED, ())
 
     def close(self) -> None:
-        """Stop for good; nothing is delivered any more."""
+        """Stop permanently; queued events and reports are not delivered."""
         self._closed = True
         self._subscribers = []
         for timer in self._timers.values():
--- a/src/rainsail/emulator/scheduler.py
+++ b/src/rainsail/emulator/scheduler.py
@@ -1,9 +1,9 @@
-"""Continuous batching, as decisions without I/O: admission, preemption and iterations.
+"""Continuous batching without I/O: admission, preemption and iterations.
 
 An iteration (step) advances every decoding sequence by one token and prefills a bounded number
-of prompt tokens. Decoding sequences are not visited each step: a step counter says how many
-tokens each has, and a sequence is looked up only at the step at which it has a chunk to send.
-A step so costs O(chunks sent), whatever the size of the batch.
+of prompt tokens. Decoding sequences are not visited each step: their token counts follow from a
+step counter, and a sequence is looked up only at the step at which it has a chunk to send. A step
+therefore costs O(chunks sent), regardless of the batch size.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
 
 
 class Sequence:
-    """One attempt as the scheduler sees it; tokens are counted from the answer's first."""
+    """The scheduler's state of one attempt; token positions count from the answer's first token."""
 
     __slots__ = (
         "admitted",
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Emission:
-    """Tokens ``first`` up to ``end`` of a sequence are ready; ``finished``: the last ones."""
+    """Tokens ``first`` to ``end`` (exclusive) are ready; ``finished`` marks the last ones."""
 
     sequence: Sequence
     first: int
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What a step brought: tokens to send and changes of the prefix cache."""
+    """The result of a step: tokens to send and changes of the prefix cache."""
 
     emissions: tuple[Emission, ...]
     cache_changes: tuple[CacheChange, ...]
 
 
 class BatchScheduler:
-    """Keeps the waiting queues and the running batch of one engine."""
+    """Manages the waiting queues and the running batch of one engine."""
 
     def __init__(self, settings: EngineSettings, cache: PrefixCache) -> None:
         self._settings = settings
@@ -106,25 +106,25 @@
 
     @property
     def running(self) -> int:
-        """Sequences in the batch."""
+        """Number of sequences in the batch."""
         return len(self._running[Priority.HIGH]) + len(self._running[Priority.LOW])
 
     @property
     def running_low(self) -> int:
-        """Sequences of low priority in the batch."""
+        """Number of low-priority sequences in the batch."""
         return len(self._running[Priority.LOW])
 
     @property
     def waiting(self) -> int:
-        """Sequences that wait."""
+        """Number of sequences that wait for admission."""
         return len(self._waiting[Priority.HIGH]) + len(self._waiting[Priority.LOW])
 
     def waiting_sequences(self) -> list[Sequence]:
-        """Return the sequences that wait, in order of admission."""
+        """Return the waiting sequences, in order of admission."""
         return [*self._waiting[Priority.HIGH], *self._waiting[Priority.LOW]]
 
     def fits_empty_engine(self, sequence: Sequence) -> bool:
-        """Tell whether the sequence fits into an empty engine."""
+        """Return whether the KV cache of an idle engine can hold the sequence."""
         return sequence.reserved_tokens <= self._settings.kv_tokens_total
 
     def take_started(self) -> list[Sequence]:
@@ -133,24 +133,24 @@
         return started
 
     def add(self, sequence: Sequence) -> None:
-        """Queue a sequence."""
+        """Append a sequence to the queue of its priority."""
         self._waiting[sequence.priority].append(sequence)
 
     def generated_tokens(self, sequence: Sequence) -> int:
-        """Return how many tokens of the answer exist, the forced prefix included."""
+        """Return the number of tokens generated so far, including the forced prefix."""
         if not sequence.decoding:
             return sequence.generated
         return sequence.generated + self._step - sequence.decode_base
 
     def remove(self, sequence: Sequence) -> None:
-        """Take a sequence out, wherever it is."""
+        """Remove a sequence from the batch or from its queue."""
         if sequence.admitted:
             self._leave_batch(sequence)
         elif sequence in self._waiting[sequence.priority]:
             self._waiting[sequence.priority].remove(sequence)
 
     def begin_step(self, admit: bool = True) -> float | None:
-        """Admit and plan the next iteration; return its length in seconds, None when idle."""
+        """Admit and plan the next iteration; return its duration in seconds, None when idle."""
         if admit:
             self._admit()
         if not self.running:
@@ -227,7 +227,7 @@
         return self.kv_tokens_used + sequence.reserved_tokens <= self._settings.kv_tokens_total
 
     def _make_room(self, sequence: Sequence) -> bool:
-        """Preempt low sequences, latest first, when that makes room for a high one."""
+        """Preempt low-priority sequences, latest first, if this makes room for ``sequence``."""
         low = self._running[Priority.LOW]
         kept = len(self._running[Priority.HIGH])
         freed = sum(each.reserved_tokens for each in low)
--- a/src/rainsail/emulator/session_store.py
+++ b/src/rainsail/emulator/session_store.py
@@ -1,4 +1,4 @@
-"""KV caches of sessions on one engine, and the fences that keep a session in one place."""
+"""KV caches of sessions on one engine, and the fences that keep a session on one engine."""
 
 import struct
 from dataclasses import dataclass
@@ -20,13 +20,13 @@
 
 
 class EngineSessionStore:
-    """Remembers for each session the highest fence, its KV blocks and whether it has left."""
+    """Stores each session's highest fence, its KV blocks and whether it was exported."""
 
     def __init__(self) -> None:
         self._sessions: dict[str, _Session] = {}
 
     def admit(self, name: str, fence: int) -> Fault | None:
-        """Take a request's fence; a fault when the session has moved on or was exported."""
+        """Check a request's fence; a fault when the fence is stale or the session was exported."""
         session = self._sessions.setdefault(name, _Session(fence))
         if fence < session.fence or (session.stopped and fence == session.fence):
             return self._fenced("engine.session", name, fence, session)
@@ -36,7 +36,7 @@
         return None
 
     def remember(self, name: str, fence: int, tokens: int, blocks: tuple[int, ...]) -> None:
-        """Keep the KV cache of a finished turn."""
+        """Store the KV blocks of a completed turn."""
         session = self._sessions.get(name)
         if session is None or session.fence != fence or session.stopped:
             return
@@ -44,7 +44,7 @@
         session.blocks = blocks
 
     def export(self, name: str, fence: int) -> Result[KvState, Fault]:
-        """Hand the session's KV cache out and stop the session here under ``fence``."""
+        """Return the session's KV cache and stop the session here under ``fence``."""
         session = self._sessions.get(name)
         if session is None:
             detail = f"no session {name!r}"
@@ -57,13 +57,13 @@
         return Ok(KvState(name, fence, session.tokens, data))
 
     def restore(self, state: KvState) -> Result[tuple[int, ...], Fault]:
-        """Take a session in under the state's fence; return its KV blocks."""
+        """Import a session under the state's fence; return its KV blocks."""
         session = self._sessions.get(state.session)
         if session is not None and state.fence < session.fence:
             fault = self._fenced("engine.kv_import", state.session, state.fence, session)
             return Error(fault)
         if len(state.data) % _BLOCK.size:
-            detail = f"{len(state.data)} bytes are no KV blocks"
+            detail = f"{len(state.data)} bytes of KV data are not a multiple of {_BLOCK.size}"
             return Error(Fault(FaultCode.INVALID, "engine.kv_import", detail))
         blocks = tuple(block for (block,) in _BLOCK.iter_unpack(state.data))
         self._sessions[state.session] = _Session(state.fence, False, state.tokens, blocks)
--- a/src/rainsail/emulator/settings.py
+++ b/src/rainsail/emulator/settings.py
@@ -3,65 +3,69 @@
 The rates are of the order published for 13-billion-parameter models on one data-centre
 accelerator (Kwon et al., "PagedAttention", SOSP 2023; Agrawal et al., "Sarathi-Serve", OSDI
 2024): 15 to 30 ms for a decode iteration and some 5,000 to 10,000 prefill tokens a second. They
-are chosen, not measured: no accelerator is part of this project.
+are not measured here, as no accelerator is available to this project.
 """
 
 from pydantic import BaseModel, ConfigDict, Field
 
 
 class EngineSettings(BaseModel):
-    """Rates, limits and lags of one emulated model engine."""
+    """Rates, limits and delays of one emulated model engine."""
 
     model_config = ConfigDict(frozen=True)
 
     step_base_s: float = Field(
         default=0.018,
         gt=0,
-        description="Time of an iteration before any sequence; see module for source.",
+        description="Base time of an iteration, in seconds; the module cites the sources.",
     )
     step_per_sequence_s: float = Field(
         default=0.0003,
         ge=0,
-        description="Added to an iteration for each sequence that decodes in it.",
+        description="Time added to an iteration for each decoding sequence, in seconds.",
     )
     prefill_token_s: float = Field(
         default=0.00012,
         ge=0,
-        description="Added to an iteration for each prompt token prefilled in it.",
+        description="Time added to an iteration for each prefilled prompt token, in seconds.",
     )
     prefill_tokens_per_step: int = Field(
         default=256,
         gt=0,
-        description="Most prompt tokens prefilled in one iteration (chunked prefill).",
+        description="Maximum prompt tokens prefilled in one iteration (chunked prefill).",
+    )
+    max_running: int = Field(
+        default=32, gt=0, description="Maximum sequences in the running batch."
     )
-    max_running: int = Field(default=32, gt=0, description="Most sequences in the running batch.")
     max_waiting: int = Field(
-        default=256, ge=0, description="Most sequences that wait; one more is refused as not run."
+        default=256,
+        ge=0,
+        description="Maximum waiting sequences; further requests are refused as not run.",
     )
     kv_tokens_total: int = Field(
         default=60_000,
         gt=0,
-        description="KV cache capacity in tokens; a sequence reserves prompt and bound on answer.",
+        description="KV cache capacity in tokens; a sequence reserves its prompt and token limit.",
     )
     cache_blocks: int = Field(
         default=2_000,
         ge=0,
-        description="Prefix cache capacity in blocks of 16 tokens, least recent out.",
+        description="Prefix cache capacity in blocks of 16 tokens; eviction is LRU.",
     )
     tokens_per_chunk: int = Field(
         default=1,
         gt=0,
-        description="Tokens joined into one chunk; the first token always goes alone.",
+        description="Tokens per chunk; the first token is always a chunk of its own.",
     )
     retain_chunks_s: float = Field(
         default=30.0,
         ge=0,
-        description="How long a stream can be resumed after its end, in seconds.",
+        description="Time during which a stream can be resumed after its end, in seconds.",
     )
     detached_grace_s: float = Field(
         default=10.0,
         ge=0,
-        description="How long a stream that nobody reads goes on before its cancel.",
+        description="Time until a stream without a reader is cancelled, in seconds.",
     )
     load_report_period_s: float = Field(
         default=0.5, gt=0, description="Time between two load reports, in seconds."
@@ -78,7 +82,7 @@
         default=0.01,
         ge=0,
         le=1,
-        description="Share of cache events lost; their sequence numbers are gaps.",
+        description="Share of cache events that are lost; each leaves a gap in sequence numbers.",
     )
     cache_listing_period_s: float = Field(
         default=30.0,
@@ -86,7 +90,7 @@
         description="Time between full listings of the prefix cache, in seconds.",
     )
     refusal_retry_after_s: float = Field(
-        default=1.0, ge=0, description="Hint of a refusal when to come back, in seconds."
+        default=1.0, ge=0, description="Retry delay that a refusal suggests, in seconds."
     )
 
     @classmethod
@@ -116,15 +120,17 @@
     bytes_per_second: float = Field(
         default=2e9,
         gt=0,
-        description="Rate shared equally by all loads under way, in bytes a second.",
+        description="Rate shared equally by all loads in progress, in bytes per second.",
     )
 
 
 class MachineListSettings(BaseModel):
-    """The lag of the machine list."""
+    """The delay of the machine list."""
 
     model_config = ConfigDict(frozen=True)
 
     lag_s: float = Field(
-        default=10.0, ge=0, description="How far the list is behind the machines, in seconds."
+        default=10.0,
+        ge=0,
+        description="Delay until a change of a machine shows in the list, in seconds.",
     )
--- a/src/rainsail/emulator/weight_store.py
+++ b/src/rainsail/emulator/weight_store.py
@@ -1,4 +1,4 @@
-"""The emulated weight store: one byte rate shared equally by all loads under way."""
+"""The emulated weight store: all loads in progress share one byte rate equally."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 from rainsail.runtime.clock import Clock
 
 _BYTES_DONE = 0.5
-"""Fewer bytes than this left count as loaded (rounding of the shares)."""
+"""A load with fewer bytes left is complete; this absorbs rounding errors."""
 
 
 @dataclass(slots=True, eq=False)
@@ -19,7 +19,7 @@
 
 
 class WeightStore:
-    """Fetches weights at a shared rate; the more loads, the slower each."""
+    """Fetches weights; concurrent loads share the rate."""
 
     def __init__(self, clock: Clock, settings: WeightStoreSettings | None = None) -> None:
         self._clock = clock
@@ -31,7 +31,7 @@
 
     @property
     def loads_under_way(self) -> int:
-        """The number of loads that share the rate now."""
+        """The number of loads in progress."""
         return len(self._loads)
 
     def slow_down(self, divisor: float) -> None:
@@ -41,7 +41,7 @@
         self._schedule()
 
     def fetch(self, weight_bytes: int) -> "Deferred[None]":
-        """Load ``weight_bytes``; fires when they are there; can be cancelled."""
+        """Load ``weight_bytes``; the result fires on completion and can be cancelled."""
         if weight_bytes <= 0:
             return succeed(None)
         self._update_progress()
