--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet rig: real daemons of a whole site on loopback, under load and failures, then judged.
+"""Fleet test rig: runs a whole site's daemons on loopback under load and failures, and checks them.
 
-The rig starts the processes, so it may kill them; it is no part of any daemon.
+The rig signals and kills only processes that it started. No daemon imports it.
 """
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -1,7 +1,7 @@
-"""``python -m rig``: run real daemons of a site under load and failures, and judge the run.
+"""``python -m rig``: run a site's real daemons under load and failures, and check the run.
 
-The last line on stdout is one JSON object. Exit code 0 clean, 1 when the rig itself failed, 2 for
-bad input, 3 with violations.
+The last line on stdout is one JSON object. Exit codes: 0 for a clean run, 1 when the rig itself
+failed, 2 for bad input, 3 for violations.
 """
 
 import json
@@ -41,14 +41,14 @@
     history: str = "",
     keep: str = "",
 ) -> None:
-    """Run the daemons of a site on loopback and judge what callers and operators saw.
+    """Run a site's daemons on loopback and check what callers and operators observed.
 
     Args:
         site: guayaquil, taoyuan, or all for both, one after the other.
-        seed: Draws the order of starts, the failures and the load.
-        short: The fixed short list of failures, a process of engines per zone.
-        seconds: How long failures are drawn (a run of 180 s takes some minutes).
-        time_limit_s: The whole is ended and counts as failed after this long.
+        seed: Seed of the start order, the failures and the load.
+        short: Run the fixed short list of failures, with one engine process per zone.
+        seconds: Duration of random failures (a run with 180 s takes some minutes).
+        time_limit_s: Time after which the command is aborted and counts as failed.
         history: Write the history (of the last site) to this file, for `rainsail check history`.
         keep: Keep settings, data and logs in this folder, which must not exist.
     """
@@ -81,7 +81,7 @@
 
 
 def _report(results: list[RigResult], several: bool) -> None:
-    """Print the last line and end the command."""
+    """Print the result line and exit."""
     trees = [result_tree(result) for result in results]
     violations = sum(len(result.violations) for result in results)
     last_line = {"violation_count": violations, "runs": trees} if several else trees[0]
@@ -104,7 +104,7 @@
 
 
 def _run_reactor(runs: list[RigRun], time_limit_s: float) -> list[RigResult]:
-    """Run on the reactor; ends the command when the rig itself fails or takes too long."""
+    """Run on the reactor; exit when the rig itself fails or exceeds its time limit."""
     from twisted.internet import reactor as the_reactor
 
     reactor: Any = the_reactor
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -1,4 +1,4 @@
-"""Callers: send requests to gateways, put answers together, send again after a lost answer."""
+"""Callers: send requests to gateways, assemble answers, and retry after a lost answer."""
 
 import json
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RigRequest:
-    """A request as its caller plans it."""
+    """A planned request with its expected answer."""
 
     request_id: str
     tenant: str
@@ -41,7 +41,7 @@
     session: str = ""
 
     def body(self) -> dict[str, Any]:
-        """Return the body of the completion."""
+        """Return the body of the completion request."""
         return {
             "model": self.model,
             "prompt": self.prompt,
@@ -51,13 +51,13 @@
         }
 
     def headers(self) -> dict[str, str]:
-        """Return the headers of every send."""
+        """Return the headers, which are the same for every send."""
         headers = {KEY_HEADER: self.request_id, CLASS_HEADER: self.class_}
         return {**headers, SESSION_HEADER: self.session} if self.session else headers
 
 
 class AnswerReader:
-    """Puts together what one send receives."""
+    """Assembles the answer to one send."""
 
     def __init__(self, stream: bool, clock: Clock) -> None:
         self.text = ""
@@ -69,27 +69,27 @@
         self._rest = b""
 
     def take(self, piece: bytes) -> None:
-        """Take a piece of the body."""
+        """Process a piece of the body."""
         if not self._stream:
             return
         *frames, self._rest = (self._rest + piece).split(b"\n\n")
         for frame in frames:
             if frame.startswith(DATA_PREFIX):
-                self._take_frame(frame.removeprefix(DATA_PREFIX))
+                self._process_frame(frame.removeprefix(DATA_PREFIX))
 
-    def _take_frame(self, data: bytes) -> None:
+    def _process_frame(self, data: bytes) -> None:
         if data == DONE:
             return
         body = json.loads(data)
         if "error" in body:
-            self._take_error(body)
+            self._process_error(body)
             return
         for choice in body["choices"]:
             self._add(choice["text"])
         if "rainsail" in body:
             self.outcome = Outcome(body["rainsail"]["outcome"])
 
-    def _take_error(self, body: Any) -> None:
+    def _process_error(self, body: Any) -> None:
         typed = body.get("error", {}).get("rainsail", {})
         self.outcome = Outcome(typed.get("outcome", Outcome.UNKNOWN))
         self.fault = f"{typed.get('code')} in {typed.get('step')}: {typed.get('detail')}"
@@ -100,16 +100,16 @@
         self.text += text
 
     def finish(self, reply: Reply) -> None:
-        """Take the end of the answer."""
+        """Process the end of the answer."""
         if reply.status != 200:
-            self._take_error(reply.json())
+            self._process_error(reply.json())
         elif not self._stream:
             self._add(reply.json()["choices"][0]["text"])
             self.outcome = Outcome(reply.outcome)
 
 
 class RigCaller:
-    """One request through all its sends."""
+    """Sends one request, with retries."""
 
     def __init__(self, users: Users, planned: RigRequest, first_gateway: int) -> None:
         self._users = users
@@ -120,7 +120,7 @@
         self.text = ""
 
     async def run(self) -> Outcome:
-        """Send until there is a final answer or no send is left; return the last outcome."""
+        """Send until there is a final answer or ``MAX_SENDS`` is spent; return the outcome."""
         again = True
         while again and self._sends < MAX_SENDS:
             if self._sends:
@@ -129,7 +129,7 @@
         return self.outcome
 
     async def _send(self) -> bool:
-        """Send once; return whether to send again."""
+        """Send once; return whether to retry."""
         users, planned = self._users, self._planned
         gateway = users.gateway(self._turn)
         self._turn += 1
@@ -160,14 +160,14 @@
             )
             reader.finish(reply)
         except AnswerLost as error:
-            lost = self._take_loss(reader, error)
+            lost = self._process_loss(reader, error)
         if reader.outcome is None:
             lost = lost or "the stream ended without an outcome"
         self._record(send_id, reader, lost)
         return bool(lost) or self.outcome == Outcome.NOT_RUN
 
-    def _take_loss(self, reader: AnswerReader, error: AnswerLost) -> str:
-        """Return why the answer is lost; empty when nothing was sent or the end had come."""
+    def _process_loss(self, reader: AnswerReader, error: AnswerLost) -> str:
+        """Return why the answer is lost; empty when nothing was sent or the answer was complete."""
         if not error.sent:
             reader.outcome = Outcome.NOT_RUN
             reader.fault = str(error)
@@ -192,7 +192,7 @@
 
 
 class RigCallerTraffic(Traffic):
-    """Starts callers at random times until it is stopped."""
+    """Starts callers at random intervals until it is stopped."""
 
     def __init__(
         self,
@@ -206,7 +206,7 @@
         self.completed = 0
 
     def start(self) -> None:
-        """Start every kind of traffic."""
+        """Start the callers of every mix."""
         for mix in self._mixes:
             self._run(self._follow(mix))
 
@@ -217,7 +217,7 @@
                 self._run_counted(self.call(self.plan(mix)))
 
     async def call(self, planned: RigRequest, gateway: int | None = None) -> Outcome:
-        """Take one request to its end, from a gateway that is drawn or given."""
+        """Run one request to its end, first at a random or the given gateway."""
         draw = self._users.draw
         first = draw.randrange(len(self._users.layout.gateways)) if gateway is None else gateway
         outcome = await RigCaller(self._users, planned, first).run()
@@ -225,7 +225,7 @@
         return outcome
 
     def plan(self, mix: CallerMix) -> RigRequest:
-        """Make the next request of a kind."""
+        """Create the next request of a mix."""
         self.started += 1
         draw = self._users.draw
         shared = f"Instructions for {mix.name}: answer briefly and exactly. " * 4
--- a/rig/daemon.py
+++ b/rig/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon as a plain process: started, signalled and awaited by its process id."""
+"""A daemon as a child process that is started, signalled and awaited by its process id."""
 
 import ctypes
 import os
@@ -22,14 +22,14 @@
 
 _libc = ctypes.CDLL(None)
 _starter_process_id = os.getpid()
-"""The process that loaded this module; a child that it forks finds it here as its parent."""
+"""Id of the process that loaded this module, which is the parent of the children it forks."""
 
 
 def die_with_parent() -> None:
-    """Let the kernel end this process when the rig is gone, however it went.
+    """Have the kernel kill this process when the rig ends for any reason.
 
-    Runs in the child. A rig that was killed before the child had asked for this sends no signal
-    any more; the child then has another parent, so it ends itself.
+    Runs in the child. If the rig was killed before this request, the kernel sends no signal. The
+    child then has another parent and kills itself.
     """
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != _starter_process_id:
@@ -37,7 +37,7 @@
 
 
 class Daemon:
-    """A process of the rig. Signals go to the process that this object started, to no other."""
+    """A process of the rig; it signals only the process that it started."""
 
     def __init__(self, plan: ProcessPlan, clock: Clock, log_folder: Path) -> None:
         self.plan = plan
@@ -54,16 +54,16 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process is there (paused or not)."""
+        """Whether the process exists (paused or not)."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """How the last process ended; None while it runs."""
+        """Exit code of the last process; None while it runs."""
         return None if self._process is None else self._process.poll()
 
     def start(self) -> None:
-        """Start ``rainsail run``; what it prints goes to its log file."""
+        """Start ``rainsail run``; its output goes to its log file."""
         command = [sys.executable, "-c", PROGRAM, "run", str(self.plan.settings_file)]
         environment = {
             key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")
@@ -82,38 +82,38 @@
         self.starts += 1
 
     def kill(self) -> None:
-        """End the process at once, as a crash of the machine would."""
+        """Kill the process, as a machine crash would."""
         if self._process is not None and self.running:
             self._process.send_signal(signal.SIGKILL)
             self._process.wait(KILL_WAIT_S)
         self.paused = False
 
     def terminate(self) -> None:
-        """Ask for a planned stop."""
+        """Request a planned stop."""
         if self._process is not None and self.running:
             self._process.send_signal(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Let the process stand still without ending its connections."""
+        """Pause the process without closing its connections."""
         if self._process is not None and self.running:
             self._process.send_signal(signal.SIGSTOP)
             self.paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         if self._process is not None and self.running:
             self._process.send_signal(signal.SIGCONT)
         self.paused = False
 
     def wipe(self) -> None:
-        """Lose the disk; the process must have ended."""
+        """Delete the data folder, as a lost disk; the process must have ended."""
         if self.running:
             raise RuntimeError(f"{self.name} still runs")
         shutil.rmtree(self.plan.data_folder, ignore_errors=True)
 
     @inlineCallbacks
     def ended(self, limit_s: float) -> Generator[Deferred[Any], Any, bool]:
-        """Wait until the process has ended; False when it has not within the limit."""
+        """Wait for the process to end; False when it has not ended within the limit."""
         until_s = self._clock.seconds() + limit_s
         while self.running and self._clock.seconds() < until_s:
             yield sleep(self._clock, EXIT_POLL_PERIOD_S)
--- a/rig/evidence.py
+++ b/rig/evidence.py
@@ -1,8 +1,7 @@
-"""What a failed run leaves to trace it by: the events, reads and log lines that name what broke.
+"""Prints the evidence of a failed run: events, reads and log lines that name what was violated.
 
-A run's folder is removed and its processes are gone by the time somebody reads its verdict. So the
-parts of the history and of the processes' logs that name the subjects of the violations are printed
-with it, as far as they fit.
+A run's folder is removed when it ends. The parts of the history and of the processes' logs that
+name the subjects of the violations are therefore printed with the result, up to a limit.
 """
 
 import re
@@ -14,14 +13,14 @@
 from rainsail.experiment.history import FaultEnded, FaultInjected, FaultsEnded, History
 
 MAX_LINES_PER_SOURCE = 150
-"""Lines printed of each source for one violation; the first and the last half of more."""
+"""Maximum lines per source and violation; of more, the first and the last half are printed."""
 SUBJECT = re.compile(r"[\w./]+-[\w./-]*\d[\w-]*")
-"""The names in a violation: of jobs, requests, runners and processes, with a dash and a digit."""
+"""Names of jobs, requests, runners and processes in a violation: with a dash and a digit."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileRead:
-    """One whole answer to a read of a job's results; times are seconds of the run's clock."""
+    """One complete answer to a read of a job's results; times are seconds of the run's clock."""
 
     sent_s: float
     answered_s: float
@@ -37,10 +36,10 @@
     reads: Sequence[FileRead],
     log_folder: Path,
 ) -> list[str]:
-    """Return the lines to print; none where nothing is broken."""
+    """Return the lines to print; none without violations."""
     if not violations:
         return []
-    lines = ["course of the failures:", *_truncated(_failures(history))]
+    lines = ["injected failures:", *_truncated(_failures(history))]
     for violation in violations:
         subjects = SUBJECT.findall(violation.detail)
         lines.append(f"{violation.checker}: {violation.detail}")
@@ -71,9 +70,9 @@
 
 
 def _truncated(lines: list[str]) -> list[str]:
-    """Return the first and the last lines of many."""
+    """Return the lines, without the middle ones when there are too many."""
     if len(lines) <= MAX_LINES_PER_SOURCE:
         return [f"  {line}" for line in lines]
     half = MAX_LINES_PER_SOURCE // 2
-    left_out = f"({len(lines) - 2 * half} lines left out)"
+    left_out = f"({len(lines) - 2 * half} lines omitted)"
     return [f"  {line}" for line in (*lines[:half], left_out, *lines[-half:])]
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -1,4 +1,4 @@
-"""All daemons of a site: made, started in any order, awaited, ended."""
+"""All daemons of a site: their setup, state and end."""
 
 import os
 import subprocess
@@ -19,17 +19,17 @@
 POLL_TIMEOUT_S = 5.0
 COMMAND_TIMEOUT_S = 60.0
 STOP_LIMIT_S = 150.0
-"""A gateway's grace time for requests in progress (120 s) and a margin."""
+"""A gateway's grace period for requests in progress (120 s) plus a margin."""
 EXECUTION_FILE = "executions.jsonl"
 
 
 class NotReached(Exception):
-    """A condition that has to come true did not, within its generous limit."""
+    """A required condition did not become true within its time limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupState:
-    """What the leader says of the replicated group."""
+    """The leader's view of the replica group; ``losses_borne`` counts further tolerated losses."""
 
     leader: str
     health: str
@@ -38,7 +38,7 @@
 
 
 class RigFleet:
-    """The processes of one rig. Only processes that it started are ever signalled."""
+    """The processes of one rig; it signals only processes that it started."""
 
     def __init__(
         self, layout: SiteLayout, clock: Clock, http: RigHttpClient, limit_s: float
@@ -61,16 +61,16 @@
         return self._of_kind(ProcessKind.GATEWAY)
 
     def engines(self) -> list[Daemon]:
-        """Return the processes that run engines."""
+        """Return the processes that run engines; the last platform process has the machine list."""
         return self._of_kind(ProcessKind.PLATFORM)[:-1]
 
     def _of_kind(self, kind: ProcessKind) -> list[Daemon]:
         return [daemon for daemon in self.daemons.values() if daemon.plan.kind == kind]
 
-    # --- life -----------------------------------------------------------------------------
+    # --- lifecycle -----------------------------------------------------------------------------
 
     def prepare(self) -> None:
-        """Write settings files and make certificates with ``rainsail keys create``."""
+        """Write settings files and create certificates with ``rainsail keys create``."""
         self.layout.write_settings()
         for kind in (ProcessKind.REPLICA, ProcessKind.GATEWAY):
             names = ",".join(daemon.name for daemon in self._of_kind(kind))
@@ -78,7 +78,7 @@
             run_rainsail(command)
 
     def end(self) -> None:
-        """End every process at once, paused ones too."""
+        """Kill every process, including paused ones."""
         for daemon in self.daemons.values():
             daemon.kill()
 
@@ -92,23 +92,23 @@
             if found:
                 return found
             if self.clock.seconds() > until_s:
-                raise NotReached(f"{what}: not within {self._limit_s:g} s")
+                raise NotReached(f"{what}: not reached within {self._limit_s:g} s")
             await sleep(self.clock, POLL_PERIOD_S)
 
     async def until_ready(self, daemons: list[Daemon]) -> None:
-        """Wait until each process says that it is ready."""
+        """Wait until each process reports that it is ready."""
         for daemon in daemons:
             await self.until(f"{daemon.name} is ready", partial(self.is_ready, daemon))
 
     async def is_ready(self, daemon: Daemon) -> bool:
-        """Ask a process whether it is ready; a process that ended by itself never will be."""
+        """Return whether a process is ready; raise ``NotReached`` when it has ended."""
         if not daemon.running:
             raise NotReached(f"{daemon.name} ended with code {daemon.exit_code}")
         reply = await self._get(f"{daemon.plan.url(STATUS_PORT)}/readyz", "")
         return reply is not None
 
     async def group_state(self) -> GroupState | None:
-        """Return the leader's view of the group; None when no running replica says it leads."""
+        """Return the leader's view of the group; None when no replica reports itself leader."""
         for daemon in self.replicas():
             if not daemon.running or daemon.paused:
                 continue
@@ -119,7 +119,7 @@
         return None
 
     async def until_group(self, health: str, losses_borne: int) -> GroupState:
-        """Wait until the leader says exactly this of the group."""
+        """Wait until the leader reports this health and number of tolerated losses."""
 
         async def matching_state() -> GroupState | None:
             state = await self.group_state()
@@ -128,7 +128,7 @@
             return state
 
         found: GroupState = await self.until(
-            f"status {health}, bears {losses_borne}", matching_state
+            f"status {health}, tolerates {losses_borne} losses", matching_state
         )
         return found
 
@@ -142,14 +142,14 @@
         return reply.json() or True
 
     async def put_machine(self, runner: str, state: str) -> None:
-        """Let the platform say that a machine is live or leaving."""
+        """Set a machine's state (live or leaving) in the platform's machine list."""
         url = f"{self.layout.machine_list_url}/machines/{runner}/{state}"
         await self._http.exchange("PUT", url, "", POLL_TIMEOUT_S)
 
     # --- evidence -------------------------------------------------------------------------
 
     def executions(self) -> list[RecordedExecution]:
-        """Return what all engines ran, from the files that outlive their processes."""
+        """Return the executions of all engines, from files that survive their processes."""
         found: list[RecordedExecution] = []
         for daemon in self.engines():
             path = daemon.plan.data_folder / EXECUTION_FILE
@@ -164,7 +164,7 @@
 
 
 def run_rainsail(arguments: list[str], folder: Path | None = None) -> str:
-    """Run a command to its end and return what it printed; raises when it fails."""
+    """Run a command and return its output; raises when it fails."""
     environment = {
         key: value for key, value in os.environ.items() if not key.startswith("RAINSAIL_")
     }
--- a/rig/http.py
+++ b/rig/http.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges of the rig's callers and operators, by treq, with a typed end each."""
+"""HTTP client of the rig's callers and operators: each exchange ends in a reply or an error."""
 
 import io
 import json
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
     outcome: str
 
     def json(self) -> Any:
-        """Return the decoded body; an empty object when it is no JSON."""
+        """Return the decoded body; an empty object when it is not JSON."""
         try:
             return json.loads(self.body)
         except ValueError:
@@ -35,7 +35,7 @@
 
 
 class AnswerLost(Exception):
-    """No whole answer came; ``sent`` is False when no connection was made."""
+    """No complete answer arrived; ``sent`` is False when no connection was made."""
 
     def __init__(self, sent: bool, detail: str) -> None:
         super().__init__(detail)
@@ -43,7 +43,7 @@
 
 
 class _Body(Protocol):
-    """Hands the pieces of a body on and knows whether the body was whole."""
+    """Passes on the pieces of a body and detects whether the body was complete."""
 
     def __init__(self, take: Callable[[bytes], None]) -> None:
         self._take = take
@@ -56,22 +56,22 @@
             transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a piece."""
+        """Pass on a piece."""
         self.pieces.append(data)
         self._take(data)
 
     def connectionLost(self, reason: Failure = None) -> None:  # type: ignore[assignment]
-        """Tell how the body ended."""
+        """Report whether the body was complete."""
         if self.ended.called:
             return
         if reason.check(ResponseDone):
             self.ended.callback(None)
         else:
-            self.ended.errback(AnswerLost(True, f"the answer broke off: {reason.value!r}"))
+            self.ended.errback(AnswerLost(True, f"the answer was cut off: {reason.value!r}"))
 
 
 class RigHttpClient:
-    """Sends requests, each over a connection of its own."""
+    """Sends each request over a connection of its own."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -90,7 +90,7 @@
         file: bytes | None = None,
         take: Callable[[bytes], None] = lambda piece: None,
     ) -> Reply:
-        """Return the whole answer, or raise ``AnswerLost``; ``take`` hears pieces as they come.
+        """Return the complete answer or raise ``AnswerLost``; ``take`` gets each piece.
 
         ``body`` is sent as JSON, ``file`` as the upload of a batch's input.
         """
--- a/rig/injector.py
+++ b/rig/injector.py
@@ -1,4 +1,4 @@
-"""Brings failures about, one function each: it begins, holds, ends, and its end is awaited."""
+"""Injects failures: each method starts one, holds it, ends it and awaits the recovery."""
 
 import random
 from collections import Counter
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldTimes:
-    """How long failures last, in seconds."""
+    """Durations of failures, in seconds."""
 
     down_s: float
     paused_s: float
@@ -36,7 +36,7 @@
 
 
 class Injector:
-    """Knows the processes and records each failure's begin and end."""
+    """Injects failures into a fleet and records the start and end of each."""
 
     def __init__(
         self,
@@ -71,17 +71,17 @@
         await self._fleet.until_ready(daemons)
 
     async def until_fully_redundant(self) -> GroupState:
-        """Wait until the group bears every loss that it is meant for."""
+        """Wait until the group is healthy and tolerates its full number of losses."""
         return await self._fleet.until_group(HEALTHY, (self._voters - 1) // 2)
 
     # --- replicas -------------------------------------------------------------------------
 
     async def kill_leader(self) -> None:
-        """Kill the leader; what is left must say what it still bears."""
+        """Kill the leader; the group must report how many further losses it tolerates."""
         await self._kill_replicas("kill_leader", 1)
 
     async def kill_two_replicas(self) -> None:
-        """Kill as many replicas as the group bears, the leader among them."""
+        """Kill the leader and another replica."""
         await self._kill_replicas("kill_two_replicas", 2)
 
     async def _kill_replicas(self, kind: str, count: int) -> None:
@@ -91,7 +91,7 @@
         await self._kill_and_restart(kind, targets)
 
     async def kill_all_replicas(self) -> None:
-        """Let the power fail under every replica at once."""
+        """Kill all replicas at once, as in a power failure."""
         await self.until_fully_redundant()
         await self._kill_and_restart("kill_all_replicas", self._fleet.replicas())
 
@@ -109,7 +109,7 @@
         self._end(kind, names)
 
     async def lose_disk(self) -> None:
-        """Kill a replica and lose its disk; it must come back as a new identity by itself."""
+        """Kill a replica and wipe its disk; it must rejoin under a new identity on its own."""
         before = await self.until_fully_redundant()
         target = self._draw.choice(self._fleet.replicas())
         self._begin("lose_disk", target.name)
@@ -120,7 +120,7 @@
         self._end("lose_disk", target.name)
 
     async def _has_replacement(self, before: GroupState) -> bool:
-        """Tell whether the group is whole again, with one identity in the place of another."""
+        """Return whether the group is fully redundant again, with one identity replaced."""
         now = await self._fleet.group_state()
         if now is None or (now.health, now.losses_borne) != (HEALTHY, (self._voters - 1) // 2):
             return False
@@ -128,16 +128,16 @@
         return len(now.identities) == self._voters and len(kept) == self._voters - 1
 
     async def lose_disk_then_two(self) -> None:
-        """Lose a disk, and two further machines as soon as the repair is said to be done."""
+        """Lose a disk, then two further replicas as soon as the repair is reported complete."""
         await self.lose_disk()
         await self.kill_two_replicas()
 
     async def pause_leader(self) -> None:
-        """Let the leader stand still, its connections open, then go on."""
+        """Pause the leader with its connections open, then resume it."""
         await self._pause_leader("pause_leader", self._hold.paused_s)
 
     async def pause_leader_for_a_minute(self) -> None:
-        """Let the leader stand still far beyond every lease."""
+        """Pause the leader far longer than any lease."""
         await self._pause_leader("pause_leader_for_a_minute", LONG_PAUSE_S)
 
     async def _pause_leader(self, kind: str, paused_s: float) -> None:
@@ -160,12 +160,12 @@
     # --- gateways -------------------------------------------------------------------------
 
     async def kill_gateway(self) -> None:
-        """Kill a gateway under its streams and its batch items."""
+        """Kill a gateway with streams and batch items in progress."""
         target = self._draw.choice(self._fleet.gateways())
         await self._kill_process("kill_gateway", target)
 
     async def pause_gateway(self) -> None:
-        """Let a gateway stand still past its leases, then go on."""
+        """Pause a gateway until its leases have expired, then resume it."""
         target = self._draw.choice(self._fleet.gateways())
         self._begin("pause_gateway", target.name)
         target.pause()
@@ -175,7 +175,7 @@
         self._end("pause_gateway", target.name)
 
     async def pause_gateway_through_drain(self) -> None:
-        """Let a gateway stand still while a runner's drain is declared and comes into force."""
+        """Pause a gateway while a runner's drain is declared and takes effect."""
         runner = self._draw.choice(self._fleet.layout.runners())
         target = self._draw.choice(self._fleet.gateways())
         self._begin("pause_gateway_through_drain", target.name)
@@ -189,7 +189,7 @@
         self._end("pause_gateway_through_drain", target.name)
 
     async def stop_gateway(self) -> None:
-        """Stop a gateway as planned: it finishes its streams; then start it again."""
+        """Stop a gateway as planned, so that it finishes its streams, and start it again."""
         await self._stop_and_start("stop_gateway", self._draw.choice(self._fleet.gateways()))
 
     async def _stop_and_start(self, kind: str, target: Daemon) -> None:
@@ -209,7 +209,7 @@
     # --- platform -------------------------------------------------------------------------
 
     async def kill_engines(self) -> None:
-        """Kill a process of engines with requests and batch items in flight."""
+        """Kill an engine process with requests and batch items in progress."""
         await self._kill_process("kill_engines", self._draw.choice(self._fleet.engines()))
 
     async def _kill_process(self, kind: str, target: Daemon) -> None:
@@ -220,7 +220,7 @@
         self._end(kind, target.name)
 
     async def drain_runner(self) -> None:
-        """Declare a runner's drain, and take it back later."""
+        """Declare a runner's drain and revoke it later."""
         runner = self._draw.choice(self._fleet.layout.runners())
         self.counts["drain_runner"] += 1
         await self._set_drain(runner, True)
@@ -238,7 +238,7 @@
             self._history.record(DrainDeclared(clock.seconds(), runner, True))
 
     async def machine_leaves(self) -> None:
-        """Let the platform list a runner's machine as leaving, and later as live again."""
+        """List a runner's machine as leaving, and later as live again."""
         runner = self._draw.choice(self._fleet.layout.runners())
         self.counts["machine_leaves"] += 1
         await self._fleet.put_machine(runner, "leaving")
--- a/rig/jobs.py
+++ b/rig/jobs.py
@@ -1,4 +1,4 @@
-"""Clients of batch jobs over the caller API: heaps of jobs, re-sent, cancelled, read back."""
+"""Clients of batch jobs over the caller API: bursts of jobs, resubmissions, cancels and reads."""
 
 import hashlib
 import json
@@ -68,13 +68,13 @@
         await self._read_results()
 
     async def read_again(self) -> None:
-        """Read every finished item anew; a read under way is made once more from its begin."""
+        """Read every finished item anew; a read in progress is repeated from its start."""
         self._reads_asked += 1
         if self.settled:
             await self._read_results()
 
     async def _read_results(self) -> None:
-        """Read every finished item, until no read was asked for meanwhile."""
+        """Read every finished item; repeat while a new read was requested meanwhile."""
         self.settled = False
         answered = -1
         while answered != self._reads_asked:
@@ -94,7 +94,7 @@
                 self._record_result(json.loads(line))
 
     def _record_read(self, kind: str, sent_s: float, lines: int) -> None:
-        """Record a read of results, which leaves no event in the history if it brought none."""
+        """Record a read of results, which leaves no event in the history when it is empty."""
         users = self._users
         gateway = users.gateway(self._turn).name
         now_s = users.clock.seconds()
@@ -103,7 +103,7 @@
     # --- calls ----------------------------------------------------------------------------
 
     async def _call_once(self, method: str, path: str, **more: Any) -> Reply | None:
-        """Make one call to the next gateway in turn; None when there is no good answer."""
+        """Make one call to the next gateway in turn; None unless it returns status 200."""
         gateway = self._users.gateway(self._turn)
         url = f"{gateway.url(CALLER_PORT)}{path}"
         key = self._users.layout.tenant_key(self._tenant)
@@ -124,7 +124,7 @@
         return reply
 
     async def _submit(self) -> None:
-        """Upload the input and make the batch, at one gateway: files are kept where they came."""
+        """Upload the input and create the batch at the same gateway, which alone keeps the file."""
         upload = await self._call_once("POST", "/v1/files", file=self._input())
         if upload is None:
             return
@@ -177,7 +177,7 @@
 
 
 class RigJobTraffic(Traffic):
-    """Submits heaps of jobs until it is stopped."""
+    """Submits bursts of jobs until it is stopped."""
 
     def __init__(self, users: Users, mix: JobMix, failed: Callable[[Any], None]) -> None:
         super().__init__(users, failed)
@@ -185,7 +185,7 @@
         self.clients: list[RigJobClient] = []
 
     def start(self) -> None:
-        """Submit a heap now and one every period."""
+        """Submit a burst now and one every period."""
         self._run(self._follow())
 
     def settled(self) -> bool:
@@ -193,7 +193,7 @@
         return all(client.settled for client in self.clients)
 
     def read_again(self) -> None:
-        """Let every client read its results from now on, also one that is reading them."""
+        """Have every client read its results again, including clients with a read in progress."""
         for client in self.clients:
             self._run(client.read_again())
 
--- a/rig/layout.py
+++ b/rig/layout.py
@@ -1,7 +1,7 @@
-"""Where every process of a site runs: one loopback IP number and one settings file each.
+"""Layout of a site's processes: one loopback IP address and one settings file each.
 
-Names, zones and resources are those of ``examples/SITE``; each process gets an IP number of its
-own under 127.0.0.0/8, as on machines of its own, so no two rigs share a port.
+Names, zones and resources are those of ``examples/SITE``; each process gets its own IP
+address under 127.0.0.0/8, as on separate machines, so no two rigs share a port.
 """
 
 import os
@@ -27,12 +27,12 @@
 FIRST_REPLICA, FIRST_GATEWAY, FIRST_PLATFORM, FIRST_ENGINE = 1, 21, 41, 101
 BATCH_SLOTS = 6
 ENGINE = {"max_running": BATCH_SLOTS, "tokens_per_chunk": 4}
-"""Few places in the batch, so that a heap of jobs fills every engine."""
+"""A small batch, so that a burst of jobs fills every engine."""
 MACHINE_LIST_PROCESS = "machines"
 
 
 class ProcessKind(StrEnum):
-    """What a process of the rig is."""
+    """The role of a process of the rig."""
 
     REPLICA = "replica"
     GATEWAY = "gateway"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessPlan:
-    """One process: its name, its IP number and its files."""
+    """One process: its name, IP address and files."""
 
     name: str
     kind: ProcessKind
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RigOptions:
-    """How a rig differs from the example: where, and with which settings in every file."""
+    """How a rig differs from the example: folder, engine processes and settings overrides."""
 
     site: str
     folder: Path
@@ -216,6 +216,6 @@
 
 
 def _own_network() -> str:
-    """Return the first three numbers of this process's own part of 127.0.0.0/8."""
+    """Return the first three octets of this process's own part of 127.0.0.0/8."""
     number = os.getpid() & 0xFFFF
     return f"127.{64 + number // 256 % 128}.{number % 256}"
--- a/rig/operators.py
+++ b/rig/operators.py
@@ -1,4 +1,4 @@
-"""Operators over the operator API: declare, race with equal numbers, re-send, read, watch."""
+"""Operators over the operator API: declare, make conflicting changes, retry, read and watch."""
 
 import json
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 RACE_PERIOD_S = 2.0
 READ_PERIOD_S = 0.5
 MAX_OPEN_READS = 24
-"""Reads that may hang at paused replicas at a time."""
+"""Maximum reads that hang at paused replicas at a time."""
 RESEND_PROBABILITY = 0.2
 REFUSED = 0
-"""In the place of the revision of a change that another one came before."""
+"""Stands for the revision of a change that lost to a concurrent one."""
 
 
 class RigOperator:
-    """One operator: every change is sent again unchanged until it is answered."""
+    """One operator: every change is retried unchanged until it is answered."""
 
     def __init__(self, users: Users, name: str) -> None:
         self._users = users
@@ -102,7 +102,7 @@
 
 
 class RigOperatorTraffic(Traffic):
-    """Two operators race over the tenants; readers ask every replica what holds."""
+    """Two operators make conflicting changes to tenants; readers read at every replica."""
 
     def __init__(self, users: Users, failed: Callable[[Any], None]) -> None:
         super().__init__(users, failed)
@@ -114,7 +114,7 @@
         self._open_reads = 0
 
     def start(self) -> None:
-        """Start racing; a stop ends this, and not the watching."""
+        """Start the conflicting changes; ``stop`` ends them, but not the watching."""
         self._run(self._race())
 
     def watch(self) -> None:
@@ -135,7 +135,7 @@
             await sleep(self._users.clock, READ_PERIOD_S)
 
     async def _read_everywhere(self) -> None:
-        """Begin a read at the next replica every period, also while others hang."""
+        """Start a read at the next replica every period, even while others hang."""
         turn = 0
         while not self._ended:
             if self._open_reads < MAX_OPEN_READS:
--- a/rig/plan.py
+++ b/rig/plan.py
@@ -1,4 +1,4 @@
-"""Which failures a run brings about, and in which order; two lanes run beside each other."""
+"""The failures of a run and their order; two lanes run concurrently."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """How long a run is, how its failures are held, and how its load is thinned."""
+    """A run's duration, the durations of its failures, and its load."""
 
     hold: HoldTimes
     repair_after_s: float
@@ -22,7 +22,7 @@
     failures_s: float
     """Failures are drawn for this long; 0 for the fixed lists of the short run."""
     opening: Lane = ()
-    """Failures that come first, one after the other, while nothing else fails."""
+    """Failures that run first, one after the other, while nothing else fails."""
 
 
 SHORT = RunPlan(HoldTimes(0.5, 2.0, 2.0), 2.0, 0.4, 4.0, 3, 0.0)
@@ -63,7 +63,7 @@
 
 
 def lanes(plan: RunPlan, draw: random.Random) -> tuple[Lane, Lane]:
-    """Return what each lane goes through; a drawn lane holds each kind once per shuffled round."""
+    """Return each lane's failures; a random lane has each kind once per shuffled round."""
     if plan.failures_s == 0:
         return SHORT_REPLICAS, SHORT_OTHERS
     return _shuffled(REPLICA_FAILURES, draw), _shuffled(OTHER_FAILURES, draw)
--- a/rig/rotation.py
+++ b/rig/rotation.py
@@ -1,8 +1,8 @@
-"""A tenant whose API key is exchanged again and again: shows under which revision gateways serve.
+"""Rotates a tenant's API key, to find out which configuration revision each gateway serves.
 
-A gateway that takes work under a key has a revision of the time in which that key stood. So from
-outside, without a word of the gateway about itself, it can be told whether it still serves under
-a key that is no longer in force, and whether its configuration ever went back, restarts included.
+A gateway that accepts a key holds a revision in which that key is valid. This shows from outside,
+without relying on the gateway's own reports, whether it still accepts a revoked key, and whether
+its configuration ever went back to an earlier revision, also across restarts.
 """
 
 from collections.abc import Callable
@@ -26,19 +26,19 @@
 PROBE_TIMEOUT_S = 20.0
 OLD_KEYS_PROBED = 5
 MAX_OPEN_PROBES = 120
-"""Probes that may be under way at a time, hanging ones included."""
+"""Maximum probes in progress at a time, including hanging ones."""
 
 
 @dataclass(frozen=True, slots=True)
 class RotatedKey:
-    """A key and the revision at which it came into the configuration."""
+    """A key and the revision that introduced it."""
 
     secret: str
     revision: int
 
 
 class KeyRotation(Traffic):
-    """Exchanges the key, and asks every gateway for work under the newest and older keys."""
+    """Rotates the key, and probes every gateway with the newest and older keys."""
 
     def __init__(
         self, users: Users, operator: RigOperator, model: str, failed: Callable[[Any], None]
@@ -52,7 +52,7 @@
         self.taken = 0
 
     def start(self) -> None:
-        """Start exchanging keys and probing."""
+        """Start rotating keys and probing."""
         self._run_counted(self._rotate())
         for gateway in self._users.layout.gateways:
             self._run_counted(self._probe_on(gateway))
@@ -74,7 +74,7 @@
             await sleep(self._users.clock, ROTATION_PERIOD_S)
 
     async def _probe_on(self, gateway: ProcessPlan) -> None:
-        """Begin a probe every period, also while others hang at a paused gateway."""
+        """Start a probe every period, even while others hang at a paused gateway."""
         turn = 0
         while not self._stopped:
             await sleep(self._users.clock, PROBE_PERIOD_S)
@@ -98,11 +98,11 @@
             self._record_accepted_probe(gateway.name, number, begun_s, known)
 
     def _record_accepted_probe(self, gateway: str, number: int, begun_s: float, known: int) -> None:
-        """Record what a gateway's work under a key says of its revision.
+        """Record which revisions a gateway that accepted a key can hold.
 
-        It held the key's revision or a later one, but one before the next key's. The earliest
-        time at which it can have let the work in is that of the send; ``known`` is the revision
-        that it was known to hold by then, so one that ends before it is a fall.
+        It held the key's revision or a later one, but one before the next key's. It admitted the
+        request at the time of the send at the earliest; ``known`` is the revision that it held by
+        then, so a latest possible revision below it is a regression.
         """
         self.taken += 1
         held = max(self._known.get(gateway, 0), self._keys[number].revision)
--- a/rig/run.py
+++ b/rig/run.py
@@ -1,4 +1,4 @@
-"""One run of the rig: a site, a seed and a plan in; a history and its judgement out."""
+"""One run of the rig: it takes a site, a seed and a plan, and returns a history and its check."""
 
 import random
 from collections import Counter
@@ -45,12 +45,12 @@
 from rig.traffic import Traffic, Users
 
 COLD_START = "cold_start"
-"""The start of every process counts as a failure: a new leader waits out earlier leases."""
+"""The start of all processes counts as a failure: a new leader waits for old leases to expire."""
 
 
 @dataclass(frozen=True, slots=True)
 class RigResult:
-    """What a run came to; the last line of the command."""
+    """The result of a run; printed as the command's last line."""
 
     site: str
     seed: int
@@ -74,7 +74,7 @@
 
 
 class RigRun:
-    """Starts a site's daemons, loads them, brings failures about, judges what was seen."""
+    """Starts a site's daemons, applies load and failures, and checks the history."""
 
     def __init__(self, layout: SiteLayout, seed: int, plan: RunPlan, limit_s: float) -> None:
         from twisted.internet import reactor
@@ -115,13 +115,13 @@
         return (self._callers, self._jobs, self._operators, self._sessions, self._rotation)
 
     def _failed(self, failure: Any) -> None:
-        """A user's own code failed: the run can't be trusted."""
+        """Record a failure of the rig's own clients, which invalidates the run."""
         self._failures.append(failure.getTraceback())
 
-    # --- the course of a run --------------------------------------------------------------
+    # --- phases of a run --------------------------------------------------------------
 
     async def run(self, say: Callable[[str], None]) -> RigResult:
-        """Run to the end; the processes are ended whatever happens."""
+        """Run to the end; the processes are killed in any case."""
         begun_s = self._clock.seconds()
         complete = False
         try:
@@ -137,7 +137,7 @@
         return self._result(self._clock.seconds() - begun_s)
 
     async def _set_up(self, say: Callable[[str], None]) -> None:
-        """Start every process in an order drawn by the seed, then declare the site."""
+        """Start every process in an order that the seed determines, then declare the site."""
         self.fleet.prepare()
         daemons = list(self.fleet.daemons.values())
         order = self._draw("order").sample(daemons, len(daemons))
@@ -156,7 +156,7 @@
         await self._answer_everywhere()
 
     async def _answer_everywhere(self) -> None:
-        """Have every gateway complete a request of every kind: the fleet serves."""
+        """Wait until every gateway completes a request of every mix."""
         waits = [
             self.fleet.until(
                 f"gateway {number} completes a {mix.name}", partial(self._completes, number, mix)
@@ -181,7 +181,7 @@
             each.stop()
 
     async def _run_lane(self, lane: int, begun_s: float, say: Callable[[str], None]) -> None:
-        """Bring about one lane's failures, round after round until the time is over."""
+        """Inject one lane's failures, round after round, until the time is over."""
         draw = self._draw(f"lane/{lane}")
         until_s = begun_s + self._plan.failures_s
         again = True
@@ -197,7 +197,7 @@
             await failure(self._injector)
 
     async def _settle(self, say: Callable[[str], None]) -> None:
-        """Wait until all that was accepted is finished, and read it once more."""
+        """Wait until all accepted work is finished, and read the results again."""
         say("settling")
         await self.fleet.until_ready(list(self.fleet.daemons.values()))
         await self._injector.until_fully_redundant()
@@ -213,10 +213,10 @@
             raise RuntimeError(self._failures[0])
         return all(part.settled() for part in self._traffic())
 
-    # --- the judgement --------------------------------------------------------------------
+    # --- results --------------------------------------------------------------------
 
     def _merge(self) -> History:
-        """Return the history with the engines' own records put in at their times."""
+        """Return the history with the engines' execution records merged in by time."""
         events: list[Event] = list(self.history.events)
         for each in self.fleet.executions():
             place = (each.runner, each.request_id, each.attempt_id)
@@ -259,7 +259,7 @@
         )
 
     def evidence(self, result: RigResult) -> list[str]:
-        """Return lines by which what was broken can be traced; the run is over."""
+        """Return evidence for the violations of a run that has ended."""
         log_folder = self.fleet.log_folder
         return describe_violations(result.violations, self.history, self._users.reads, log_folder)
 
@@ -269,7 +269,7 @@
 
 
 async def _gather(work: list[Any]) -> None:
-    """Do work side by side; raises what the first failing part raised."""
+    """Run coroutines concurrently; raise the first failure."""
     begun = [Deferred.fromCoroutine(each) for each in work]
     try:
         await gatherResults(begun, consumeErrors=True)
--- a/rig/sessions.py
+++ b/rig/sessions.py
@@ -1,4 +1,4 @@
-"""Long-lived sessions: turn after turn, each answer following from the whole transcript."""
+"""Long-lived sessions: turn after turn, each answer depends on the whole transcript."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class SessionTraffic(Traffic):
-    """Keeps a few sessions talking; one whose turn has no known end is left for a new one."""
+    """Runs a few sessions; a session with a turn that did not complete is replaced by a new one."""
 
     def __init__(
         self,
--- a/rig/toml.py
+++ b/rig/toml.py
@@ -1,4 +1,4 @@
-"""Writes settings files: the part of TOML that they need."""
+"""Writes settings files, in the subset of TOML that they need."""
 
 import json
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 from typing import Any
 
 Tree = Mapping[str, Any]
-"""A settings file as ``tomllib`` reads it; nothing but this module and the layout sees one."""
+"""A settings file as ``tomllib`` reads it; used only by this module and the layout."""
 
 
 def write_toml(path: Path, tree: Tree) -> None:
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -1,6 +1,6 @@
-"""What every kind of the site's users has in common: it begins work until it is stopped.
+"""Base of every kind of the site's users: it starts work until it is stopped.
 
-Owns the count of what is under way and hands the failures of the users' own code to the run.
+It counts the work in progress and reports failures of the users' own code to the run.
 """
 
 from collections.abc import Callable, Coroutine
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Users:
-    """What every user of the site needs."""
+    """Dependencies that all users of the site share."""
 
     layout: SiteLayout
     http: RigHttpClient
@@ -27,10 +27,10 @@
     history: History
     draw: Random
     reads: list[FileRead] = field(default_factory=list)
-    """Every whole answer to a read of results, in order."""
+    """Every complete answer to a read of results, in order."""
 
     def gateway(self, turn: int) -> ProcessPlan:
-        """Return a gateway by turn."""
+        """Return a gateway in round-robin order."""
         return self.layout.gateways[turn % len(self.layout.gateways)]
 
 
@@ -44,23 +44,23 @@
         self._open = 0
 
     def start(self) -> None:
-        """Begin."""
+        """Start the traffic."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Begin nothing further."""
+        """Start no further work."""
         self._stopped = True
 
     def settled(self) -> bool:
-        """Tell whether everything begun that counts has its end."""
+        """Return whether all counted work has ended."""
         return self._open == 0
 
     def _run(self, work: Coroutine[Any, Any, Any]) -> "Deferred[Any]":
-        """Begin work beside what is under way; its failure fails the run."""
+        """Start concurrent work; its failure fails the run."""
         return Deferred.fromCoroutine(work).addErrback(self._failed)
 
     def _run_counted(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Begin work whose end the run waits for."""
+        """Start work whose end the run waits for."""
         self._open += 1
         self._run(work).addBoth(self._count_end)
 
