--- a/rig/evidence.py
+++ b/rig/evidence.py
@@ -1,8 +1,7 @@
-"""What a failed run leaves to trace it by: the events, reads and log lines that name what broke.
+"""Prints the evidence of a failed run: events, reads and log lines that name what was violated.
 
-A run's folder is removed and its processes are gone by the time somebody reads its verdict. So the
-parts of the history and of the processes' logs that name the subjects of the violations are printed
-with it, as far as they fit.
+A run's folder is removed when it ends. The parts of the history and of the processes' logs that
+name the subjects of the violations are therefore printed with the result, up to a limit.
 """
 
 import re
@@ -13,15 +12,15 @@
 from rainsail.experiment.checkers.interface import Violation
 from rainsail.experiment.history import FaultEnded, FaultInjected, FaultsEnded, History
 
-MOST_LINES_EACH = 150
-"""Lines printed of each source for one violation; the first and the last half of more."""
+MAX_LINES_PER_SOURCE = 150
+"""Maximum lines per source and violation; of more, the first and the last half are printed."""
 SUBJECT = re.compile(r"[\w./]+-[\w./-]*\d[\w-]*")
-"""The names in a violation: of jobs, requests, runners and processes, with a dash and a digit."""
+"""Names of jobs, requests, runners and processes in a violation: with a dash and a digit."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileRead:
-    """One whole answer to a read of a job's results; times are seconds of the run's clock."""
+    """One complete answer to a read of a job's results; times are seconds of the run's clock."""
 
     sent_s: float
     answered_s: float
@@ -37,16 +36,16 @@
     reads: Sequence[FileRead],
     log_folder: Path,
 ) -> list[str]:
-    """Return the lines to print; none where nothing is broken."""
+    """Return the lines to print; none without violations."""
     if not violations:
         return []
-    lines = ["course of the failures:", *_shortened(_failures(history))]
+    lines = ["injected failures:", *_truncated(_failures(history))]
     for violation in violations:
         subjects = SUBJECT.findall(violation.detail)
         lines.append(f"{violation.checker}: {violation.detail}")
-        lines += _shortened(_events(history, subjects))
-        lines += _shortened([str(read) for read in reads if _names(read.job_id, subjects)])
-        lines += _shortened(list(_log_lines(log_folder, subjects)))
+        lines += _truncated(_events(history, subjects))
+        lines += _truncated([str(read) for read in reads if _names(read.job_id, subjects)])
+        lines += _truncated(list(_log_lines(log_folder, subjects)))
     return lines
 
 
@@ -70,10 +69,10 @@
                 yield f"{path.stem}: {line}"
 
 
-def _shortened(lines: list[str]) -> list[str]:
-    """Return the first and the last lines of many."""
-    if len(lines) <= MOST_LINES_EACH:
+def _truncated(lines: list[str]) -> list[str]:
+    """Return the lines, without the middle ones when there are too many."""
+    if len(lines) <= MAX_LINES_PER_SOURCE:
         return [f"  {line}" for line in lines]
-    half = MOST_LINES_EACH // 2
-    left_out = f"({len(lines) - 2 * half} lines left out)"
+    half = MAX_LINES_PER_SOURCE // 2
+    left_out = f"({len(lines) - 2 * half} lines omitted)"
     return [f"  {line}" for line in (*lines[:half], left_out, *lines[-half:])]
--- a/src/rainsail/emulator/engine_server.py
+++ b/src/rainsail/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""An emulated engine on HTTP, in the protocol of ``rainsail.engine.protocol``."""
+"""Serves an emulated engine over HTTP, in the protocol of ``rainsail.engine.protocol``."""
 
 import functools
 import itertools
@@ -25,12 +25,12 @@
 from rainsail.runtime.clock import Clock
 
 KEEP_ALIVE_PERIOD_S = 1.0
-"""A stream sends a comment this often, so that silence means a lost link."""
+"""Period of SSE comments on a stream; a client treats longer silence as a lost connection."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class EngineServer:
-    """Serves one emulated engine; ``listen`` puts it on a loopback port."""
+    """Serves one emulated engine; ``listen`` binds it to a loopback port."""
 
     def __init__(self, engine: EmulatedEngine, clock: Clock) -> None:
         self.app = Klein()
@@ -39,28 +39,28 @@
         self._clock = clock
         self._open: dict[Any, None] = {}
         self._keep_alive_timer: Any = None
-        self._fresh_ids = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         engine.on_crash(self._break_connections)
         self._add_routes()
 
     def listen(self, reactor: Any, host: str, port: int) -> Any:
-        """Listen; return Twisted's port (``getHost().port`` names the one chosen for 0)."""
+        """Listen and return Twisted's port; for port 0, ``getHost().port`` is the chosen one."""
         return reactor.listenTCP(port, Site(self.app.resource()), interface=host)
 
     def _add_routes(self) -> None:
         route = self.app.route
-        route(protocol.COMPLETIONS_PATH, methods=["POST"])(self._alive(self._complete))
+        route(protocol.COMPLETIONS_PATH, methods=["POST"])(self._require_alive(self._complete))
         attempt = f"{protocol.ATTEMPTS_PATH}/<path:attempt_id>"
-        route(attempt, methods=["GET"])(self._alive(self._resume))
-        route(f"{attempt}/cancel", methods=["POST"])(self._alive(self._cancel))
-        route(protocol.ORDERS_PATH, methods=["POST"])(self._alive(self._order))
-        route(protocol.KV_EXPORT_PATH, methods=["POST"])(self._alive(self._export))
-        route(protocol.KV_IMPORT_PATH, methods=["POST"])(self._alive(self._import))
-        route(protocol.EVENTS_PATH, methods=["GET"])(self._alive(self._events))
-        route("/healthz", methods=["GET"])(self._alive(self._health))
+        route(attempt, methods=["GET"])(self._require_alive(self._resume))
+        route(f"{attempt}/cancel", methods=["POST"])(self._require_alive(self._cancel))
+        route(protocol.ORDERS_PATH, methods=["POST"])(self._require_alive(self._order))
+        route(protocol.KV_EXPORT_PATH, methods=["POST"])(self._require_alive(self._export))
+        route(protocol.KV_IMPORT_PATH, methods=["POST"])(self._require_alive(self._import))
+        route(protocol.EVENTS_PATH, methods=["GET"])(self._require_alive(self._events))
+        route("/healthz", methods=["GET"])(self._require_alive(self._health))
 
-    def _alive(self, handler: Callable[..., Any]) -> Callable[..., Any]:
-        """Answer nothing while the emulated process is dead: the connection just breaks."""
+    def _require_alive(self, handler: Callable[..., Any]) -> Callable[..., Any]:
+        """Abort connections without an answer while the emulated process is down."""
 
         @functools.wraps(handler)
         def handle(request: Any, **arguments: str) -> Any:
@@ -77,17 +77,17 @@
         parsed = _read(request, protocol.COMPLETION, "engine.completions")
         if parsed.is_error():
             return _answer_fault(request, parsed.error)
-        fresh_id = f"{self._engine.incarnation}/{next(self._fresh_ids)}"
+        fresh_id = f"{self._engine.incarnation}/{next(self._attempt_numbers)}"
         generate = protocol.generate_request(parsed.ok, fresh_id)
         if not parsed.ok.stream:
-            return self._complete_at_once(request, generate)
+            return self._complete_unstreamed(request, generate)
         reader = _StreamReader(request)
         self._watch(request, generate.attempt_id, reader)
         self._engine.generate(generate, reader)
         return reader.finished
 
-    def _complete_at_once(self, request: Any, generate: GenerateRequest) -> "Deferred[bytes]":
-        reader = _WholeReader(request)
+    def _complete_unstreamed(self, request: Any, generate: GenerateRequest) -> "Deferred[bytes]":
+        reader = _AnswerCollector(request)
         gone = request.notifyFinish()
         gone.addErrback(lambda _: self._engine.cancel(generate.attempt_id))
         self._engine.generate(generate, reader)
@@ -190,12 +190,12 @@
             self.request.setHeader(b"cache-control", b"no-store")
 
     def keep_alive(self) -> None:
-        """Show that the link is alive."""
+        """Send a comment frame, so that the client sees a live connection."""
         self.start()
         self.request.write(protocol.KEEP_ALIVE_FRAME)
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self.request.transport is not None:
             self.request.transport.abortConnection()
 
@@ -209,7 +209,7 @@
         self.request.write(protocol.chunk_frame(chunk))
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Write the end; an attempt refused at once gets an HTTP error instead."""
+        """Write the end frame; an attempt refused before its first frame gets an HTTP error."""
         if end.reason is EndReason.REFUSED and not self.started:
             self.finished.callback(_refusal(self.request, end))
             return
@@ -218,7 +218,7 @@
         self.finished.callback(b"")
 
 
-class _WholeReader(_Reader):
+class _AnswerCollector(_Reader):
     """Collects an answer and writes it as one JSON object."""
 
     def __init__(self, request: Any) -> None:
@@ -226,11 +226,11 @@
         self._texts: list[str] = []
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Keep a chunk."""
+        """Collect a chunk."""
         self._texts.append(chunk.text)
 
     def on_end(self, end: EngineAttemptEnd) -> None:
-        """Write the answer."""
+        """Write the collected answer, or the refusal."""
         if end.reason is EndReason.REFUSED:
             self.finished.callback(_refusal(self.request, end))
             return
@@ -281,7 +281,7 @@
 
 
 def _refusal(request: Any, end: EngineAttemptEnd) -> bytes:
-    """Answer that the attempt was not run."""
+    """Write the HTTP error for an attempt that was not run."""
     request.setHeader(b"retry-after", str(max(1, round(end.retry_after_s))).encode())
     fault = Fault(
         FaultCode.OVERLOADED,
