--- a/features/rig/evidence.feature
+++ b/features/rig/evidence.feature
@@ -1,5 +1,5 @@
-Feature: A failed run of the rig prints what it can be traced by
-  # Guards against: a run of CI that fails once and leaves neither its history nor its logs.
+Feature: A failed run of the rig prints evidence
+  # Guards against a CI run that fails once and leaves neither its history nor its logs.
 
   Scenario: A job without results is printed with its events, its reads and the log lines that name it
     Given a history of the rig in which job "job-a1b2" is accepted and read as completed
--- a/features/rig/job_reads.feature
+++ b/features/rig/job_reads.feature
@@ -1,7 +1,7 @@
 Feature: The clients of the rig read every result after the last failure of a run
-  A run is judged by what is read then: what was read before a failure may be lost in it.
+  The checkers use these reads, because results that were read earlier may be lost in a failure.
 
-  Scenario Outline: A read that is under way when the failures end counts for nothing: <answer>
+  Scenario Outline: A read in progress when the failures end is repeated: <answer>
     Given a rig client with a completed job of 12 items, whose gateway holds back <answer>
     When the failures of the rig client's run end
     Then the rig client is not settled
@@ -21,7 +21,7 @@
     Then the rig client is settled
     And the checkers find each result of the rig client
 
-  Scenario: Results that are lost while they are read are missed
+  Scenario: Results that are lost during a read are reported as missing
     Given a rig client with a completed job of 12 items, whose gateway holds back the job's errors
     When the results of the rig client's job are lost
     And the failures of the rig client's run end
--- a/features/rig/last_answers.feature
+++ b/features/rig/last_answers.feature
@@ -1,6 +1,6 @@
-Feature: The last answers of a web site leave before its process ends
+Feature: A web site sends its last answers before its process ends
 
-  Scenario: An answer that is written but has not left is let out
+  Scenario: An answer that is written but not yet sent is sent
     Given a followed web site that answers with 8000000 bytes
     When a slow reader asks the followed web site and reads nothing yet
     And the followed web site is finished with a limit of 10 s
@@ -9,7 +9,7 @@
     Then the slow reader has 8000000 bytes
     And the followed web site is finished
 
-  Scenario: A request under way is let end
+  Scenario: A request in progress is finished
     Given a followed web site that answers when it is told to
     When a slow reader asks the followed web site and reads nothing yet
     And the followed web site is finished with a limit of 10 s
@@ -19,14 +19,14 @@
     Then the slow reader has 5 bytes
     And the followed web site is finished
 
-  Scenario: A reader that never reads is cut at the limit
+  Scenario: The connection of a reader that never reads is closed at the limit
     Given a followed web site that answers with 8000000 bytes
     When a slow reader asks the followed web site and reads nothing yet
     And the followed web site is finished with a limit of 10 s
     And 11 s pass for the followed web site
     Then the followed web site is finished
 
-  Scenario: Without connections nothing is waited for
+  Scenario: Without connections there is no wait
     Given a followed web site that answers with 10 bytes
     When the followed web site is finished with a limit of 10 s
     Then the followed web site is finished
@@ -44,8 +44,8 @@
       | 1.1     |
 
   Scenario Outline: An answer that is under way when its process is killed doesn't look complete
-    # A client of HTTP/1.0 knows no chunks: the close of the connection ends the answer, and the kernel
-    # closes the connections of a killed process in order.
+    # HTTP/1.0 has no chunks: closing the connection ends the answer, and the kernel closes the
+    # connections of a killed process normally.
     Given a process with a followed web site that never ends its answers
     When a client of HTTP <version> asks for "/"
     And the first bytes of the answer have come
@@ -57,7 +57,7 @@
       | 1.0     |
       | 1.1     |
 
-  Scenario Outline: An answer without a length that ends leaves whole
+  Scenario Outline: A finished answer without a length arrives complete
     Given a process with a followed web site that ends its answers after <count> bytes
     When a client of HTTP 1.0 asks for "/"
     Then the client finds the answer whole with <count> bytes
@@ -68,7 +68,7 @@
       | 8000000  |
 
   Scenario: An answer that is finished and has not left when its process is killed doesn't look complete
-    # Guards against: a slow reader of HTTP/1.0 that takes the first part of an answer for all of it.
+    # Guards against a slow HTTP/1.0 reader that takes the first part of an answer for all of it.
     Given a process with a followed web site that ends its answers after 8000000 bytes
     When a client of HTTP 1.0 asks for "/"
     And the first bytes of the answer have come
--- a/features/rig/processes.feature
+++ b/features/rig/processes.feature
@@ -1,4 +1,4 @@
-Feature: One daemon as a plain process: what it refuses and how it ends
+Feature: A daemon process: conflicts that it refuses, and how it ends
 
   Scenario: A second process on the same data folder is refused
     Given a rig folder with the settings of a replica "solo"
--- a/features/rig/short_run.feature
+++ b/features/rig/short_run.feature
@@ -1,4 +1,4 @@
-Feature: Real daemons under load and failures, judged from what their users saw
+Feature: Real daemons under load and failures, checked by what their users observed
 
   Scenario: A site bears killed, paused, wiped and stopped processes
     When the fleet rig runs site "guayaquil" briefly with seed 1
@@ -14,6 +14,6 @@
     When the fleet rig of site "guayaquil" is killed while its processes start
     Then no process of the rig run is left
 
-  Scenario: A site that there is not is bad input
+  Scenario: An unknown site is bad input
     When the fleet rig runs site "atlantis" briefly with seed 1
     Then the rig run ended with code 2 naming "expected all, guayaquil or taoyuan"
--- a/features/steps/rig_job_reads_steps.py
+++ b/features/steps/rig_job_reads_steps.py
@@ -1,4 +1,4 @@
-"""Steps of features/rig/job_reads.feature: the rig's own client at a gateway that stands in."""
+"""Steps of features/rig/job_reads.feature: the rig's client with a fake gateway."""
 
 import json
 import random
@@ -29,11 +29,11 @@
     "nothing": "",
 }
 HEAP_PERIOD_S = 1000.0
-"""Far beyond the time of a scenario: a client stays the only one."""
+"""Longer than a scenario, so that only one client starts."""
 
 
 class _Gateway:
-    """Answers calls about one completed job; holds back what is asked of one path."""
+    """Answers calls about one completed job; delays the answers of one path."""
 
     def __init__(self, held_path):
         self._held_path = held_path
@@ -52,14 +52,14 @@
         return Reply(200, self._body(path), "")
 
     def answer(self):
-        """Answer what is held back, and hold back nothing more."""
+        """Release the delayed answers, and delay no more."""
         self._held_path = ""
         held, self._held = self._held, []
         for released in held:
             released.callback(None)
 
     def lose_results(self):
-        """Forget the results of the job."""
+        """Drop the results of the job."""
         self._output = []
 
     def _body(self, path):
--- a/features/steps/rig_last_answers_steps.py
+++ b/features/steps/rig_last_answers_steps.py
@@ -16,7 +16,7 @@
 
 
 class _Page(Resource):
-    """Answers at once with so many bytes, or later when it is told to."""
+    """Answers at once with ``size`` bytes, or on command when ``size`` is None."""
 
     isLeaf = True
 
--- a/features/support/rig.py
+++ b/features/support/rig.py
@@ -1,4 +1,4 @@
-"""Helpers of the rig features: single daemons of a folder, and a whole run as a command."""
+"""Helpers of the rig features: single daemons, and a whole run as a command."""
 
 import contextlib
 import json
@@ -51,7 +51,7 @@
 
 
 def run_rig(*arguments: str) -> RigRun:
-    """Run the rig as a command; its daemons end with it, however it ends."""
+    """Run the rig as a command; its daemons end with it in any case."""
     command = [sys.executable, "-m", "rig", *arguments, "--time_limit_s", str(RUN_LIMIT_S)]
     done = subprocess.run(
         command, cwd=ROOT, capture_output=True, text=True, timeout=RUN_LIMIT_S + LIMIT_S
@@ -82,16 +82,16 @@
 
 
 def own_host(number: int) -> str:
-    """Return an IP number under 127.0.0.0/8 that only this process uses."""
+    """Return an IP address under 127.0.0.0/8 that only this process uses."""
     process = os.getpid() & 0xFFFF
     return f"127.{192 + process // 256 % 63}.{process % 256}.{number}"
 
 
 class SoloDaemon:
-    """A replica alone in its fleet, as a plain process."""
+    """The only replica of its fleet, as a child process."""
 
     def __init__(self, folder: Path, host: str, data_folder: Path, **shared: str) -> None:
-        """``shared`` names addresses that stand at another host than this daemon's own."""
+        """``shared`` gives the host of addresses that differ from this daemon's own."""
         self.host = host
         self.data_folder = data_folder
         self._settings = folder / f"{host}-{data_folder.name}.toml"
@@ -109,7 +109,7 @@
             )
 
     def ready(self) -> bool:
-        """Ask whether it is ready."""
+        """Return whether the daemon is ready."""
         assert self.process is not None
         if self.process.poll() is not None:
             raise AssertionError(f"ended: {self.errors()}")
@@ -136,7 +136,7 @@
             self.process.wait(LIMIT_S)
 
     def account(self) -> str:
-        """Tell what the process has done so far."""
+        """Describe what the process has done so far."""
         assert self.process is not None
         return process_account(self.process.pid, self.errors())
 
@@ -146,9 +146,9 @@
 
 
 def wait_until(condition: Any, what: str, account: Callable[[], str] = str) -> Any:
-    """Wait for a condition, with a generous limit; nothing is asserted about shorter times.
+    """Wait for a condition, with a generous limit that asserts nothing about speed.
 
-    ``account`` tells what was done meanwhile, for a wait in vain.
+    ``account`` describes the progress, for the error after a time-out.
     """
     until_s = time.monotonic() + LIMIT_S
     while time.monotonic() < until_s:
@@ -160,14 +160,14 @@
 
 
 def scratch_folder(context: Any) -> Path:
-    """Return a folder that goes when the scenario ends."""
+    """Return a folder that is removed when the scenario ends."""
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     return Path(folder.name)
 
 
 def solo_daemon(context: Any, host_number: int, data_folder: str, **shared: str) -> SoloDaemon:
-    """Make a daemon that is ended with the scenario."""
+    """Create a daemon that is killed when the scenario ends."""
     folder = context.rig_folder
     daemon = SoloDaemon(folder, own_host(host_number), folder / data_folder, **shared)
     context.add_cleanup(daemon.end)
