--- a/src/rainsail/control/http_bodies.py
+++ b/src/rainsail/control/http_bodies.py
@@ -58,7 +58,7 @@
     except ValueError as error:
         return Error(Fault(FaultCode.INVALID, STEP, f"the body is not JSON: {error}"))
     if not isinstance(body, dict):
-        return Error(Fault(FaultCode.INVALID, STEP, "body: expected an object"))
+        return Error(Fault(FaultCode.INVALID, STEP, "the body: expected an object"))
     return Ok(body)
 
 
--- a/src/rainsail/control/job_endpoints.py
+++ b/src/rainsail/control/job_endpoints.py
@@ -61,9 +61,7 @@
             return Error(Fault(FaultCode.INVALID, STEP, f"{where}: {first['msg']}"))
         tenant = job.tenant or caller.tenant
         if not may_use_tenant(caller, tenant):
-            return Error(
-                Fault(FaultCode.FORBIDDEN, STEP, f"tenant: this key has no access to {tenant!r}")
-            )
+            return Error(Fault(FaultCode.FORBIDDEN, STEP, f"tenant: not a key of {tenant!r}"))
         deadline_unix_s = self._wall_clock() + job.deadline_s
         return await self._intake.submit(
             tenant, job.job_key, job.service, job.items, deadline_unix_s, job.adapter
--- a/src/rainsail/control/job_routes.py
+++ b/src/rainsail/control/job_routes.py
@@ -87,7 +87,7 @@
             return answer_fault(request, body.error)
         change_id = body.ok.get("change_id", "")
         if not isinstance(change_id, str) or len(body.ok) > ("change_id" in body.ok):
-            detail = "body: expected {} or {change_id: string}"
+            detail = "the body: expected {} or {change_id: string}"
             return answer_fault(request, Fault(FaultCode.INVALID, "operator_api.jobs", detail))
         cancelled = await self._jobs.cancel(caller.ok, job_id, change_id)
         if cancelled.is_error():
--- a/src/rainsail/control/operator_gate.py
+++ b/src/rainsail/control/operator_gate.py
@@ -21,7 +21,7 @@
         """Return the caller, or UNAUTHENTICATED."""
         caller = self._authenticate(bearer_token(request))
         if caller is None:
-            return Error(Fault(FaultCode.UNAUTHENTICATED, STEP, "unknown bearer token"))
+            return Error(Fault(FaultCode.UNAUTHENTICATED, STEP, "the bearer token is not known"))
         return Ok(caller)
 
     def operator(self, request: Any) -> Result[AuthenticatedCaller, Fault]:
--- a/src/rainsail/control/resource_endpoints.py
+++ b/src/rainsail/control/resource_endpoints.py
@@ -76,7 +76,7 @@
             return Error(Fault(FaultCode.INVALID, STEP, "spec: expected an object"))
         change_id, expected = change.ok
         answer: Result[ResourceChanged, Fault] = Error(
-            Fault(FaultCode.CONFLICT, STEP, "the resource changed concurrently at every attempt")
+            Fault(FaultCode.CONFLICT, STEP, "the resource kept changing")
         )
         for attempt in range(PATCH_ATTEMPTS):
             attempt_id = change_id
--- a/src/rainsail/control/watcher.py
+++ b/src/rainsail/control/watcher.py
@@ -161,13 +161,11 @@
     def _disconnect_if_too_slow(self) -> None:
         waiting = self._state.revision - self._revision
         if waiting > self._settings.watch_buffer_events:
-            detail = (
-                f"{waiting} events pending for this watcher; resume from the last revision read"
-            )
+            detail = f"{waiting} events wait for this watcher; go on from the last revision read"
             self._end_with("too_slow", Fault(FaultCode.OVERLOADED, STEP, detail), disconnect=True)
 
     def _compacted_fault(self) -> Fault:
-        detail = f"events after revision {self._revision} are compacted; list again"
+        detail = f"events after revision {self._revision} are gone: list again"
         return Fault(
             FaultCode.REVISION_COMPACTED, STEP, detail, current_revision=self._state.revision
         )
