--- a/src/rainsail/cli/flags.py
+++ b/src/rainsail/cli/flags.py
@@ -25,7 +25,7 @@
     return rest
 
 
-def split_repeated(joined: str) -> tuple[str, ...]:
+def repeated(joined: str) -> tuple[str, ...]:
     """Return the separate values of a flag joined by ``join_repeated``."""
     return tuple(joined.split(_SEPARATOR)) if joined else ()
 
--- a/src/rainsail/cli/settings.py
+++ b/src/rainsail/cli/settings.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from rainsail.cli.exit_codes import bad_input
-from rainsail.cli.flags import split_repeated
+from rainsail.cli.flags import repeated
 from rainsail.cli.output import check_format, print_json, print_record
 from rainsail.runtime.toml import parse_toml
 from rainsail.settings.load import load_settings
@@ -67,7 +67,7 @@
     Raises:
         CommandEnd: The settings are invalid; the message lists every problem.
     """
-    loaded = load_settings(Path(path), split_repeated(overrides))
+    loaded = load_settings(Path(path), repeated(overrides))
     if loaded.is_error():
         raise bad_input("\nrainsail: ".join(str(problem) for problem in loaded.error))
     return loaded.ok
--- a/src/rainsail/cli/story.py
+++ b/src/rainsail/cli/story.py
@@ -25,7 +25,7 @@
     if not matching:
         raise CommandEnd(ExitCode.FAILED, f"no log line mentions {identifier}")
     for line in sorted(matching, key=lambda line: str(line.get("at", ""))):
-        print(format_line(line))
+        print(shown(line))
 
 
 def mentions(line: dict[str, Any], identifier: str) -> bool:
@@ -37,7 +37,7 @@
     return False
 
 
-def format_line(line: dict[str, Any]) -> str:
+def shown(line: dict[str, Any]) -> str:
     """Format a log line as text: time, node, event, then the other keys as name=value."""
     rest = " ".join(f"{key}={value}" for key, value in line.items() if key not in OMITTED_KEYS)
     head = f"{line.get('at', '?')} {line.get('node', '?')} {line.get('event', '?')}"
--- a/src/rainsail/control/controllers/placement.py
+++ b/src/rainsail/control/controllers/placement.py
@@ -40,13 +40,13 @@
 class _Ages:
     """Ages in seconds, counted under this leadership.
 
-    ``load_s`` is how long a runner's current load has run, ``not_serving_s`` how long a runner
+    ``load_s`` is how long a runner's current load has run, ``silent_s`` how long a runner
     has been loading without a break, and ``version_s`` how long a service has had its active
     version.
     """
 
     load_s: dict[str, float]
-    not_serving_s: dict[str, float]
+    silent_s: dict[str, float]
     version_s: dict[str, float]
 
 
@@ -121,9 +121,7 @@
             spec.runners,
             own,
             frozenset(each.name for each in own if self._is_stalled(each, ages)),
-            frozenset(
-                each.name for each in own if ages.not_serving_s.get(each.name, 0) > version_age_s
-            ),
+            frozenset(each.name for each in own if ages.silent_s.get(each.name, 0) > version_age_s),
             load_slots,
             self._settings.max_concurrent_loads,
         )
--- a/src/rainsail/emulator/session_store.py
+++ b/src/rainsail/emulator/session_store.py
@@ -63,7 +63,7 @@
             fault = self._fenced("engine.kv_import", state.session, state.fence, session)
             return Error(fault)
         if len(state.data) % _BLOCK.size:
-            detail = f"{len(state.data)} bytes of KV data are not a multiple of {_BLOCK.size}"
+            detail = f"{len(state.data)} bytes are no KV blocks"
             return Error(Fault(FaultCode.INVALID, "engine.kv_import", detail))
         blocks = tuple(block for (block,) in _BLOCK.iter_unpack(state.data))
         self._sessions[state.session] = _Session(state.fence, False, state.tokens, blocks)
--- a/src/rainsail/state/result_log.py
+++ b/src/rainsail/state/result_log.py
@@ -41,11 +41,11 @@
 class ResultLog:
     """Results in segments, with a location per item: segment number and offset in one integer."""
 
-    __slots__ = ("_item_count", "_locations", "_segments")
+    __slots__ = ("_item_count", "_places", "_segments")
 
     def __init__(self, item_count: int) -> None:
         self._item_count = item_count
-        self._locations: array[int] = array("Q")
+        self._places: array[int] = array("Q")
         self._segments: list[bytearray] = []
 
     def append(self, index: int, item: FinishedItem) -> None:
@@ -59,13 +59,13 @@
         segment += payload
 
     def _set_location(self, index: int, segment: int, offset: int) -> None:
-        if not self._locations:
-            self._locations = array("Q", bytes(8 * self._item_count))
-        self._locations[index] = segment << _SEGMENT_SHIFT | offset
+        if not self._places:
+            self._places = array("Q", bytes(8 * self._item_count))
+        self._places[index] = segment << _SEGMENT_SHIFT | offset
 
     def get(self, index: int) -> FinishedItem:
         """Return the result of an item that has one."""
-        location = self._locations[index]
+        location = self._places[index]
         segment = self._segments[location >> _SEGMENT_SHIFT]
         offset = location & _OFFSET_MASK
         _, size = _HEADER.unpack_from(segment, offset)
