--- a/src/rainsail/storage/records.py
+++ b/src/rainsail/storage/records.py
@@ -93,14 +93,14 @@
 def read_record(data: bytes, offset: int, group: int) -> Record | Damage:
     """Read the record at ``offset``; a truncated or invalid record is returned as damage."""
     if offset + HEADER_BYTES > len(data):
-        return Damage(offset, f"record header truncated after {len(data) - offset} bytes")
+        return Damage(offset, f"record header cut short after {len(data) - offset} bytes")
     magic, crc, length, found_group, kind, durable = _HEADER.unpack_from(data, offset)
     if magic != MAGIC:
-        return Damage(offset, "no record starts here: wrong magic bytes")
+        return Damage(offset, "no record begins here")
     start = offset + HEADER_BYTES
     end = start + length
     if end > len(data):
-        return Damage(offset, f"record of {length} bytes truncated")
+        return Damage(offset, f"record of {length} bytes cut short")
     body = data[start:end]
     if crc32c.crc32c(body, crc32c.crc32c(data[offset + _CHECKED_START : start])) != crc:
         return Damage(offset, "CRC-32C does not match")
