--- a/src/rainsail/storage/snapshot_checksum.py
+++ b/src/rainsail/storage/snapshot_checksum.py
@@ -43,7 +43,7 @@
             return
         read = read.with_chunk(piece)
         yield piece
-    raise incomplete_snapshot(f"no checksum after {read.chunks} chunks")
+    raise incomplete_snapshot(f"the reading ended after {read.chunks} chunks")
 
 
 def verify_checksum(found: SnapshotChecksum, expected: SnapshotChecksum) -> None:
